--- a/rhubarbwinch/gateway/beliefs.py
+++ b/rhubarbwinch/gateway/beliefs.py
@@ -1,4 +1,4 @@
-"""Puts in force what the feed tells: configuration, endpoints, gateways."""
+"""Applies store changes to the configuration, endpoints and gateways."""
 
 from collections.abc import Callable
 
@@ -14,13 +14,13 @@
 
 
 class Beliefs:
-    """What a gateway believes of the platform.
+    """A gateway's view of the platform, updated from the store.
 
     Args:
-        context: Takes the configuration and the endpoints.
-        streams: Told of endpoints that leave.
-        transport: Its idle connections to those are closed.
-        on_table: Takes a configuration that is now in force.
+        context: Holds the configuration and the endpoints.
+        streams: Notified of endpoints that leave.
+        transport: Its idle connections to leaving endpoints are closed.
+        on_table: Called with a configuration that is now active.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         self._on_table = on_table
 
     def apply(self, changes: list[Change], after_outage: bool) -> None:
-        """Takes changes of the store."""
+        """Applies changes of the store."""
         platform = self._context.platform
         for change in changes:
             if change.key == platform.config_key:
@@ -48,7 +48,7 @@
         self._streams.note_change()
 
     def take_leaving(self, notice: LeavingNotice) -> None:
-        """Takes an engine's own word that it leaves."""
+        """Applies an engine's own notice that it leaves."""
         if self._context.fleet.mark_leaving(
             notice.endpoint, notice.started_ms, self._context.clock.now()
         ):
@@ -56,20 +56,20 @@
             self._note_leaving(notice.endpoint)
 
     def leaving_notices(self) -> list[LeavingNotice]:
-        """Returns what a gateway that starts has to know of engines."""
+        """Returns the known leaving endpoints, for a gateway that starts."""
         return [
             LeavingNotice(known.endpoint.id, known.endpoint.started_ms)
             for known in self._context.fleet.all_leaving()
         ]
 
     def expire(self) -> None:
-        """Gives up endpoints whose lapsed entries did not come back."""
+        """Gives up endpoints whose expired entries were not renewed."""
         for known in self._context.fleet.expire(self._context.clock.now()):
             self._note_endpoint(known.endpoint.id, "lapsed", 0, True)
             self._note_leaving(known.endpoint.id)
 
     def _apply_member(self, change: Change) -> None:
-        """Takes another gateway's registration."""
+        """Applies another gateway's registration."""
         if change.entry is None:
             return
         try:
--- a/rhubarbwinch/gateway/crashes.py
+++ b/rhubarbwinch/gateway/crashes.py
@@ -1,8 +1,8 @@
-"""Requests under which endpoints crash, and when they are refused.
+"""Refuses requests that have crashed several endpoints.
 
-It answers a request that ends each endpoint that begins to run it, and that its
-caller sends again, to any gateway. Requests that only shared an endpoint with
-it clear themselves by succeeding.
+Such a request crashes every endpoint that starts to run it, and its caller
+retries it at any gateway. Requests that only shared an endpoint with it are
+cleared when they succeed.
 """
 
 import hashlib
@@ -15,16 +15,16 @@
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.clock import Clock
 
-# Endpoints that may crash under a request before it is refused.
+# Number of endpoints that may crash before the request is refused.
 MAX_CRASHES = 3
-# A request that crashes endpoints comes again within seconds; one that was
-# unlucky may run again after this time.
+# A request that crashes endpoints is retried within seconds. A request that was
+# suspected by chance may run again after this time.
 KEEP_MS = 60_000
 MAX_SUSPECTS = 2_000
 
 
 def fingerprint(account: str | None, target: bytes, body: bytes) -> str:
-    """Returns what a request is recognised by when it comes again."""
+    """Returns a digest that identifies a request when it is retried."""
     digest = hashlib.blake2b(digest_size=12)
     for part in ((account or "").encode(), target, body):
         digest.update(len(part).to_bytes(8, "big"))
@@ -34,7 +34,7 @@
 
 @attrs.define
 class _Suspect:
-    """The endpoints that crashed under a request."""
+    """The endpoints that crashed while serving a request."""
 
     endpoints: set[str] = attrs.field(factory=set)
     last_ms: int = 0
@@ -42,11 +42,11 @@
 
 @attrs.frozen
 class Break:
-    """An answer that an endpoint broke off.
+    """A response that an endpoint broke off.
 
     Attributes:
         request_id: The caller's id of the request.
-        fingerprint: What the request is recognised by.
+        fingerprint: The digest that identifies the request.
         endpoint: The endpoint's id.
         address: The endpoint's address.
     """
@@ -58,12 +58,12 @@
 
 
 class CrashLedger:
-    """Counts the endpoints that crashed under each request.
+    """Counts the endpoints that crashed while serving each request.
 
     Args:
-        is_gone: Tells whether an endpoint at an address accepts no connection.
+        is_gone: Returns whether an endpoint address accepts no connections.
         clock: The source of time.
-        tell: Tells all gateways of a crash.
+        tell: Broadcasts a crash to all gateways.
     """
 
     def __init__(
@@ -80,12 +80,12 @@
         self._has_breaks = anyio.Event()
 
     def suspect(self, found: Break) -> None:
-        """Has it found out whether the endpoint is gone; nobody waits."""
+        """Schedules a check whether the endpoint has crashed."""
         self._breaks.append(found)
         self._has_breaks.set()
 
     async def run(self) -> None:
-        """Looks after endpoints that broke off answers, until cancelled."""
+        """Checks endpoints that broke off responses, until cancelled."""
         while True:
             await self._has_breaks.wait()
             self._has_breaks = anyio.Event()
@@ -95,7 +95,7 @@
                     tasks.start_soon(self._look, found)
 
     def note(self, request: str, endpoint: str, now_ms: int) -> int:
-        """Notes a crash; returns how many the request has to its name."""
+        """Records a crash; returns the request's number of crashes."""
         suspect = self._suspects.setdefault(request, _Suspect())
         if now_ms - suspect.last_ms > KEEP_MS:
             suspect.endpoints.clear()
@@ -107,11 +107,11 @@
         return len(suspect.endpoints)
 
     def clear(self, request: str) -> None:
-        """Notes that a request has succeeded."""
+        """Clears a request that has succeeded."""
         self._suspects.pop(request, None)
 
     def is_refused(self, request: str, now_ms: int) -> bool:
-        """Tells whether a request is refused."""
+        """Returns whether a request is refused."""
         suspect = self._suspects.get(request)
         if suspect is None or now_ms - suspect.last_ms > KEEP_MS:
             return False
--- a/rhubarbwinch/gateway/endpoints.py
+++ b/rhubarbwinch/gateway/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints as they register themselves."""
+"""The registration of an endpoint."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class EndpointState(enum.StrEnum):
-    """What an endpoint says of itself."""
+    """The state that an endpoint registers."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -17,14 +17,14 @@
     """An endpoint's registration.
 
     Attributes:
-        id: New at each start, as a rule.
+        id: The endpoint's id; usually new at each start.
         service: The service that it runs.
         address: `a.b.c.d:port`.
-        data_center: Where it is.
-        slots: Requests that it runs at once.
-        state: Whether it takes new work.
+        data_center: Its data centre.
+        slots: The number of requests that it runs at once.
+        state: Whether it accepts new requests.
         warmup_ms: How long it is slow after its start.
-        started_ms: Unix time of its start; 0 if it does not say.
+        started_ms: Unix time of its start; 0 if the registration has none.
     """
 
     id: str
@@ -38,5 +38,5 @@
 
     @property
     def incarnation(self) -> tuple[str, int]:
-        """Names one start: an id may come again."""
+        """Identifies one start of the endpoint, since an id may be reused."""
         return (self.id, self.started_ms)
--- a/rhubarbwinch/gateway/failurereports.py
+++ b/rhubarbwinch/gateway/failurereports.py
@@ -1,38 +1,41 @@
-"""Endpoints that several gateways have found failing: a pure decision.
-
-It answers a large fleet before endpoints that go down and up, or reset what
-they are sent. Each gateway sends an endpoint so little that by itself it finds
-out too late; each loses one or more requests to every endpoint that fails, and
-one that fails at once looks idle, so that it draws the most. A fault that only
-one data centre meets is believed in that one only.
+"""Decides from the failure notices of all gateways which endpoints to avoid.
+
+Pure code. It is meant for many gateways before endpoints that restart or reset
+their connections. Each gateway sends an endpoint so few requests that its own
+outcomes show a fault too late: every gateway would lose one or more requests to
+each failing endpoint, and an endpoint that fails at once looks idle and so
+attracts the most requests. A fault that only one data centre sees is acted on
+in that data centre only.
 """
 
 import attrs
 
 from rhubarbwinch.gateway.messages import FailureNotice
 
-# Failures count together for so long.
+# Failures within this window are counted together.
 WINDOW_MS = 1_000
-# One failure may be of the request, or of the gateway's own link.
+# Failures at a single gateway may be caused by the request or by the gateway's
+# own network link.
 MIN_GATEWAYS = 2
-# Failures, as a share of the calls that an endpoint of the service gets in the
-# window. Endpoints at times lose or spoil one answer in twenty.
+# Least number of failures, as a share of the calls that an endpoint of the
+# service usually gets in the window. A usable endpoint may lose or garble one
+# response in twenty.
 MIN_SHARE = 0.2
-# Failures, as a multiple of those of the service's other endpoints: when all of
-# them are too slow, avoiding some makes it worse.
+# Least number of failures, as a multiple of the mean of the service's other
+# endpoints. If all of them are too slow, avoiding some makes it worse.
 MIN_FACTOR = 2.0
-# After a pause one more failure is enough, for so long.
+# For this time after a pause, one failure is enough to avoid an endpoint again.
 TRIAL_MS = 5_000
 
 
 @attrs.frozen
 class Traffic:
-    """What endpoints of a service usually get.
+    """The usual traffic to the endpoints of a service.
 
     Attributes:
-        calls_each: Calls of one gateway to one endpoint in the window.
-        near: Gateways in this data centre, this one included.
-        gateways: All gateways, this one included.
+        calls_each: Calls from one gateway to one endpoint in the window.
+        near: Number of gateways in this data centre, this one included.
+        gateways: Number of all gateways, this one included.
         endpoints: The ids of the service's endpoints.
     """
 
@@ -44,20 +47,20 @@
 
 @attrs.define
 class _Tally:
-    """The reports about one endpoint: when each came."""
+    """The reports about one endpoint, each with its time of arrival."""
 
     reports: list[tuple[int, FailureNotice]] = attrs.field(factory=list)
     trial_until_ms: int = 0
 
     def add(self, report: FailureNotice, now_ms: int) -> None:
-        """Adds a report, and drops those that count no more."""
+        """Adds a report, and drops those that have left the window."""
         self.reports = [
             found for found in self.reports if now_ms - found[0] <= WINDOW_MS
         ]
         self.reports.append((now_ms, report))
 
     def recent(self, now_ms: int) -> list[FailureNotice]:
-        """Returns the reports that count."""
+        """Returns the reports within the window."""
         return [r for at, r in self.reports if now_ms - at <= WINDOW_MS]
 
 
@@ -65,7 +68,7 @@
     """Counts the failures that all gateways report.
 
     Args:
-        data_center: Where this gateway is.
+        data_center: The data centre of this gateway.
     """
 
     def __init__(self, data_center: str) -> None:
@@ -75,12 +78,12 @@
     def note(
         self, report: FailureNotice, traffic: Traffic, now_ms: int
     ) -> bool:
-        """Notes a report; returns whether its endpoint is to be avoided.
+        """Records a report; returns whether its endpoint is to be avoided.
 
         Args:
-            report: What a gateway has met; this gateway's own count too.
-            traffic: What such endpoints usually get.
-            now_ms: The time.
+            report: A failure at any gateway, this one included.
+            traffic: The usual traffic to the service's endpoints.
+            now_ms: The current time.
         """
         tally = self._tallies.setdefault(report.endpoint, _Tally())
         tally.add(report, now_ms)
@@ -92,14 +95,15 @@
         calls = traffic.calls_each * traffic.near
         if _is_bad(near, calls, usual, is_on_trial):
             return True
-        # What two data centres meet is no fault of the way from one of them.
+        # A failure seen by two data centres is no fault of the network path
+        # from one of them.
         calls = traffic.calls_each * traffic.gateways
         return len({r.data_center for r in everyone}) > 1 and _is_bad(
             everyone, calls, usual, is_on_trial
         )
 
     def _usual(self, endpoints: frozenset[str], now_ms: int) -> float:
-        """Returns how many reports there are of one of these endpoints."""
+        """Returns the mean number of reports per endpoint."""
         if not endpoints:
             return 0.0
         found = sum(
@@ -110,13 +114,16 @@
         return found / len(endpoints)
 
     def note_pause(self, endpoint: str, until_ms: int) -> None:
-        """Notes that an endpoint is avoided, and tried again afterwards."""
+        """Records that an endpoint is avoided until a time.
+
+        Its trial follows the pause.
+        """
         tally = self._tallies.setdefault(endpoint, _Tally())
         tally.reports.clear()
         tally.trial_until_ms = until_ms + TRIAL_MS
 
     def forget(self, endpoint: str) -> None:
-        """Drops an endpoint that is gone."""
+        """Drops the reports about an endpoint that is gone."""
         self._tallies.pop(endpoint, None)
 
 
--- a/rhubarbwinch/gateway/feed.py
+++ b/rhubarbwinch/gateway/feed.py
@@ -1,8 +1,9 @@
-"""Follows the store, and spreads its changes among the gateways.
+"""Watches the store and broadcasts its changes to the other gateways.
 
-A few gateways watch the store, and tell the others; one that hears of no
-watcher with a fresh answer of the store watches by itself. So the number of
-calls does not grow with the number of gateways.
+A few gateways, the watchers, watch the store and broadcast what changes. A
+gateway that knows of no watcher with a fresh response from the store watches
+the store itself. The number of store calls therefore does not grow with the
+number of gateways.
 """
 
 from collections.abc import Callable
@@ -28,52 +29,59 @@
 )
 from rhubarbwinch.stores.store import Change, ChangeBatch, Entry, PollingStore
 
-# The store answers a watch without events after so long. An answer confirms
-# that nothing was missed, so the time bounds how late a cut is noticed.
+# The store ends a watch call without events after this time. Its response
+# confirms that nothing was missed, so this bounds how late a lost connection is
+# noticed.
 WATCH_WAIT_MS = 700
-# Events that come close together share a call of a watcher.
+# A watcher waits this long after a batch, so that changes in quick succession
+# share one watch call.
 COALESCE_MS = 60
-# After a failed call a watcher asks again so soon, since all depend on it. The
-# others double the wait up to a bound: while the store is away, all gateways
-# without a fresh answer ask, and each call is paid for.
+# Watchers retry a failed call after a short, constant delay, since all gateways
+# depend on them. The others back off exponentially up to a bound: in an outage
+# every gateway without a fresh response calls the store, and each call is
+# billed.
 RETRY_MS = 150
 MAX_RETRY_MS = 1_200
-# A watcher that the store has not answered for so long is not relied on: the
-# wait of a watch and the time between two heartbeats, with a little more. A
-# configuration must be in force after two seconds.
+# A watcher whose last response from the store is older than this is not relied
+# on. The bound is the watch timeout plus the heartbeat interval plus a margin.
+# A new configuration must be active within two seconds.
 FRESH_MS = 1_500
 FOLLOWER_POLL_MS = 100
-# A peer that knows more has heard it from the store; what it told may be under
-# way for so long, or is lost.
+# A peer with a higher revision has also broadcast the changes. If they have not
+# arrived after this time, the datagram is taken as lost.
 BEHIND_MS = 150
-# Leases that lapsed while the store was away come back within two seconds of
-# its return; a deletion in that time may be one of them.
+# Leases that expired during an outage are renewed within two seconds after its
+# end. A deletion in this time may be an expired lease of a live endpoint.
 LAPSE_GRACE_MS = 2_500
-# Leases lapse after three heartbeats that failed, more than two seconds; a call
-# that fails is noticed up to a second late.
+# Leases expire after three failed heartbeats, more than two seconds, and a
+# failed call is noticed up to a second late. A shorter failure lets no lease
+# expire.
 MIN_OUTAGE_MS = 800
 
 FETCH_TIMEOUT_MS = 500
-# A batch fits a datagram; what a change takes beside its key and value.
+# A batch must fit into one datagram.
 MAX_BATCH_BYTES = 1_150
 MAX_VALUE_BYTES = 900
+# The encoded size of a change without its key and value.
 CHANGE_BYTES = 40
 
 ChangeHandler = Callable[[list[Change], bool], None]
 
 
 class Feed:
-    """Keeps a replica of the store and tells what changes in it.
+    """Keeps the replica of the store up to date and reports its changes.
 
     Args:
         store: The platform's store.
-        replica: What is known of it.
+        replica: The local replica of the store.
         clock: The source of time.
-        should_watch: Tells whether this gateway watches the store itself.
-        is_watcher: Tells whether the other gateways rely on its watch.
-        peer_revision: Returns the highest revision that a peer knows.
-        share: Tells all peers of a batch.
-        on_change: Takes changes, and whether they came after an outage.
+        should_watch: Returns whether this gateway watches the store itself.
+        is_watcher: Returns whether the other gateways rely on its watch.
+        peer_revision: Returns the highest store revision that a peer has
+            reached.
+        share: Broadcasts a batch to all peers.
+        on_change: Called with changes, and with whether they may result from
+            an outage.
         links: Calls peers.
         link: The link address of this gateway.
     """
@@ -111,7 +119,7 @@
 
     @property
     def confirmed_ms(self) -> int:
-        """How long ago the store last confirmed what is known here."""
+        """Milliseconds since the store last confirmed the replica."""
         if self._confirmed_at is None:
             return 1 << 40
         return self._clock.now() - self._confirmed_at
@@ -123,7 +131,7 @@
 
     @property
     def is_after_outage(self) -> bool:
-        """Whether the store was away until shortly before."""
+        """Whether the store is unavailable or was until recently."""
         if self._failing_since is not None:
             return True
         if self._recovered_at is None:
@@ -131,11 +139,11 @@
         return self._clock.now() - self._recovered_at < LAPSE_GRACE_MS
 
     async def run(self) -> None:
-        """Follows the store until cancelled."""
+        """Watches the store or follows the watchers until cancelled."""
         failures = 0
         while True:
             if self._was_scanned and not self._must_ask():
-                # The peers have fresh answers.
+                # A watcher has a fresh response, so the store is available.
                 self._note_recovery()
                 failures = 0
                 await self._clock.sleep(FOLLOWER_POLL_MS)
@@ -160,11 +168,11 @@
         return min(MAX_RETRY_MS, RETRY_MS << (failures - 1))
 
     def _must_ask(self) -> bool:
-        """Tells whether this gateway asks the store now."""
+        """Returns whether this gateway has to call the store now."""
         return self._should_watch() or self._is_behind()
 
     def _is_behind(self) -> bool:
-        """Tells whether a datagram of a peer seems to be lost."""
+        """Returns whether a datagram of a peer seems to be lost."""
         if self._peer_revision() <= self._replica.revision:
             self._behind_since = None
             return False
@@ -174,7 +182,7 @@
         return now - self._behind_since >= BEHIND_MS
 
     async def _scan(self) -> None:
-        """Reads everything; after a gap in the history, or at the start."""
+        """Reads all entries, at the start or after a gap in the history."""
         listing = await self._store.scan("")
         self._note_answer()
         before = self._replica.revision
@@ -214,7 +222,7 @@
             )
 
     def take_batch(self, batch: SharedBatch) -> None:
-        """Takes a batch that a peer tells."""
+        """Handles a batch that a peer has broadcast."""
         left_out = [c for c in batch.changes if c.bytes_left_out]
         if left_out:
             self._missing.append((batch, left_out))
@@ -227,7 +235,8 @@
             ChangeBatch(batch.after, batch.revision, changes)
         )
         if taken is None:
-            # What lies between is not known; the changes themselves are.
+            # The changes between the two revisions are unknown and need a
+            # scan. The changes of this batch can be applied already.
             events.FEED_GAP.log(
                 sender=batch.sender,
                 known=self._replica.revision,
@@ -241,7 +250,7 @@
             self._on_change(taken, batch.after_outage)
 
     async def run_fetches(self) -> None:
-        """Fetches values that were too large for a batch, until cancelled."""
+        """Fetches values that were too large for batches, until cancelled."""
         while True:
             await self._has_missing.wait()
             self._has_missing = anyio.Event()
@@ -252,9 +261,9 @@
     async def _fetch(
         self, batch: SharedBatch, left_out: list[SharedChange]
     ) -> None:
-        """Completes a batch by the values that its sender hands over."""
-        # A key that changed more than once is told once for each change; only
-        # its newest value can be had.
+        """Fetches a batch's missing values from its sender and applies it."""
+        # A key that changed more than once has an item for each change, but
+        # the sender holds only the newest value.
         changes = {c.key: _change(c) for c in batch.changes}
         newest = {shared.key: shared for shared in left_out}
         for key, shared in newest.items():
@@ -264,7 +273,7 @@
                 continue
             found = await self._fetch_value(batch.sender, shared)
             if found is None:
-                # The next round of this gateway reads the store itself.
+                # The next iteration of `run` scans the store.
                 self._was_scanned = False
                 return
             changes[key] = _change(found)
@@ -285,14 +294,14 @@
         return found if found.revision >= shared.revision else None
 
     async def answer_value(self, call: ValueCall) -> SharedChange:
-        """Hands a peer the newest value of a key."""
+        """Returns the newest value of a key to a peer."""
         entry = self._replica.get(call.key)
         if entry is None:
             return SharedChange(call.key, 0)
         return SharedChange(entry.key, entry.revision, entry.value)
 
     def take_snapshot(self, snapshot: Snapshot) -> None:
-        """Takes all that a peer knows; for a gateway without the store."""
+        """Merges a peer's snapshot, for a start without the store."""
         changes = [_change(shared) for shared in snapshot.changes]
         taken = self._replica.merge_batch(
             ChangeBatch(0, snapshot.revision, changes)
@@ -301,7 +310,7 @@
             self._on_change(taken, False)
 
     async def answer_snapshot(self, call: SnapshotCall) -> Snapshot:
-        """Tells a peer everything that is known."""
+        """Returns all known entries to a peer."""
         entries = self._replica.entries()
         return Snapshot(
             self._replica.revision,
@@ -331,18 +340,18 @@
 
 
 def split_batch(batch: ChangeBatch, changes: list[Change]) -> list[ChangeBatch]:
-    """Returns a batch in parts that fit a message, each after the one before.
+    """Splits a batch into consecutive parts that each fit into a message.
 
     Args:
-        batch: Tells the revisions.
-        changes: What is told of it.
+        batch: The batch, for its revisions.
+        changes: The changes of the batch to be sent.
     """
     ordered = sorted(changes, key=lambda change: change.revision)
     parts: list[list[Change]] = [[]]
     size = 0
     for change in ordered:
         bytes_here = _size(change)
-        # Changes of one transaction have one revision and stay together.
+        # Changes of one transaction share a revision and stay together.
         is_same = parts[-1] and parts[-1][-1].revision == change.revision
         if parts[-1] and size + bytes_here > MAX_BATCH_BYTES and not is_same:
             parts.append([])
@@ -360,7 +369,7 @@
 
 
 def _size(change: Change) -> int:
-    """Returns about how many bytes a change takes in a message."""
+    """Returns the approximate encoded size of a change."""
     value = change.entry.value if change.entry is not None else b""
     told = len(value) if len(value) <= MAX_VALUE_BYTES else 0
     return CHANGE_BYTES + len(change.key) + told
--- a/rhubarbwinch/gateway/fleet.py
+++ b/rhubarbwinch/gateway/fleet.py
@@ -1,29 +1,35 @@
-"""The endpoints that a gateway believes in, from the store's entries.
+"""The endpoints that a gateway knows, from the store's entries.
 
-Pure code. It answers engines that leave with or without a word, entries that
-lapse while the store is away, and addresses that are used again.
+Pure code. It handles engines that leave with or without a notice, entries
+whose leases expire during a store outage, and ids or addresses that are
+reused.
 """
 
 import attrs
 
 from rhubarbwinch.gateway.endpoints import Endpoint, EndpointState
 
-# A lapsed entry that has not come back after this time names an endpoint that
-# is gone: live ones are back two seconds after the store is.
+# Live endpoints renew expired entries within two seconds after the end of a
+# store outage. An entry that is still missing after this time belongs to an
+# endpoint that is gone.
 LAPSE_MS = 2_300
-# An endpoint without an entry goes on for a while after it was removed.
+# An endpoint still serves its open requests for a while after its entry was
+# removed, so its state is kept for this time.
 KEEP_GONE_MS = 60_000
 
 
 @attrs.define
 class Known:
-    """An endpoint and what is believed of it.
+    """An endpoint with its known state.
 
     Attributes:
-        endpoint: Its last registration that could be read.
-        is_leaving: Whether it takes no new work.
-        left_ms: When its leaving became known; 0 while it stays.
-        warm_at_ms: When it is no longer slow after its start.
+        endpoint: Its last registration that could be decoded.
+        is_leaving: Whether it is shutting down and accepts no new requests.
+        left_ms: When it became known that it leaves; 0 while it stays.
+        warm_at_ms: When its warm-up ends.
+        lapse_due_ms: When the endpoint counts as gone because its entry expired
+            in a store outage and was not renewed; 0 if the entry is there.
+        is_readable: Whether its newest entry could be decoded.
     """
 
     endpoint: Endpoint
@@ -35,22 +41,22 @@
 
     @property
     def takes_work(self) -> bool:
-        """Whether new requests may go there."""
+        """Whether new requests may be placed at the endpoint."""
         return not self.is_leaving and self.is_readable
 
 
 class Fleet:
-    """Endpoints by id."""
+    """The known endpoints by id."""
 
     def __init__(self) -> None:
         self._known: dict[str, Known] = {}
 
     def get(self, endpoint_id: str) -> Known | None:
-        """Returns what is believed of an endpoint, or None."""
+        """Returns the known state of an endpoint, or None."""
         return self._known.get(endpoint_id)
 
     def of_service(self, service: str) -> list[Known]:
-        """Returns the endpoints of a service that take new requests."""
+        """Returns the endpoints of a service that accept new requests."""
         return [
             known
             for known in self._known.values()
@@ -58,7 +64,7 @@
         ]
 
     def put(self, endpoint: Endpoint, now_ms: int) -> bool:
-        """Takes a registration; returns whether its endpoint now leaves."""
+        """Applies a registration; returns whether its endpoint now leaves."""
         known = self._known.get(endpoint.id)
         is_new = (
             known is None
@@ -74,19 +80,19 @@
         if endpoint.state is EndpointState.DRAINING:
             return self._leave(known, now_ms)
         if known.is_leaving:
-            # It was taken as gone, but its entry is back.
+            # The endpoint was given up, but its entry has been renewed.
             known.is_leaving = False
             known.left_ms = 0
         return False
 
     def note_unreadable(self, endpoint_id: str) -> None:
-        """Takes an entry that can't be read: it names no endpoint to use."""
+        """Excludes an endpoint whose newest entry can't be decoded."""
         known = self._known.get(endpoint_id)
         if known is not None:
             known.is_readable = False
 
     def remove(self, endpoint_id: str, now_ms: int, after_outage: bool) -> bool:
-        """Takes a deletion; returns whether the endpoint begins to leave."""
+        """Applies a deletion; returns whether the endpoint now leaves."""
         known = self._known.get(endpoint_id)
         if known is None:
             return False
@@ -98,22 +104,28 @@
     def mark_leaving(
         self, endpoint_id: str, started_ms: int, now_ms: int
     ) -> bool:
-        """Takes an engine's own word; returns whether it begins to leave."""
+        """Applies an engine's own notice; returns whether it now leaves."""
         known = self._known.get(endpoint_id)
         if known is None or known.endpoint.started_ms != started_ms:
             return False
         return self._leave(known, now_ms)
 
     def all_leaving(self) -> list[Known]:
-        """Returns the endpoints that take no new work and are not forgotten."""
+        """Returns the leaving endpoints whose state is still kept."""
         return [known for known in self._known.values() if known.is_leaving]
 
     def all_taking_work(self) -> list[Known]:
-        """Returns the endpoints of all services that take new requests."""
+        """Returns the endpoints of all services that accept new requests."""
         return [known for known in self._known.values() if known.takes_work]
 
     def expire(self, now_ms: int) -> list[Known]:
-        """Returns the endpoints whose lapsed entries did not come back."""
+        """Gives up endpoints whose expired entries were not renewed.
+
+        Endpoints that left longer ago than `KEEP_GONE_MS` are dropped.
+
+        Returns:
+            The endpoints given up by this call.
+        """
         due = [
             known
             for known in self._known.values()
--- a/rhubarbwinch/gateway/hops.py
+++ b/rhubarbwinch/gateway/hops.py
@@ -1,4 +1,4 @@
-"""Spans of a request's hops, if the program was told where to send them."""
+"""Makes the tracing spans of a request, if the program exports traces."""
 
 from contextlib import AbstractContextManager, nullcontext
 from typing import Any, Protocol
@@ -10,27 +10,27 @@
 
 
 class Tracer(Protocol):
-    """Makes spans, as the module `rhubarbwinch.shared.tracing` does."""
+    """Makes spans; `rhubarbwinch.shared.tracing` is the implementation."""
 
     def span(
         self, name: str, traceparent: str | None = None, **attributes: Any
     ) -> AbstractContextManager[Any]:
-        """Runs a block in a span; spans begun in it are its children."""
+        """Runs a block in a span; spans started in it are its children."""
         ...
 
     def current(self) -> str:
-        """Returns the context of the current span; empty without one."""
+        """Returns the traceparent of the current span; empty without one."""
         ...
 
     def close(self) -> None:
-        """Sends what is left."""
+        """Exports the remaining spans."""
         ...
 
 
 def request_span(
     tracer: Tracer | None, headers: Headers, request_id: str
 ) -> AbstractContextManager[Any]:
-    """Returns the span of a caller's request, a child of the caller's own."""
+    """Returns the span of a caller's request, a child of the caller's span."""
     if tracer is None:
         return nullcontext()
     found = [v.decode("latin-1") for n, v in headers if _is_parent(n)]
@@ -40,14 +40,14 @@
 def send_span(
     tracer: Tracer | None, endpoint_id: str
 ) -> AbstractContextManager[Any]:
-    """Returns the span of a send, from its start to the answer's head."""
+    """Returns the span of an attempt, from its start to the response head."""
     if tracer is None:
         return nullcontext()
     return tracer.span("endpoint", endpoint=endpoint_id)
 
 
 def with_parent(tracer: Tracer | None, headers: Headers) -> Headers:
-    """Returns headers of a send that name the current span as its parent."""
+    """Returns the headers with the current span as the parent."""
     if tracer is None:
         return headers
     kept = [(n, v) for n, v in headers if not _is_parent(n)]
--- a/rhubarbwinch/gateway/loads.py
+++ b/rhubarbwinch/gateway/loads.py
@@ -1,8 +1,8 @@
-"""What all gateways together have running at each endpoint.
+"""Counts the load of all gateways at each endpoint.
 
-Every gateway tells the others what it has placed as soon as it places it, so
-all decide from nearly the same count without asking anyone. It answers bursts
-at several gateways: without a common count they choose the same endpoints.
+Every gateway announces a placed request to the others at once, so all decide
+from nearly the same counts without a query. This handles bursts that reach
+several gateways: without shared counts they would choose the same endpoints.
 """
 
 import attrs
@@ -10,19 +10,20 @@
 from rhubarbwinch.gateway.endpoints import Endpoint
 from rhubarbwinch.gateway.messages import EndpointLoad
 
-# Without news of a gateway for so long, its requests are taken as ended: it
-# has died, or sends no more than those it has.
+# The loads of a gateway that is silent for this time are dropped. It has died,
+# or at least announces no further requests.
 PEER_SILENCE_MS = 4_000
 
 
 @attrs.define
 class Load:
-    """A sum of requests at one endpoint.
+    """The sum of requests at one endpoint.
 
     Attributes:
-        runs: Requests, copies of their memory included.
-        tokens: Memory that they are expected to need, in tokens.
-        prefill: Prompt tokens that are still to be read.
+        runs: The number of requests, migrated copies included.
+        tokens: The KV cache that requests and copies are expected to need, in
+            tokens.
+        prefill: Prompt tokens whose prefill is pending.
     """
 
     runs: int = 0
@@ -30,7 +31,7 @@
     prefill: int = 0
 
     def add(self, runs: int, tokens: int, prefill: int) -> None:
-        """Adds requests, or takes them off."""
+        """Adds requests, or subtracts them by negative numbers."""
         self.runs += runs
         self.tokens += tokens
         self.prefill += prefill
@@ -38,7 +39,7 @@
 
 @attrs.define
 class _Told:
-    """What a peer has told last."""
+    """The loads that a peer has announced last."""
 
     sequence: tuple[int, int]
     at_ms: int
@@ -46,10 +47,10 @@
 
 
 class LoadBook:
-    """Counts what runs where.
+    """Counts the requests of this gateway and its peers at each endpoint.
 
     Attributes:
-        version: Changes with what this gateway has to tell its peers at once.
+        version: Increases with each change that peers must receive at once.
     """
 
     def __init__(self) -> None:
@@ -62,37 +63,38 @@
     def add(
         self, endpoint: str, tokens: int, prefill: int = 0, runs: int = 1
     ) -> None:
-        """Notes a request that this gateway places.
+        """Counts a request that this gateway places.
 
         Args:
             endpoint: The endpoint's id.
-            tokens: Memory that the request is expected to need, in tokens.
-            prefill: Prompt tokens that are to be read.
-            runs: 0 for a copy that occupies memory only.
+            tokens: The KV cache that the request is expected to need, in
+                tokens.
+            prefill: Prompt tokens to be prefilled.
+            runs: 0 for a standby's replica, which only occupies KV cache.
         """
         self._own.setdefault(endpoint, Load()).add(runs, tokens, prefill)
         self.version += 1
 
     def add_local(self, endpoint: str, runs: int) -> None:
-        """Notes plain calls, or their end; peers are not told of them.
+        """Counts plain calls, or subtracts ended ones.
 
-        A plain call ends in about the time in which peers could take it into
-        account.
+        Plain calls are not announced to peers, since a plain call ends in
+        about the time that an announcement takes to have an effect.
         """
         self._local[endpoint] = self._local.get(endpoint, 0) + runs
 
     def end_prefill(self, endpoint: str, prefill: int) -> None:
-        """Notes that a request's prompt has been read."""
+        """Records that a request's prefill has ended."""
         load = self._own.get(endpoint)
         if load is not None:
-            # Peers hear of it with the next heartbeat: a prompt is read in
-            # less time than a message for it would save.
+            # Peers receive this with the next regular heartbeat: prefill is so
+            # short that an extra message would not pay.
             load.prefill -= prefill
 
     def remove(
         self, endpoint: str, tokens: int, prefill: int = 0, runs: int = 1
     ) -> None:
-        """Notes the end of a request that `add` noted."""
+        """Subtracts a request that `add` has counted."""
         load = self._own.get(endpoint)
         if load is None:
             return
@@ -102,14 +104,14 @@
         self.version += 1
 
     def own(self) -> list[EndpointLoad]:
-        """Returns what this gateway has running, for its peers."""
+        """Returns the loads of this gateway, for its peers."""
         return [
             EndpointLoad(name, load.runs, load.tokens, load.prefill)
             for name, load in self._own.items()
         ]
 
     def own_runs(self, endpoint: str) -> int:
-        """Returns how many requests this gateway has at an endpoint."""
+        """Returns the number of this gateway's requests at an endpoint."""
         load = self._own.get(endpoint)
         return load.runs if load is not None else 0
 
@@ -120,7 +122,7 @@
         loads: list[EndpointLoad],
         now_ms: int,
     ) -> None:
-        """Takes what a peer tells; an older message than before is ignored."""
+        """Replaces the loads of a peer; an outdated message is ignored."""
         told = self._told.get(peer)
         if told is not None and told.sequence >= sequence:
             return
@@ -131,7 +133,7 @@
             self._count_peer(loads, 1)
 
     def forget_silent(self, now_ms: int) -> None:
-        """Drops what gateways have told that are silent since."""
+        """Drops the loads of gateways that have become silent."""
         silent = [
             peer
             for peer, told in self._told.items()
@@ -141,7 +143,7 @@
             self._count_peer(self._told.pop(peer).loads, -1)
 
     def total(self, endpoint: str) -> Load:
-        """Returns what all gateways have running at an endpoint."""
+        """Returns the load of all gateways at an endpoint."""
         found = Load(self._local.get(endpoint, 0))
         for load in (self._own.get(endpoint), self._peers.get(endpoint)):
             if load is not None:
@@ -149,7 +151,7 @@
         return found
 
     def _count_peer(self, loads: list[EndpointLoad], sign: int) -> None:
-        """Adds what a peer has told to the sum of all, or takes it off."""
+        """Adds a peer's loads to the sum of all peers, or subtracts them."""
         for load in loads:
             here = self._peers.setdefault(load.endpoint, Load())
             here.add(sign * load.runs, sign * load.tokens, sign * load.prefill)
@@ -159,13 +161,13 @@
 
 @attrs.define(eq=False)
 class Room:
-    """Room at an engine, counted for all gateways until it is released.
+    """Capacity reserved at an engine, counted by all gateways until released.
 
     Attributes:
         endpoint: The engine.
-        tokens: The memory that is expected to be needed, in tokens.
-        prefill: Prompt tokens that are still to be read.
-        runs: 0 for a copy that occupies memory only.
+        tokens: The KV cache expected to be needed, in tokens.
+        prefill: Prompt tokens whose prefill is pending.
+        runs: 0 for a standby's replica, which only occupies KV cache.
     """
 
     endpoint: Endpoint
@@ -176,19 +178,19 @@
     _is_held: bool = False
 
     def hold(self) -> "Room":
-        """Counts the room."""
+        """Counts the reservation; returns it."""
         self._loads.add(self.endpoint.id, self.tokens, self.prefill, self.runs)
         self._is_held = True
         return self
 
     def end_prefill(self) -> None:
-        """Notes that the prompt has been read."""
+        """Records that the prefill has ended."""
         if self._is_held and self.prefill:
             self._loads.end_prefill(self.endpoint.id, self.prefill)
             self.prefill = 0
 
     def release(self) -> None:
-        """Counts the room no more."""
+        """Releases the reservation, if it is held."""
         if self._is_held:
             self._is_held = False
             self._loads.remove(
--- a/rhubarbwinch/gateway/messages.py
+++ b/rhubarbwinch/gateway/messages.py
@@ -1,17 +1,18 @@
-"""Messages between gateways."""
+"""The messages between gateways, as attrs classes."""
 
 import attrs
 
 
 @attrs.frozen
 class EndpointLoad:
-    """What one gateway has running at one endpoint.
+    """One gateway's load at one endpoint.
 
     Attributes:
         endpoint: The endpoint's id.
-        runs: Requests, copies of their memory included.
-        tokens: Memory that they are expected to need, in tokens.
-        prefill: Prompt tokens that are still to be read.
+        runs: The number of requests, migrated copies included.
+        tokens: The KV cache that requests and copies are expected to need, in
+            tokens.
+        prefill: Prompt tokens whose prefill is pending.
     """
 
     endpoint: str
@@ -22,11 +23,11 @@
 
 @attrs.frozen
 class PeerAddress:
-    """Where a gateway is reached by others.
+    """The addresses at which other gateways reach a gateway.
 
     Attributes:
-        link: Where it answers calls.
-        broadcast: Where its broadcasts are heard.
+        link: The address for calls.
+        broadcast: The address for broadcast datagrams.
     """
 
     link: str
@@ -35,22 +36,23 @@
 
 @attrs.frozen
 class Heartbeat:
-    """Sent to every peer a few times a second and after each change.
+    """A gateway's state, broadcast periodically and after each change.
 
     Attributes:
         name: The sender's name.
         incarnation: The sender's number, new at each start.
         sequence: Counts the sender's heartbeats; a lower one is older.
-        link: Where the sender answers calls.
-        broadcast: Where the sender's broadcasts are heard.
-        front: Where callers connect to the sender.
-        data_center: Where the sender is.
-        is_serving: Whether it takes new work.
-        is_leaving: Whether it was told to stop.
-        revision: Up to here it knows the store's changes.
-        confirmed_ms: How long ago the store confirmed that to it.
-        is_store_failing: Whether its last call to the store failed.
-        loads: What it has running.
+        link: The sender's address for calls.
+        broadcast: The sender's address for broadcast datagrams.
+        front: The sender's address for callers.
+        data_center: The sender's data centre.
+        is_serving: Whether the sender accepts new requests.
+        is_leaving: Whether the sender is shutting down.
+        revision: The store revision up to which the sender knows all changes.
+        confirmed_ms: Milliseconds since the store confirmed that revision to
+            the sender.
+        is_store_failing: Whether the sender's last call to the store failed.
+        loads: The sender's loads at endpoints.
     """
 
     name: str
@@ -69,7 +71,7 @@
 
     @property
     def address(self) -> PeerAddress:
-        """Where the sender is reached."""
+        """The sender's addresses for calls and broadcasts."""
         return PeerAddress(self.link, self.broadcast)
 
 
@@ -80,7 +82,7 @@
     Attributes:
         key: The key.
         revision: The revision of the change.
-        value: The value, if it fits the message.
+        value: The value, if it fits into the message.
         bytes_left_out: The size of a value that does not fit.
     """
 
@@ -92,15 +94,16 @@
 
 @attrs.frozen
 class SharedBatch:
-    """Changes of the store that one gateway tells all others.
+    """Changes of the store that one gateway broadcasts to all others.
 
     Attributes:
         sender: The sender's link address.
         after: The revision before the first change.
-        revision: Up to here the changes are complete.
-        changes: In the order of their revisions.
-        after_outage: Whether the sender had lost the store shortly before, so
-            that deletions may be of leases that could not be renewed.
+        revision: The revision up to which the changes are complete.
+        changes: The changes in the order of their revisions.
+        after_outage: Whether the store was unavailable to the sender until
+            recently, so that deletions may come from leases that could not be
+            renewed.
     """
 
     sender: str
@@ -112,21 +115,21 @@
 
 @attrs.frozen
 class ValueCall:
-    """Asks for the newest value of a key."""
+    """Requests the newest value of a key."""
 
     key: str
 
 
 @attrs.frozen
 class SnapshotCall:
-    """Asks for everything that a gateway knows of the store."""
+    """Requests a gateway's whole replica of the store."""
 
     sender: str
 
 
 @attrs.frozen
 class CrashNotice:
-    """Tells that an endpoint crashed under a request.
+    """Reports that an endpoint crashed while serving a request.
 
     Attributes:
         request: The fingerprint of the request.
@@ -139,11 +142,11 @@
 
 @attrs.frozen
 class FailureNotice:
-    """Tells that an endpoint failed a request.
+    """Reports that an endpoint failed a request.
 
     Attributes:
         gateway: The sender's name.
-        data_center: Where the sender is.
+        data_center: The sender's data centre.
         endpoint: The endpoint's id.
     """
 
@@ -154,11 +157,12 @@
 
 @attrs.frozen
 class LeavingNotice:
-    """Tells that an engine has said by itself that it leaves.
+    """Reports that an engine has announced that it will shut down.
 
     Attributes:
         endpoint: The engine's id.
-        started_ms: Unix time of the start that is meant.
+        started_ms: Unix time of the engine's start; tells this start from
+            others under the same id.
     """
 
     endpoint: str
@@ -167,13 +171,13 @@
 
 @attrs.frozen
 class Snapshot:
-    """Everything that a gateway knows of the store.
+    """A gateway's whole replica of the store.
 
     Attributes:
-        revision: Up to here the changes are complete.
+        revision: The revision up to which the changes are complete.
         changes: The newest change of each key.
-        leaving: Engines that leave, also those of which the store does not
-            know it.
+        leaving: The leaving engines, including those whose notice has not
+            reached the store.
     """
 
     revision: int
--- a/rhubarbwinch/gateway/moving.py
+++ b/rhubarbwinch/gateway/moving.py
@@ -1,10 +1,11 @@
-"""How a generation is carried off an engine that leaves: pure decisions.
+"""Chooses migration targets and standby engines: pure decisions.
 
-It answers engines that leave about two seconds after their notice with several
-runs on them. Copying a run takes some hundred milliseconds of the engine's
-link, one after another, and the run goes on meanwhile. It is not stopped: when
-its engine ends, it goes on from the copy, and only what came after the copy is
-read again, some milliseconds of work.
+Leaving engines shut down about two seconds after their notice, with several
+runs on them. Copying the KV cache of a run takes some hundred milliseconds of
+the engine's network link, and the runs are copied one after another. A run is
+not stopped while it is copied. When its engine shuts down, the run resumes at
+the target from the copy; only tokens generated after the copy need prefill,
+which takes some milliseconds.
 """
 
 import random
@@ -12,25 +13,27 @@
 from rhubarbwinch.gateway.endpoints import Endpoint
 from rhubarbwinch.gateway.placing import FAILING_RUNS, Candidate
 
-# Moves may fill an engine further than new work: the run has been paid for.
+# Migrations may fill an engine further than new generations, since the work
+# done for a run would be lost.
 MOVE_MEMORY_SHARE = 1.0
-# An engine that has failed more often lately is no place for a copy.
+# An engine with a larger share of recent failures is no migration target.
 MAX_FAILURE_SHARE = 0.25
-# An engine that follows runs of others keeps room for work of its own: a copy
-# is a precaution. The same holds for all engines together: a burst, or the
-# loss of some, needs the memory for work.
+# Replicas of runs are a precaution, so a standby engine keeps KV cache free for
+# runs of its own. The second bound holds for all engines together: a burst or
+# the loss of engines needs their KV cache for runs.
 BACKUP_MEMORY_SHARE = 0.7
 BACKUP_POOL_SHARE = 0.5
-# A copy to another data centre takes twice as long, and every run on the
-# leaving engine waits for it, so it has to be much emptier there.
+# Cost in runs of a target in another data centre. A copy to there takes twice
+# as long, and all other runs on the leaving engine wait for it, so such a
+# target must have a much lower load.
 CROSS_RUNS = 4.0
-# What came after the copy is read again before the run goes on, so the copy is
-# kept young: it takes some milliseconds of the link, and the pause of the
-# stream stays short.
+# Tokens generated after the copy need prefill before the run resumes. Frequent
+# refreshes keep the pause of the stream short and take only some milliseconds
+# of the network link.
 REFRESH_MS = 400
-# A copy that took long is behind by what its run has made meanwhile. From about
-# so many events on the pause may pass what routes allow, so that it is renewed
-# soon.
+# A copy that took long lacks the events that its run has made meanwhile. With
+# more missing events than this, the pause could exceed the bound of a route, so
+# the copy is refreshed early.
 MAX_EVENTS_BEHIND = 10
 CATCH_UP_MS = 40
 
@@ -42,7 +45,7 @@
     rng: random.Random,
     memory_share: float = MOVE_MEMORY_SHARE,
 ) -> Candidate | None:
-    """Returns the engine that takes over a run, or None without room."""
+    """Returns the migration target of a run, or None without capacity."""
     fitting = [
         c
         for c in candidates
@@ -59,12 +62,12 @@
     tokens: int,
     rng: random.Random,
 ) -> Candidate | None:
-    """Returns the engine that follows a run, or None when memory is scarce.
+    """Returns the standby engine of a run, or None if KV cache is scarce.
 
     Args:
-        candidates: The engines that take new work, the run's own left out.
-        source: The engine that runs it.
-        tokens: The memory that the run is expected to need, in tokens.
+        candidates: The engines that accept new requests, without the run's own.
+        source: The run's engine.
+        tokens: The KV cache that the run is expected to need, in tokens.
         rng: Breaks ties.
     """
     used = sum(c.load.tokens for c in candidates) + tokens
@@ -75,10 +78,10 @@
 
 
 def refresh_after_ms(events_behind: int) -> int:
-    """Returns how long a copy is kept before it is renewed.
+    """Returns after how long a copy is refreshed.
 
     Args:
-        events_behind: Events that its run has made since it was taken.
+        events_behind: Events that the run has made since the copy was taken.
     """
     return CATCH_UP_MS if events_behind > MAX_EVENTS_BEHIND else REFRESH_MS
 
--- a/rhubarbwinch/gateway/outage.py
+++ b/rhubarbwinch/gateway/outage.py
@@ -1,8 +1,9 @@
-"""What a gateway does while the store can't tell which engines leave.
+"""Polls engines for shutdown notices while the store is unavailable.
 
-It answers outages in which engines go on leaving: their notices do not reach
-the store. Each engine is asked by one gateway, which tells the others. After
-the outage those are asked whose entries have lapsed: some of them leave.
+During a store outage the notices of leaving engines do not reach the store.
+Each engine is polled by one gateway, which broadcasts a notice to the others.
+After the outage, engines whose entries have expired are polled, since some of
+them are leaving.
 """
 
 from collections.abc import Callable
@@ -15,27 +16,28 @@
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import EndpointError
 
-# Longer than the usual time between two answers of the store, when nothing is
-# known to fail, and when a gateway's call has failed.
+# The store counts as unavailable if its newest response is older than this: the
+# first bound holds if no call has failed, the second if a gateway's call has
+# failed. Both exceed the usual time between two responses.
 STALE_MS = 1_700
 STALE_AND_FAILING_MS = 750
-# Engines report with a lag of some hundred milliseconds and leave two seconds
-# after they know; asking costs the engine a little.
+# An engine's report lags by some hundred milliseconds, and the engine shuts
+# down two seconds after its notice. Polling puts a small load on the engine.
 ASK_MS = 300
 CHECK_MS = 200
 
 
 class OutageWatch:
-    """Asks engines whether they leave while the store can't tell.
+    """Detects store outages and polls engines for shutdown notices.
 
     Args:
         clock: The source of time.
         calls: Calls engines.
-        stale_ms: Returns how old the newest answer of the store is.
-        is_failing: Tells whether the store fails any gateway's calls.
-        engines: Returns the engines that this gateway asks in an outage.
-        lapsed: Returns those of them whose entries have lapsed.
-        on_leaving: Takes an engine that leaves.
+        stale_ms: Returns the age of the newest response from the store.
+        is_failing: Returns whether the store fails the calls of all watchers.
+        engines: Returns the engines that this gateway polls in an outage.
+        lapsed: Returns those of the engines whose entries have expired.
+        on_leaving: Called with an engine that leaves.
     """
 
     def __init__(
@@ -58,7 +60,7 @@
         self._is_outage = False
 
     async def run(self) -> None:
-        """Watches until cancelled."""
+        """Checks for outages and polls engines until cancelled."""
         while True:
             stale_ms = self._stale_ms()
             limit = STALE_AND_FAILING_MS if self._is_failing() else STALE_MS
--- a/rhubarbwinch/gateway/peers.py
+++ b/rhubarbwinch/gateway/peers.py
@@ -1,4 +1,4 @@
-"""The other gateways: who they are, who serves, and what each has running."""
+"""Tracks the other gateways and their state by heartbeats."""
 
 from collections.abc import Callable
 
@@ -21,20 +21,21 @@
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import CodecError, LinkError
 
-# All gateways hear all heartbeats, so their number grows with the square of
-# the fleet. A change of load or of state is told at once, by a heartbeat.
+# Every gateway receives the heartbeats of all others, so the number of messages
+# grows with the square of the number of gateways. A change of load or state is
+# announced at once by an extra heartbeat.
 HEARTBEAT_MS = 700
-# Three heartbeats, of which one may be lost.
+# Three heartbeat intervals, so that a lost heartbeat makes no peer look dead.
 ALIVE_MS = 2_200
-# A peer that is silent for so long is no longer called; its registration in
-# the store or a heartbeat of it brings it back.
+# A peer that is silent for this time is forgotten. Its registration in the
+# store or a new heartbeat adds it again.
 FORGET_MS = 30_000
-# Changes of load that come together share a heartbeat.
+# Load changes within this time share a heartbeat.
 COALESCE_MS = 3
-# Gateways that watch the store for the others; one more than is needed.
+# Number of gateways that watch the store for the others; one is a spare.
 WATCHERS = 2
 SNAPSHOT_TIMEOUT_MS = 1_000
-# Longer than any process lives, in milliseconds.
+# Longer than the lifetime of any process.
 NEVER_MS = 1 << 40
 
 
@@ -43,10 +44,10 @@
     """Another gateway.
 
     Attributes:
-        address: Where it is reached.
+        address: The addresses of its links and broadcasts.
         added_ms: When its address became known.
         last: Its last heartbeat, or None.
-        heard_ms: When that came.
+        heard_ms: When the last heartbeat arrived.
         was_alive: Whether it was alive at the last check.
     """
 
@@ -58,15 +59,16 @@
 
 
 class Peers:
-    """Sends heartbeats to all other gateways and keeps what they tell.
+    """Sends heartbeats to all other gateways and keeps their last ones.
 
     Args:
-        me: The first heartbeat of this gateway; later ones repeat its names.
+        me: A heartbeat with the name and addresses of this gateway, the
+            template for all that it sends.
         broadcast: Sends to all peers.
         links: Calls single peers.
         clock: The source of time.
-        loads: Takes what peers have running.
-        describe: Completes a heartbeat by what changes.
+        loads: Provides the loads of this gateway and takes those of peers.
+        describe: Returns a heartbeat with the current state filled in.
     """
 
     def __init__(
@@ -118,27 +120,27 @@
         self._broadcast.add(address.broadcast)
 
     def tell_loads(self) -> None:
-        """Sends a heartbeat soon, if what runs here has changed."""
+        """Schedules a heartbeat if the loads have changed since the last."""
         if self._loads.version != self._told_version:
             self.tell()
 
     def tell(self) -> None:
-        """Sends a heartbeat soon."""
+        """Schedules a heartbeat within a few milliseconds."""
         self._wakeup.set()
 
     def share(self, batch: SharedBatch) -> None:
-        """Tells all peers of changes in the store."""
+        """Broadcasts changes of the store to all peers."""
         self._broadcast.send(batch)
 
     def report_failure(self, endpoint: str) -> FailureNotice:
-        """Tells all peers of a failed request; returns what it tells."""
+        """Broadcasts a failed request to all peers; returns the notice."""
         me = self._me
         notice = FailureNotice(me.name, me.data_center, endpoint)
         self._broadcast.send(notice)
         return notice
 
     def take(self, heartbeat: Heartbeat) -> None:
-        """Takes a peer's heartbeat."""
+        """Handles a peer's heartbeat."""
         if heartbeat.link == self._me.link:
             return
         self.add(heartbeat.address)
@@ -161,7 +163,7 @@
             )
 
     def fronts(self) -> list[str]:
-        """Returns the addresses of the other gateways that take callers."""
+        """Returns the caller-facing addresses of the serving peers."""
         return sorted(
             heartbeat.front
             for heartbeat in self._alive()
@@ -170,19 +172,20 @@
 
     @property
     def count(self) -> int:
-        """How many other gateways there are, leaving ones included."""
+        """The number of live peers, leaving ones included."""
         return len(self._alive())
 
     @property
     def near_count(self) -> int:
-        """How many other gateways there are in this data centre."""
+        """The number of live peers in this data centre."""
         here = self._me.data_center
         return sum(h.data_center == here for h in self._alive())
 
     def is_watcher(self) -> bool:
-        """Tells whether this gateway watches the store for all.
+        """Returns whether this gateway watches the store for all others.
 
-        The first of the gateways by a hash of their names do.
+        Rendezvous hashing of the names selects the watchers among the live
+        gateways that are not leaving.
         """
         return self._me.name in self._watchers()
 
@@ -191,15 +194,16 @@
         return rendezvous.ranking("feed", [*names, self._me.name])[:WATCHERS]
 
     def should_watch(self) -> bool:
-        """Tells whether this gateway watches the store itself.
+        """Returns whether this gateway has to watch the store itself.
 
-        Watchers do, and each whose peers have no fresh answer of the store.
+        Watchers do, and so does a gateway none of whose peers has a fresh
+        response from the store.
         """
         return self.is_watcher() or self.confirmed_ms > FRESH_MS
 
     @property
     def confirmed_ms(self) -> int:
-        """How long ago the store confirmed what any peer knows of it."""
+        """Milliseconds since the store last confirmed any peer's replica."""
         now = self._clock.now()
         return min(
             (
@@ -212,28 +216,37 @@
 
     @property
     def revision(self) -> int:
-        """The highest revision of the store that a living peer knows."""
+        """The highest store revision that a live peer has reached."""
         return max((h.revision for h in self._alive()), default=0)
 
     def is_store_failing(self, fails_here: bool) -> bool:
-        """Tells whether the store fails the calls of all watchers.
+        """Returns whether the store fails the calls of all watchers.
 
-        It may turn single gateways away and serve the others.
+        The failure of some watchers is no outage: the store may reject single
+        gateways and serve the others.
 
         Args:
-            fails_here: Whether it fails the calls of this gateway.
+            fails_here: Whether the store fails the calls of this gateway.
         """
         failing = {h.name: h.is_store_failing for h in self._alive()}
         failing[self._me.name] = fails_here
         return all(failing.get(name, False) for name in self._watchers())
 
     def owns(self, key: str) -> bool:
-        """Tells whether a task that one gateway does for all falls to this."""
+        """Returns whether this gateway owns a task done once for all.
+
+        Args:
+            key: Identifies the task; rendezvous hashing selects its owner.
+        """
         names = [h.name for h in self._alive() if not h.is_leaving]
         return rendezvous.owner(key, [*names, self._me.name]) == self._me.name
 
     async def fetch_snapshot(self) -> Snapshot | None:
-        """Asks each peer in turn for all that it knows of the store."""
+        """Requests a snapshot of the store from one peer after another.
+
+        Returns:
+            The first that is not empty; None if no peer has one.
+        """
         for link in list(self._peers):
             try:
                 found = await self._links.call(
@@ -250,7 +263,7 @@
         return None
 
     def _alive(self) -> list[Heartbeat]:
-        """Returns the last heartbeats of the peers that live."""
+        """Returns the last heartbeats of the live peers."""
         return [
             peer.last
             for peer in self._peers.values()
@@ -263,7 +276,7 @@
         return self._clock.now() - peer.heard_ms <= ALIVE_MS
 
     def _check(self) -> None:
-        """Notes peers that fell silent, and drops those silent for long."""
+        """Logs peers that fell silent and forgets those silent for long."""
         now = self._clock.now()
         self._loads.forget_silent(now)
         for link, peer in list(self._peers.items()):
--- a/rhubarbwinch/gateway/placing.py
+++ b/rhubarbwinch/gateway/placing.py
@@ -1,8 +1,9 @@
-"""Where a request goes: pure decisions from what is known at the moment.
+"""Chooses endpoints for new requests: pure decisions from the known state.
 
-Generations go where their memory fits and where fewest others run, since every
-run on an engine slows the others, and an engine that runs out of memory
-preempts one in the middle. Plain calls go where fewest are open for each slot.
+A generation goes to an engine whose free KV cache fits the generation and that
+has the fewest runs, since every run on an engine slows the others and an engine
+that runs out of KV cache preempts a run. A plain call goes to the endpoint with
+the fewest open calls per slot.
 """
 
 import random
@@ -12,38 +13,41 @@
 from rhubarbwinch.gateway.endpoints import Endpoint
 from rhubarbwinch.gateway.loads import Load
 
-# Shares of an engine's memory that new generations may fill. The rest is for
-# answers that become longer than expected.
+# Share of an engine's KV cache that new generations may reserve. The rest is
+# for outputs that become longer than predicted.
 MEMORY_SHARE = 0.92
-# How many of an engine's slots are used: at more the events come too slowly.
+# Share of an engine's slots that is used. With more runs the events would come
+# too slowly.
 SLOT_SHARE = 1.0
-# A prompt that is being read delays the others' events by so much of a run.
+# Pending prefill delays the events of other runs. This many prompt tokens cost
+# as much as one run.
 PREFILL_TOKENS_PER_RUN = 1_500
-# A full memory counts like so many runs: it ends in a preemption.
+# Cost of a full KV cache in runs, in proportion for a partly filled one. A full
+# KV cache leads to preemption.
 FULL_MEMORY_RUNS = 8.0
-# An engine that failed all its calls lately counts like so many runs.
+# Cost in runs of an engine whose recent calls have all failed.
 FAILING_RUNS = 10.0
-# Plain endpoints: how much a call costs more at one that failed all its calls,
-# at one that is slow after its start, and in another data centre.
+# Cost factors of plain endpoints. A failure share of 1 multiplies the cost by 1
+# plus this factor; warm-up and another data centre multiply it directly.
 PLAIN_FAILURE_FACTOR = 4.0
 PLAIN_WARMUP_FACTOR = 2.0
 PLAIN_CROSS_FACTOR = 1.1
-# Going to another data centre costs a little time and traffic.
+# Cost in runs of an engine in another data centre, for latency and traffic.
 CROSS_COST = 0.3
-# An engine that is still slow after its start.
+# Cost in runs of an engine that is still warming up.
 WARMUP_COST = 4.0
 
 
 @attrs.frozen
 class Candidate:
-    """An endpoint that could take a request.
+    """An endpoint that could serve a request.
 
     Attributes:
         endpoint: The endpoint.
-        load: What all gateways have running there.
-        capacity_tokens: The memory of an engine in tokens; 0 without limit.
-        is_warm: Whether it runs at its usual speed.
-        failure_share: The share of calls that failed lately.
+        load: The load of all gateways at the endpoint.
+        capacity_tokens: The KV cache of an engine in tokens; 0 means no limit.
+        is_warm: Whether the warm-up after its start has ended.
+        failure_share: The share of recent calls that failed.
     """
 
     endpoint: Endpoint
@@ -53,7 +57,10 @@
     failure_share: float = 0.0
 
     def fits(self, tokens: int, memory_share: float) -> bool:
-        """Tells whether a run of a size fits beside the others."""
+        """Returns whether a run of `tokens` fits beside the other runs.
+
+        An engine without reserved KV cache takes a run of any size.
+        """
         if self.load.runs + 1 > self.endpoint.slots * SLOT_SHARE:
             return False
         if not self.capacity_tokens:
@@ -69,7 +76,7 @@
     rng: random.Random,
     memory_share: float = MEMORY_SHARE,
 ) -> Candidate | None:
-    """Returns the engine for a generation, or None if it fits nowhere now."""
+    """Returns the engine for a generation, or None if none has capacity."""
     fitting = [c for c in candidates if c.fits(tokens, memory_share)]
     if not fitting:
         return None
@@ -93,7 +100,7 @@
 def choose_endpoint(
     candidates: list[Candidate], data_center: str, rng: random.Random
 ) -> Candidate | None:
-    """Returns the endpoint for a plain call, or None without any."""
+    """Returns the endpoint for a plain call, or None without candidates."""
     if not candidates:
         return None
     return min(
--- a/rhubarbwinch/gateway/registration.py
+++ b/rhubarbwinch/gateway/registration.py
@@ -1,4 +1,4 @@
-"""A gateway's registration in the store, by which others find its link."""
+"""Keeps a gateway registered in the store, so that others can reach it."""
 
 from rhubarbwinch.gateway.messages import PeerAddress
 from rhubarbwinch.shared import codec, events
@@ -6,8 +6,8 @@
 from rhubarbwinch.shared.exceptions import StoreError
 from rhubarbwinch.stores.store import Store
 
-# Peers judge by heartbeats whether a gateway lives, so the lease may be long;
-# it only bounds how long the address of one that is gone is called.
+# Peers detect a dead gateway by its heartbeats, so the lease may be long. It
+# only bounds how long the address of a dead gateway stays in the store.
 LEASE_MS = 9_000
 RENEW_MS = 3_000
 RETRY_MS = 500
@@ -20,7 +20,7 @@
         store: The platform's store.
         clock: The source of time.
         key: The key of this gateway.
-        address: Where others reach it, the key's value.
+        address: The addresses for other gateways, the key's value.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
                 await self._clock.sleep(RETRY_MS)
 
     async def close(self) -> None:
-        """Ends the registration; a store that is away ends it by itself."""
+        """Revokes the lease; if the store is unavailable, the lease expires."""
         if not self._lease:
             return
         try:
@@ -64,6 +64,6 @@
         value = codec.encode(self._address)
         swap = await self._store.swap(self._key, expected, value, self._lease)
         if not swap.won:
-            # The lease of the start before has just ended; the next round
-            # writes the key anew.
+            # The lease of the previous start has just expired and changed the
+            # key. The next iteration writes the key again.
             self._lease = 0
--- a/rhubarbwinch/gateway/replica.py
+++ b/rhubarbwinch/gateway/replica.py
@@ -1,20 +1,21 @@
-"""What a gateway knows of the store, merged from the store and from peers.
+"""A gateway's replica of the store, merged from the store and from peers.
 
-Pure code: every key keeps the newest revision that was told, deletions too,
-so it does not matter in which order, how often or from whom changes come.
+Pure code. Each key keeps the state with the highest revision received,
+deletions included, so the order, repetition and source of changes do not
+matter.
 """
 
 import attrs
 
 from rhubarbwinch.stores.store import Change, ChangeBatch, Entry, Listing
 
-# Deletions are remembered for so many keys, the newest.
+# Tombstones are kept for the most recently deleted keys, at most this many.
 MAX_TOMBSTONES = 2_000
 
 
 @attrs.define
 class _Cell:
-    """A key's newest state; no entry means that it was deleted."""
+    """A key's newest state; without an entry the cell is a tombstone."""
 
     revision: int
     entry: Entry | None
@@ -24,7 +25,8 @@
     """The newest known state of each key.
 
     Attributes:
-        revision: Up to here every change is known; 0 before the first scan.
+        revision: The revision up to which all changes are known; 0 before the
+            first scan.
     """
 
     def __init__(self) -> None:
@@ -41,9 +43,10 @@
         return [c.entry for c in self._cells.values() if c.entry is not None]
 
     def merge_listing(self, listing: Listing) -> list[Change]:
-        """Takes a whole listing; returns what it changes.
+        """Merges a complete listing; returns the effective changes.
 
-        A key that is missing there and was older is deleted.
+        A key that is missing in the listing is deleted if its known state is
+        not newer than the listing.
         """
         found = {entry.key for entry in listing.entries}
         gone = [
@@ -59,7 +62,10 @@
         return changes
 
     def merge_batch(self, batch: ChangeBatch) -> list[Change] | None:
-        """Takes a batch; returns what it changes, None after a gap."""
+        """Merges a batch; returns the effective changes, None on a gap.
+
+        There is a gap if the batch starts after the replica's revision.
+        """
         if batch.after > self.revision:
             return None
         changes = self._apply(batch.changes)
@@ -80,7 +86,7 @@
         return taken
 
     def _forget(self) -> None:
-        """Drops the oldest deletions when there are too many."""
+        """Drops the oldest tombstones when there are too many."""
         gone = [k for k, c in self._cells.items() if c.entry is None]
         if len(gone) <= MAX_TOMBSTONES:
             return
--- a/rhubarbwinch/gateway/retrybudget.py
+++ b/rhubarbwinch/gateway/retrybudget.py
@@ -1,25 +1,25 @@
-"""How often requests are sent again, within a budget of all gateways.
+"""Limits retries to a budget that all gateways share.
 
-Pure code. It answers a service that begins to fail: sends beyond the first
-would multiply its load. Each gateway uses its share of what the platform
-allows, so no agreement is needed, and none is exceeded when a gateway that is
-lost comes back.
+Pure code. It protects a service that begins to fail, whose load retries would
+multiply. Each gateway uses its own share of the platform's allowance, so the
+gateways need no coordination, and the allowance is not exceeded when a lost
+gateway returns.
 """
 
 from collections import deque
 
-# The part of the allowance that is used: windows of the platform slide
-# otherwise than ours.
+# Share of the allowance that is used. The rest is a margin, since the
+# platform's windows slide differently from ours.
 USED_PART = 0.8
 
 
 class RetryBudget:
-    """Counts requests and further sends of each service.
+    """Counts the requests and retries of each service.
 
     Args:
-        ratio: Further sends that each request allows.
-        window_ms: The window in which they are counted.
-        extra: Further sends allowed in a window, over all gateways.
+        ratio: Retries allowed per request.
+        window_ms: The sliding window in which both are counted.
+        extra: Retries allowed per window beyond the ratio, over all gateways.
     """
 
     def __init__(self, ratio: float, window_ms: int, extra: int) -> None:
@@ -30,23 +30,23 @@
         self._sends: dict[str, deque[int]] = {}
 
     def change(self, ratio: float, window_ms: int, extra: int) -> None:
-        """Changes the budget; what was counted stays."""
+        """Changes the parameters; the counts are kept."""
         self._ratio = ratio
         self._window_ms = window_ms
         self._extra = extra
 
     def add_request(self, service: str, now_ms: int) -> None:
-        """Counts a request of a caller."""
+        """Counts a caller's request."""
         self._requests.setdefault(service, deque()).append(now_ms)
         self._fade(self._requests[service], now_ms)
 
     def take(self, service: str, gateways: int, now_ms: int) -> bool:
-        """Takes a further send; False when the budget is spent.
+        """Takes a retry from the budget; False if the budget is spent.
 
         Args:
-            service: The service that gets it.
-            gateways: How many gateways share the budget.
-            now_ms: The time.
+            service: The service to be called again.
+            gateways: The number of gateways that share the budget.
+            now_ms: The current time.
         """
         requests = self._requests.get(service, deque())
         sends = self._sends.setdefault(service, deque())
--- a/rhubarbwinch/gateway/routes.py
+++ b/rhubarbwinch/gateway/routes.py
@@ -1,4 +1,4 @@
-"""The routes, services and accounts of one version of the configuration."""
+"""The routing table: one version's routes, services and accounts."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class CallKind(enum.StrEnum):
-    """What may be repeated when an endpoint fails."""
+    """What may be retried after an endpoint failed."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
@@ -15,14 +15,15 @@
 
 @attrs.frozen
 class EngineSpec:
-    """What the engines of a service can do.
+    """The capacity and features of a service's engines.
 
     Attributes:
-        slots: Requests that an engine runs at once.
-        kv_tokens: Tokens that fit an engine's memory.
-        can_move: Whether a run's memory can be copied to another engine.
-        can_back_up: Whether a second engine can follow a run.
-        copy_expiry_ms: How long an engine keeps a copy that is not used.
+        slots: The number of requests that an engine runs at once.
+        kv_tokens: The KV cache of an engine in tokens.
+        can_move: Whether a run's KV cache can be copied to another engine.
+        can_back_up: Whether a run's KV cache can be replicated to a standby
+            engine while the run goes on.
+        copy_expiry_ms: How long an engine keeps an unused copy.
     """
 
     slots: int
@@ -38,8 +39,9 @@
 
     Attributes:
         name: The service's name.
-        max_connections: Connections that an endpoint accepts from all callers.
-        engine: What its engines can do; None for a plain service.
+        max_connections: The number of connections that an endpoint accepts from
+            all callers.
+        engine: The properties of its engines; None for a plain service.
     """
 
     name: str
@@ -53,7 +55,7 @@
 
     Attributes:
         service: The service's name.
-        weight: Its share, against the weights of the others.
+        weight: Its share in relation to the weights of the other services.
     """
 
     service: str
@@ -67,18 +69,19 @@
     Attributes:
         name: The route's name.
         host: The host of its requests, in lower case.
-        prefix: How the paths of its requests begin; it ends with a slash.
-        kind: What may be repeated.
-        timeout_ms: The longest that a request is kept.
-        objective_ms: The time in which an answer is on time; of a stream, to
-            its first event.
-        gap_ms: The longest pause between events that is on time; 0 for none.
-        max_attempts: Endpoints to which one request may be sent.
-        priority: The rank of its requests, 0 first.
+        prefix: The prefix of its request paths; it ends with a slash.
+        kind: What may be retried.
+        timeout_ms: The time limit of a request.
+        objective_ms: The latency objective of a response; of a stream, for its
+            first event.
+        gap_ms: The longest pause between events that meets the objective; 0 for
+            no such bound.
+        max_attempts: The number of endpoints to which a request may be sent.
+        priority: The priority of its requests, 0 first.
         is_public: Whether requests need no API key.
-        is_generation: Whether requests tell the sizes of a generation.
-        is_resumable: Whether a stream may go on after an event.
-        targets: The services, at least one.
+        is_generation: Whether requests state the sizes of a generation.
+        is_resumable: Whether a stream can be resumed after an event.
+        targets: The services with their weights, at least one.
     """
 
     name: str
@@ -97,18 +100,18 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Whether a request may run again when it may have run."""
+        """Whether a request may be retried although it may have run."""
         return self.kind is CallKind.IDEMPOTENT or self.is_resumable
 
 
 @attrs.frozen
 class HttpLimits:
-    """Bounds on what a caller sends.
+    """Limits on callers' requests.
 
     Attributes:
-        head_bytes: The longest head of a request.
-        body_bytes: The longest body.
-        head_ms: The longest time for a head, or between parts of a body.
+        head_bytes: The maximum size of a request head.
+        body_bytes: The maximum size of a request body.
+        head_ms: The time limit for a head, and between parts of a body.
         idle_ms: How long a connection may stay idle.
     """
 
@@ -124,7 +127,8 @@
 
     Attributes:
         name: The account's name.
-        priority: The rank of its requests, before the route's; or None.
+        priority: The priority of its requests, which overrides the route's;
+            or None.
     """
 
     name: str
@@ -136,12 +140,12 @@
     """One version of the configuration.
 
     Attributes:
-        version: Its number; a higher one is newer.
-        routes: By host, then by prefix.
-        services: By name.
-        accounts: By API key.
-        needs_key: Whether requests need a key, but for public routes.
-        limits: Bounds on what a caller sends.
+        version: The version number; a higher one is newer.
+        routes: The routes by host, then by prefix.
+        services: The services by name.
+        accounts: The accounts by API key.
+        needs_key: Whether requests need an API key, except on public routes.
+        limits: Limits on callers' requests.
     """
 
     version: int
--- a/rhubarbwinch/gateway/selfservice.py
+++ b/rhubarbwinch/gateway/selfservice.py
@@ -1,4 +1,4 @@
-"""Answers of a gateway about itself: directory, readiness and metrics."""
+"""Serves a gateway's directory, readiness check and metrics."""
 
 from collections.abc import Callable
 
@@ -8,19 +8,19 @@
 from rhubarbwinch.gateway.settings import GatewaySettings
 from rhubarbwinch.gateway.wire import Platform
 
-# Callers keep an answer of the directory for so long; shorter costs them
-# lookups, longer keeps them at VMs that have left.
+# How long callers cache a directory response. A shorter time costs lookups, a
+# longer one leaves callers at VMs that are gone.
 DIRECTORY_TTL_MS = 2_000
 
 
 class SelfService:
-    """Answers requests that are not for endpoints.
+    """Handles requests to the gateway itself.
 
     Args:
-        platform: Translates the answers.
+        platform: Parses and formats the platform's requests and responses.
         peers: The other gateways.
-        settings: What the gateway was told.
-        is_ready: Tells whether new callers are welcome.
+        settings: The gateway's settings.
+        is_ready: Returns whether the gateway accepts new callers.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
     async def answer(
         self, request: EdgeRequest, responder: EdgeResponder
     ) -> None:
-        """Answers the directory, the readiness check and the metrics."""
+        """Handles a directory, readiness or metrics request."""
         platform = self._platform
         if platform.is_readiness(request.target):
             await responder.send(200 if self._is_ready() else 503, [], b"")
--- a/rhubarbwinch/gateway/settings.py
+++ b/rhubarbwinch/gateway/settings.py
@@ -1,4 +1,4 @@
-"""What a gateway is told at its start, and again when that changes."""
+"""The settings of a gateway, read at its start and on each reload."""
 
 import attrs
 
@@ -11,22 +11,22 @@
 
     Attributes:
         name: The process's name, unique in the deployment.
-        data_center: Where the VM is.
-        front: Where callers connect, `a.b.c.d:port`.
-        ready: Where the platform asks whether the process is ready.
-        directory: Where callers ask which addresses to use.
-        address: Where peers reach it.
-        metrics: Where metrics are read.
-        seeds: Addresses of some peers; they may be gone.
-        store: The platform's store.
-        grace_ms: Time from SIGTERM to SIGKILL.
-        directory_ttl_max_ms: The longest that callers keep an answer.
-        retry_ratio: Sends beyond the first that each request allows, over all
-            gateways.
-        retry_window_ms: The window in which they are counted.
-        retry_extra: Further sends allowed in each window, over all gateways.
-        max_descriptors: Descriptors that the process may open.
-        memory_mb: Memory that the process may use.
+        data_center: The data centre of the VM.
+        front: The address for callers, `a.b.c.d:port`.
+        ready: The address for the platform's readiness checks.
+        directory: The address at which callers look up gateway addresses.
+        address: The addresses for other gateways.
+        metrics: The address for reading metrics.
+        seeds: Addresses of some peers, which may be gone.
+        store: The address of the platform's store.
+        grace_ms: The time from SIGTERM to SIGKILL.
+        directory_ttl_max_ms: The upper bound on how long callers cache a
+            directory response.
+        retry_ratio: Retries allowed per request, over all gateways.
+        retry_window_ms: The window in which retries are counted.
+        retry_extra: Further retries allowed per window, over all gateways.
+        max_descriptors: The limit on the process's open file descriptors.
+        memory_mb: The limit on the process's memory.
     """
 
     name: str
--- a/rhubarbwinch/gateway/statistics.py
+++ b/rhubarbwinch/gateway/statistics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of a gateway, for its metrics address."""
+"""The Prometheus metrics of a gateway."""
 
 from prometheus_client import (
     CollectorRegistry,
@@ -65,5 +65,5 @@
 
 
 def render() -> bytes:
-    """Returns all metrics as text."""
+    """Returns all metrics in the Prometheus text format."""
     return generate_latest(REGISTRY)
--- a/rhubarbwinch/gateway/suspicion.py
+++ b/rhubarbwinch/gateway/suspicion.py
@@ -1,8 +1,8 @@
-"""Which endpoints are avoided, judged from the outcomes of calls.
+"""Decides from call outcomes which endpoints are avoided.
 
-Pure code. It answers endpoints that fail a part of their requests while their
-health answers are good, that hang, or that fail the callers of one data centre
-only: each gateway judges by what it has seen itself.
+Pure code. It handles endpoints that pass health checks but fail a share of
+their requests, endpoints that hang, and endpoints that fail the callers of one
+data centre only. Each gateway judges by the outcomes of its own calls.
 """
 
 import enum
@@ -10,16 +10,16 @@
 
 import attrs
 
-# Outcomes lose half of their weight in this time.
+# Half-life of the weight of an outcome.
 HALF_LIFE_MS = 4_000
-# So much weight of failures is needed before an endpoint is avoided.
+# Failure weight that is needed before an endpoint is avoided.
 MIN_FAILURES = 2.0
-# An endpoint that fails a larger share than this, and twice the share of its
-# service, is avoided.
+# An endpoint is avoided if its failure share is larger than this and larger
+# than twice the share of the service's other endpoints.
 MIN_SHARE = 0.3
 FIRST_PAUSE_MS = 1_000
 MAX_PAUSE_MS = 8_000
-# After this time without a failure the pauses are short again.
+# After this time without a pause, the next one is short again.
 FORGIVE_MS = 15_000
 
 
@@ -27,19 +27,19 @@
     """How a call to an endpoint ended, with its weight as a failure."""
 
     GOOD = 0.0
-    # The endpoint answered by an error of its own, as requests at times do.
+    # The endpoint responded with an error, as single requests sometimes cause.
     ERROR = 0.7
-    # It refused as full.
+    # The endpoint refused the request because it was full.
     REFUSED = 0.3
-    # No whole answer came, or one that is not the endpoint's.
+    # The response was missing or incomplete, or came from another endpoint.
     BROKEN = 1.0
-    # No connection was made.
+    # No connection could be made.
     UNREACHABLE = 2.0
 
 
 @attrs.define
 class _Record:
-    """The outcomes of one endpoint."""
+    """The decayed outcomes of one endpoint and its pauses."""
 
     service: str
     failures: float = 0.0
@@ -50,7 +50,7 @@
     is_on_trial: bool = False
 
     def fade(self, now_ms: int) -> None:
-        """Lowers the weight of what is old."""
+        """Decays the weight of earlier outcomes."""
         share = 0.5 ** ((now_ms - self.at_ms) / HALF_LIFE_MS)
         self.failures *= share
         self.calls *= share
@@ -66,7 +66,7 @@
     def note(
         self, service: str, endpoint: str, outcome: Outcome, now_ms: int
     ) -> bool:
-        """Notes an outcome; returns whether the endpoint is avoided anew."""
+        """Records an outcome; returns whether a new pause begins with it."""
         record = self._records.get(endpoint)
         if record is None:
             record = self._records[endpoint] = _Record(service, at_ms=now_ms)
@@ -74,7 +74,7 @@
         record.calls += 1
         record.failures += outcome.value
         if outcome is Outcome.GOOD and record.is_on_trial:
-            # The trial passed: what it did before counts no more.
+            # The trial call succeeded, so earlier failures no longer count.
             record.is_on_trial = False
             record.failures = 0.0
             return False
@@ -86,10 +86,10 @@
         return True
 
     def avoid(self, service: str, endpoint: str, now_ms: int) -> int | None:
-        """Avoids an endpoint that several gateways have found failing.
+        """Avoids an endpoint that several gateways have reported.
 
         Returns:
-            Until when; None if it is avoided already.
+            The end of the pause; None if the endpoint is avoided already.
         """
         record = self._records.get(endpoint)
         if record is None:
@@ -105,19 +105,19 @@
         record.is_on_trial = True
 
     def is_avoided(self, endpoint: str, now_ms: int) -> bool:
-        """Tells whether an endpoint gets no new requests for now."""
+        """Returns whether an endpoint gets no new requests at present."""
         record = self._records.get(endpoint)
         return record is not None and now_ms < record.avoided_until_ms
 
     def failure_share(self, endpoint: str) -> float:
-        """Returns the share of calls that failed lately, 0 to about 1."""
+        """Returns the share of recent calls that failed, 0 to about 1."""
         record = self._records.get(endpoint)
         if record is None or record.calls < 1:
             return 0.0
         return record.failures / (record.calls + 1)
 
     def calls_each(self, service: str, window_ms: int) -> float:
-        """Returns how many calls an endpoint of a service gets in a window."""
+        """Returns the mean number of calls to an endpoint in a window."""
         found = [
             r.calls for r in self._records.values() if r.service == service
         ]
@@ -127,15 +127,15 @@
         return sum(found) / len(found) * window_ms / weight_ms
 
     def forget(self, endpoint: str) -> None:
-        """Drops an endpoint that is gone."""
+        """Drops the record of an endpoint that is gone."""
         self._records.pop(endpoint, None)
 
     def usable(self, endpoints: list[str], now_ms: int) -> list[str]:
-        """Returns the endpoints that are not avoided.
+        """Returns the endpoints that may get new requests.
 
-        When most of a service would be avoided the fault is likely not
-        theirs, and avoiding them would end the service: then those whose
-        pause ends first are used too, up to half of all.
+        If most endpoints of a service would be avoided, the fault is probably
+        not theirs, and avoiding them would stop the service. In that case
+        those whose pause ends first are used too, up to half of all.
         """
         good = [e for e in endpoints if not self.is_avoided(e, now_ms)]
         least = (len(endpoints) + 1) // 2
@@ -156,7 +156,7 @@
         return share > MIN_SHARE and share > 2 * self._usual(record)
 
     def _usual(self, record: _Record) -> float:
-        """Returns the share that fails at the other endpoints."""
+        """Returns the failure share of the service's other endpoints."""
         others = [
             r
             for r in self._records.values()
--- a/rhubarbwinch/gateway/waiting.py
+++ b/rhubarbwinch/gateway/waiting.py
@@ -1,8 +1,9 @@
-"""Generations that wait until an engine has room for them.
+"""Queues generations until an engine has capacity for them.
 
-It answers bursts and the loss of engines: for some seconds more is asked for
-than fits. More urgent requests go first; among equals those that are due
-first. A request whose turn is not expected in time is refused at once.
+This handles bursts and the loss of engines, when demand exceeds capacity for
+some seconds. Requests of higher priority go first and, among equals, those with
+the earlier objective. A request that is not expected to be placed in time is
+refused at once.
 """
 
 import anyio
@@ -11,13 +12,14 @@
 from rhubarbwinch.gateway import statistics
 from rhubarbwinch.shared.clock import Clock
 
-# The part of the time to the objective that may be spent waiting: the prompt
-# has to be read too.
+# Share of the time to the objective that may be spent waiting. The rest is for
+# prefill.
 WAIT_SHARE = 0.6
-# Weight of the newest gap in the average of gaps between admissions.
+# Weight of the newest value in the moving average of the time between
+# admissions.
 GAP_WEIGHT = 0.1
 FIRST_GAP_MS = 50.0
-# An expected wait is refused only when it is clearly beyond the bound.
+# A request is refused only if its expected wait is clearly over the limit.
 HOPELESS_FACTOR = 2.0
 MIN_RETRY_AFTER_MS = 200
 
@@ -28,8 +30,8 @@
 
     Attributes:
         rank: Its priority, 0 first.
-        due_ms: When its objective ends.
-        turn: Set when it may try to be placed.
+        due_ms: The time of its latency objective.
+        turn: Set when the request may try to be placed.
     """
 
     rank: int
@@ -38,12 +40,12 @@
 
     @property
     def order(self) -> tuple[int, int]:
-        """What goes first."""
+        """The sort key; the lowest goes first."""
         return (self.rank, self.due_ms)
 
 
 class WaitQueue:
-    """The requests of one service that wait.
+    """The waiting requests of one service.
 
     Args:
         clock: The source of time.
@@ -59,23 +61,23 @@
         return len(self._waiters)
 
     def expected_wait_ms(self, rank: int, due_ms: int) -> int:
-        """Returns how long a request would wait behind those before it."""
+        """Returns how long a new request would wait behind those ahead."""
         ahead = sum(w.order <= (rank, due_ms) for w in self._waiters)
         return int((ahead + 1) * self._gap_ms)
 
     def is_hopeless(self, rank: int, due_ms: int, limit_ms: int) -> bool:
-        """Tells whether a request that waited would do so in vain."""
+        """Returns whether a new request's wait would exceed the limit."""
         if not self._waiters:
             return False
         wait_ms = self.expected_wait_ms(rank, due_ms)
         return wait_ms > HOPELESS_FACTOR * limit_ms
 
     def retry_after_ms(self, rank: int, due_ms: int) -> int:
-        """Returns when a refused request may come back."""
+        """Returns after how long a refused request may be retried."""
         return max(MIN_RETRY_AFTER_MS, self.expected_wait_ms(rank, due_ms))
 
     def note_admission(self) -> None:
-        """Learns the pace at which room becomes free while others wait."""
+        """Updates the average time between admissions while others wait."""
         now = self._clock.now()
         if self._waiters and self._admitted_ms:
             gap = min(2_000, now - self._admitted_ms)
@@ -83,11 +85,11 @@
         self._admitted_ms = now
 
     def is_first(self, rank: int, due_ms: int) -> bool:
-        """Tells whether nothing more urgent waits."""
+        """Returns whether a new request would be ahead of all waiting ones."""
         return all(w.order > (rank, due_ms) for w in self._waiters)
 
     def join(self, rank: int, due_ms: int) -> Waiter:
-        """Adds a request."""
+        """Adds a request to the queue."""
         waiter = Waiter(rank, due_ms)
         self._waiters.append(waiter)
         self._waiters.sort(key=lambda w: w.order)
@@ -95,12 +97,12 @@
         return waiter
 
     def leave(self, waiter: Waiter) -> None:
-        """Removes a request that was placed, refused or given up."""
+        """Removes a request that was placed, refused or cancelled."""
         self._waiters.remove(waiter)
         statistics.WAITING.set(len(self._waiters))
         self.wake()
 
     def wake(self) -> None:
-        """Lets the first request try to be placed."""
+        """Lets the first waiting request try to be placed."""
         if self._waiters:
             self._waiters[0].turn.set()
--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -1,4 +1,4 @@
-"""Requests under which endpoints crash."""
+"""Requests that crash endpoints."""
 
 import unittest
 
@@ -19,7 +19,7 @@
 
 
 class CrashLedgerTest(unittest.TestCase):
-    """Crashes in, refusals out."""
+    """When a request is refused after recorded crashes."""
 
     def setUp(self):
         self.ledger = CrashLedger(None, ManualClock(), None)
@@ -58,7 +58,7 @@
 
 
 class CrashingRequestTest(unittest.TestCase):
-    """A request before endpoints that it ends."""
+    """A request that crashes every endpoint it reaches."""
 
     @asynchronous
     async def test_it_reaches_no_endpoint_after_the_third_crash(self):
@@ -66,7 +66,7 @@
         async with world(engines=6, table=table) as w:
 
             async def crash(arrival, responder):
-                """Ends the endpoint in the middle of the request."""
+                """Makes the endpoint unreachable during the request."""
                 name = arrival.headers["expect-instance"]
                 known = w.context.fleet.get(name)
                 gone = build.endpoint(name, address="127.0.0.1:1")
@@ -81,7 +81,7 @@
             statuses = []
             for i in range(6):
                 statuses.append((await w.call(f"q{i}")).status)
-                # The crash is found out after the caller has its answer.
+                # The crash is detected after the caller has its response.
                 while len(w.told) < min(i + 1, MAX_CRASHES):
                     await anyio.sleep(0)
         self.assertEqual(len(w.arrivals), MAX_CRASHES)
--- a/tests/gateway/test_failurereports.py
+++ b/tests/gateway/test_failurereports.py
@@ -1,4 +1,4 @@
-"""Failures that gateways report: replays of the faults that they meet."""
+"""Failure notices of all gateways, for several kinds of faults."""
 
 import unittest
 
@@ -12,7 +12,7 @@
 )
 from rhubarbwinch.gateway.messages import FailureNotice
 
-# 33 gateways before 30 engines, and before four busy plain endpoints.
+# 33 gateways with 30 engines, and with four busy plain endpoints.
 GENERATIONS = Traffic(calls_each=0.04, near=11, gateways=33)
 PLAIN_CALLS = Traffic(calls_each=0.6, near=11, gateways=33)
 
@@ -22,7 +22,7 @@
 
 
 class FailureReportsTest(unittest.TestCase):
-    """A gateway in data centre dc-a that hears of failures."""
+    """A gateway in data centre dc-a that receives failure notices."""
 
     def setUp(self):
         self.reports = FailureReports("dc-a")
@@ -56,13 +56,13 @@
         self.assertIsNone(found)
 
     def test_a_plain_endpoint_that_resets_a_third_is_avoided(self):
-        # Of 20 calls in a second seven fail, at as many gateways.
+        # Seven of 20 calls in a second fail, each at a different gateway.
         third = [_notice(i, f"dc-{'abc'[i % 3]}") for i in range(14)]
         found = self._note(*third, traffic=PLAIN_CALLS, step_ms=WINDOW_MS // 7)
         self.assertIsNotNone(found)
 
     def test_a_service_whose_endpoints_are_all_too_slow_keeps_them(self):
-        # Half of all calls get no answer in time, at whatever endpoint.
+        # Half of all calls time out, evenly over the endpoints.
         names = [f"e{i}" for i in range(1, 5)]
         traffic = attrs.evolve(PLAIN_CALLS, endpoints=frozenset(names))
         late = [
--- a/tests/gateway/test_feed.py
+++ b/tests/gateway/test_feed.py
@@ -1,4 +1,4 @@
-"""Following the store: outages, gaps in the history, and peers' news."""
+"""The store feed: outages, gaps in the history and updates from peers."""
 
 import itertools
 import unittest
@@ -32,7 +32,7 @@
 
 
 class ScriptedStore:
-    """Answers scans and polls from lists; then it waits for ever."""
+    """Returns scripted results for scans and polls, then blocks for ever."""
 
     def __init__(self, scans, polls):
         self.scans, self.polls = list(scans), list(polls)
@@ -57,7 +57,7 @@
 
 
 class PeerValues:
-    """Answers calls for values, or fails them."""
+    """Replies to value calls from a dict; unknown keys time out."""
 
     def __init__(self):
         self.values = {}
@@ -71,7 +71,7 @@
 
 
 class FeedTest(unittest.TestCase):
-    """A feed on a manual clock."""
+    """A feed with a scripted store and a manual clock."""
 
     def _make(self, scans, polls, watches=True):
         self.clock = ManualClock()
@@ -186,7 +186,7 @@
 
     @asynchronous
     async def test_a_follower_whose_peers_know_more_asks_the_store(self):
-        # The datagram with the change was lost, and none came after it.
+        # The datagram with the last change was lost, so no gap shows its loss.
         self._make(
             [Listing([], 3)], [ChangeBatch(3, 5, [put("a", 5)])], watches=False
         )
@@ -272,7 +272,7 @@
 
 
 class SplitBatchTest(unittest.TestCase):
-    """Batches in parts that fit a datagram."""
+    """Splitting batches into parts that fit into a datagram."""
 
     def test_each_part_fits_and_follows_the_one_before(self):
         changes = [put(f"key-{i}", i, b"v" * 300) for i in range(5, 25)]
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -1,4 +1,4 @@
-"""Which endpoints are believed in: leaving, lapsed, back and used again."""
+"""Known endpoints: leaving, expired, renewed and with reused ids."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class FleetTest(unittest.TestCase):
-    """Registrations in, endpoints to use out."""
+    """Which endpoints accept requests after registrations and deletions."""
 
     def setUp(self):
         self.fleet = Fleet()
--- a/tests/gateway/test_hops.py
+++ b/tests/gateway/test_hops.py
@@ -1,4 +1,4 @@
-"""Spans of the requests that a gateway serves."""
+"""Tracing spans of the requests that a gateway serves."""
 
 import unittest
 
@@ -15,7 +15,7 @@
 
 
 class HopsTest(unittest.TestCase):
-    """A request with and without traces."""
+    """A request with and without tracing."""
 
     @asynchronous
     async def test_a_send_is_a_child_of_the_request_and_names_itself(self):
--- a/tests/gateway/test_loads.py
+++ b/tests/gateway/test_loads.py
@@ -1,4 +1,4 @@
-"""The common count of what runs where."""
+"""The load counts that all gateways share."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 
 
 class LoadBookTest(unittest.TestCase):
-    """Counts of several gateways."""
+    """Counts of one gateway and of its peers."""
 
     def test_a_burst_at_two_gateways_is_seen_by_both(self):
         first, second = LoadBook(), LoadBook()
@@ -59,7 +59,8 @@
         self.assertEqual(len(seen), 3)
 
     def test_what_a_peer_tells_is_no_news_to_tell_on(self):
-        # With 33 gateways, each change of one came back from all others.
+        # If received loads changed the version, each change at one of 33
+        # gateways would be announced again by all others.
         book = LoadBook()
         book.add("e1", 100)
         before = book.version
--- a/tests/gateway/test_outage.py
+++ b/tests/gateway/test_outage.py
@@ -1,4 +1,4 @@
-"""Engines that leave while the store is away."""
+"""Engines that leave during a store outage."""
 
 import unittest
 
@@ -18,7 +18,7 @@
 
 
 class Reports:
-    """Answers for engines by their addresses."""
+    """Scripted engine reports by address; other addresses fail."""
 
     def __init__(self, **reports):
         self.reports = reports
@@ -37,7 +37,7 @@
 
 
 class OutageWatchTest(unittest.TestCase):
-    """A watch on a manual clock."""
+    """An outage watch on a manual clock."""
 
     async def _run(self, stale_ms, ms, is_failing=False, lapsed=0):
         self.left = []
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -1,4 +1,4 @@
-"""What a gateway believes of the others from their heartbeats."""
+"""The state of other gateways, known from their heartbeats."""
 
 import unittest
 
@@ -11,17 +11,17 @@
 
 
 class Silence:
-    """A broadcast that nobody hears."""
+    """A broadcast that records what is sent and delivers nothing."""
 
     def __init__(self):
         self.sent = []
         self.send = self.sent.append
 
     def on(self, kind, handle):
-        """Takes no messages."""
+        """Ignores the handler."""
 
     def add(self, address):
-        """Knows no peers."""
+        """Ignores the peer."""
 
 
 def _heartbeat(number, sequence=1, **fields):
@@ -34,7 +34,7 @@
 
 
 class PeersTest(unittest.TestCase):
-    """The first of six gateways."""
+    """Six gateways, seen by the first of them."""
 
     def setUp(self):
         self.clock = ManualClock(1)
@@ -49,7 +49,7 @@
         )
 
     def _hear(self, sequence=1, **by_name):
-        """Hears of g2 to g6; `by_name` has fields of single ones."""
+        """Delivers heartbeats of g2 to g6; `by_name` overrides fields."""
         for number in range(2, 7):
             fields = by_name.get(f"g{number}", {})
             self.peers.take(_heartbeat(number, sequence, **fields))
--- a/tests/gateway/test_placing.py
+++ b/tests/gateway/test_placing.py
@@ -1,4 +1,4 @@
-"""Placement: replays of the loads that the decisions answer."""
+"""The choice of engines, endpoints, migration targets and standbys."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 
 
 class ChooseEngineTest(unittest.TestCase):
-    """Generations."""
+    """Placement of generations."""
 
     def _choose(self, *candidates, tokens=4_000):
         return _name(
@@ -57,7 +57,7 @@
 
 
 class ChooseEndpointTest(unittest.TestCase):
-    """Plain calls."""
+    """Placement of plain calls."""
 
     def test_the_fewest_open_for_each_slot_is_chosen(self):
         chosen = placing.choose_endpoint(
@@ -78,7 +78,7 @@
 
 
 class ChooseHomeTest(unittest.TestCase):
-    """Engines that take a run over."""
+    """Migration targets."""
 
     def _choose(self, *candidates):
         return _name(
@@ -103,16 +103,16 @@
 
 
 class RefreshTest(unittest.TestCase):
-    """When a copy is renewed."""
+    """When a copy is refreshed."""
 
     def test_a_copy_that_is_far_behind_is_renewed_soon(self):
-        # A first copy that took 1.4 s while its run made 50 events.
+        # A first copy took 1.4 s, in which its run made 50 events.
         self.assertEqual(moving.refresh_after_ms(50), moving.CATCH_UP_MS)
         self.assertEqual(moving.refresh_after_ms(2), moving.REFRESH_MS)
 
 
 class ChooseBackupTest(unittest.TestCase):
-    """Engines that follow a run."""
+    """Standby engines."""
 
     def _choose(self, *candidates):
         return _name(
--- a/tests/gateway/test_replica.py
+++ b/tests/gateway/test_replica.py
@@ -1,4 +1,4 @@
-"""The replica of the store: order, repetition and gaps of what is told."""
+"""The store replica: reordered, repeated and missing changes."""
 
 import random
 import unittest
@@ -9,7 +9,7 @@
 
 
 class ReplicaTest(unittest.TestCase):
-    """What a gateway believes of the store."""
+    """Merging of batches and listings."""
 
     def test_the_newest_revision_wins_in_whatever_order_changes_come(self):
         changes = [put("a", 2, b"2"), gone("a", 5), put("b", 3), put("a", 9)]
--- a/tests/gateway/test_retrybudget.py
+++ b/tests/gateway/test_retrybudget.py
@@ -1,4 +1,4 @@
-"""The budget of further sends, shared by all gateways without agreement."""
+"""The retry budget, which gateways share without coordination."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class RetryBudgetTest(unittest.TestCase):
-    """Further sends within any window."""
+    """The number of retries within any window."""
 
     def test_all_gateways_together_stay_within_the_allowance(self):
         gateways = 4
--- a/tests/gateway/test_routes.py
+++ b/tests/gateway/test_routes.py
@@ -1,4 +1,4 @@
-"""Which route a request takes."""
+"""The choice of the route for a request."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 class RoutingTableTest(unittest.TestCase):
-    """The longest prefix of the host's routes."""
+    """Matching by host and longest prefix."""
 
     def setUp(self):
         self.table = table(
--- a/tests/gateway/test_suspicion.py
+++ b/tests/gateway/test_suspicion.py
@@ -1,4 +1,4 @@
-"""Which endpoints are avoided: replays of the faults that it answers."""
+"""Which endpoints are avoided, for several kinds of faults."""
 
 import random
 import unittest
@@ -14,10 +14,10 @@
 
 
 class SuspicionTest(unittest.TestCase):
-    """Outcomes in, avoided endpoints out."""
+    """Which endpoints are usable after a series of outcomes."""
 
     def _play(self, suspicion, calls, shares, seed=1):
-        """Spreads calls over the usable endpoints; returns those of each."""
+        """Spreads calls over the usable endpoints; returns counts by name."""
         rng = random.Random(seed)
         counts = dict.fromkeys(NAMES, 0)
         for i in range(calls):
--- a/tests/gateway/test_waiting.py
+++ b/tests/gateway/test_waiting.py
@@ -1,4 +1,4 @@
-"""The queue of generations: replays of bursts and of lost engines."""
+"""The queue of generations that wait for capacity."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 
 
 class WaitQueueTest(unittest.TestCase):
-    """Who goes first, and who is refused at once."""
+    """The order of waiting requests, and which are refused at once."""
 
     def setUp(self):
         self.clock = ManualClock()
