--- a/rhubarbwinch/http/__init__.py
+++ b/rhubarbwinch/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP on both sides: servers, answers, event streams, connections."""
+"""HTTP servers, responses, event streams and client connections."""
--- a/rhubarbwinch/http/httpapi.py
+++ b/rhubarbwinch/http/httpapi.py
@@ -1,4 +1,4 @@
-"""The HTTP interface: requests, answers and routes over ASGI."""
+"""The HTTP interface: requests, responses and routes over ASGI."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -20,7 +20,7 @@
     """Ends a request with a failure.
 
     Args:
-        failure: What the caller is told.
+        failure: The failure that is sent to the caller.
     """
 
     def __init__(self, failure: Failure) -> None:
@@ -36,8 +36,8 @@
         method: The HTTP method.
         path: The path without the query.
         query: The query string.
-        headers: Names in lower case; the last of equal names counts.
-        body: The whole body.
+        headers: The headers by lower-case name; of repeated headers the last.
+        body: The complete body.
     """
 
     method: str
@@ -54,11 +54,11 @@
 
 
 class Responder:
-    """Sends one answer.
+    """Sends one response.
 
     Args:
         send: The ASGI function.
-        closing: Whether the connection ends with this answer.
+        closing: Whether the connection is closed after this response.
     """
 
     def __init__(self, send: ASGISendCallable, closing: bool = False) -> None:
@@ -68,11 +68,11 @@
 
     @property
     def started(self) -> bool:
-        """Whether the head has been sent."""
+        """Whether the response head has been sent."""
         return self._started
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Sends the head."""
+        """Sends the response head."""
         self._started = True
         if self._closing:
             headers = [*headers, (b"connection", b"close")]
@@ -92,17 +92,17 @@
         )
 
     async def whole(self, status: int, headers: Headers, data: bytes) -> None:
-        """Sends a whole answer."""
+        """Sends a complete response."""
         length = (b"content-length", str(len(data)).encode())
         await self.start(status, [*headers, length])
         await self.write(data, more=False)
 
     async def json(self, data: bytes, status: int = 200) -> None:
-        """Sends a whole JSON answer."""
+        """Sends a complete JSON response."""
         await self.whole(status, [(b"content-type", b"application/json")], data)
 
     async def problem(self, failure: Failure) -> None:
-        """Sends a failure, also in the middle of an event stream."""
+        """Sends a failure; within an event stream, as an error event."""
         data = problems.body(failure)
         if self._started:
             await self.write(b"event: error\ndata: " + data + b"\n\n", False)
@@ -116,7 +116,7 @@
 
 @attrs.frozen
 class Route:
-    """A handler for a method and all paths that start with a prefix."""
+    """A handler for a method and all paths with a prefix."""
 
     method: str
     prefix: str
@@ -124,15 +124,16 @@
 
 
 class App:
-    """An ASGI application of routes.
+    """An ASGI application with routes.
 
     Args:
-        max_body_bytes: A longer body is refused.
-        body_timeout_ms: A body that takes longer is refused.
+        max_body_bytes: The maximum size of a request body.
+        body_timeout_ms: The time limit for receiving a request body.
 
     Attributes:
-        is_closing: Returns whether the program takes no new work; then each
-            answer ends its connection, and none is left idle at the end.
+        is_closing: Returns whether the program is shutting down. In this case
+            each response closes its connection, so that no idle connection is
+            left at the end.
     """
 
     def __init__(
@@ -144,7 +145,7 @@
         self._routes: list[Route] = []
 
     def route(self, method: str, prefix: str, handle: Handler) -> None:
-        """Adds a route; `*` stands for any method."""
+        """Adds a route; `*` matches any method."""
         self._routes.append(Route(method, prefix, handle))
 
     async def __call__(
@@ -182,7 +183,10 @@
         raise Refused(not_run(Reason.TOO_SLOW, detail))
 
     def _must_close(self, scope: Any) -> bool:
-        """Tells whether the connection ends; HTTP/2 has its own way."""
+        """Returns whether to close the connection after the response.
+
+        HTTP/2 connections are closed by other means.
+        """
         return self.is_closing() and scope["http_version"].startswith("1")
 
     async def _read(self, scope: Any, receive: ASGIReceiveCallable) -> Request:
--- a/rhubarbwinch/http/httpbody.py
+++ b/rhubarbwinch/http/httpbody.py
@@ -1,19 +1,23 @@
-"""Bodies of HTTP/1.1 answers, cut out of the bytes of a connection."""
+"""Reads the bodies of HTTP/1.1 responses from received bytes."""
 
 import re
 
 import h11
 
 MAX_LINE_BYTES = 4096
-# At most 6 digits, so a chunk has less than 16 MiB.
+# At most 6 digits, so a chunk is smaller than 16 MiB.
 _SIZE = re.compile(rb"([0-9A-Fa-f]{1,6})[ \t]*(?:;|$)")
 
 
 class Body:
-    """A body whose end is known by its length or by the connection's end.
+    """A body that is delimited by its length or by the connection's close.
 
     Args:
-        length: The number of bytes; None if the connection's end ends it.
+        length: The number of bytes; None if the close delimits the body.
+
+    Attributes:
+        is_complete: Whether the whole body has been received.
+        rest: Received bytes that `feed` has not used.
     """
 
     def __init__(self, length: int | None) -> None:
@@ -23,7 +27,7 @@
 
     @property
     def ends_with_connection(self) -> bool:
-        """Whether the end of the connection is the end of the body."""
+        """Whether the body is delimited by the connection's close."""
         return self._left is None
 
     def feed(self, data: bytes) -> bytes:
@@ -37,11 +41,11 @@
 
 
 class ChunkedBody(Body):
-    """A body in chunks, each led by its length."""
+    """A body with chunked transfer encoding."""
 
     def __init__(self) -> None:
         super().__init__(-1)
-        # Bytes left of the chunk, its line end included; 0 between chunks.
+        # Remaining bytes of the chunk with its line end; 0 between chunks.
         self._chunk = 0
         self._in_trailer = False
 
@@ -49,7 +53,7 @@
         """Returns the bytes of the body in `data`.
 
         Raises:
-            ValueError: The chunks are not well formed.
+            ValueError: The chunks are malformed.
         """
         data = self.rest + data if self.rest else data
         parts: list[bytes] = []
@@ -73,14 +77,14 @@
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
     def _take_chunk(self, data: bytes, at: int, end: int) -> bytes:
-        """Returns what is left of a chunk that ends in `data`."""
+        """Returns the rest of a chunk that ends within `data`."""
         if data[end - 2 : end] != b"\r\n":
             raise ValueError("a chunk without its line end")
         self._chunk = 0
         return data[at : end - 2]
 
     def _take_part(self, data: bytes, at: int, parts: list[bytes]) -> int:
-        """Takes the start of a chunk; returns where its rest begins."""
+        """Adds the received part of a chunk; returns the end of the part."""
         # The last two bytes of a chunk are its line end, not content.
         end = min(len(data), at + self._chunk - 2)
         parts.append(data[at:end])
@@ -88,7 +92,7 @@
         return end
 
     def _read_line(self, line: bytes) -> None:
-        """Reads the length of a chunk, or a line of the trailer."""
+        """Parses the length of a chunk, or a line of the trailer."""
         if self._in_trailer:
             self.is_complete = not line
             return
@@ -108,10 +112,10 @@
 
 
 def make_body(method: bytes, head: h11.Response) -> Body:
-    """Returns the reader for the body that an answer's head announces.
+    """Returns a reader for the body that a response head describes.
 
     Raises:
-        ValueError: The head is contradictory.
+        ValueError: The content length is not a number.
     """
     if method == b"HEAD" or head.status_code in (204, 304):
         return Body(0)
--- a/rhubarbwinch/http/httpserver.py
+++ b/rhubarbwinch/http/httpserver.py
@@ -1,8 +1,9 @@
-"""Serves HTTP, and ends without cutting off a request.
+"""Serves HTTP and shuts down without dropping a request.
 
 hypercorn's own server closes idle connections first and its listeners after
-them, so a connection that was accepted just then is closed with its request
-unread. Here the listeners go first, and what they have accepted is answered.
+them, so a connection accepted in between is closed with its request unread.
+This server closes the listeners first and serves the connections that they have
+accepted.
 """
 
 import asyncio
@@ -33,7 +34,11 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, closing: anyio.Event) -> None:
-        """Serves until `closing` is set and open requests are answered."""
+        """Serves until `closing` is set, then finishes the open requests.
+
+        Connections accepted last have `LINGER_S` to send their requests. Open
+        requests have `CLOSE_S` to finish.
+        """
         sockets = self._config.create_sockets()
         secure = self._config.create_ssl_context()
         servers = [
--- a/rhubarbwinch/http/problems.py
+++ b/rhubarbwinch/http/problems.py
@@ -1,4 +1,4 @@
-"""Failures as HTTP answers: problem details (RFC 9457) with the verdict."""
+"""Formats failures as HTTP problem details (RFC 9457) with the verdict."""
 
 import orjson
 
@@ -37,7 +37,7 @@
 
 
 def body(failure: Failure) -> bytes:
-    """Returns the problem object; `error` is what OpenAI clients read."""
+    """Returns the problem object; OpenAI clients read its `error` member."""
     return orjson.dumps(
         {
             "type": TYPE_PREFIX + failure.reason,
@@ -55,7 +55,7 @@
 
 
 def headers(failure: Failure) -> list[tuple[bytes, bytes]]:
-    """Returns the headers of a problem's answer."""
+    """Returns the headers of a problem response."""
     found = [
         (b"content-type", CONTENT_TYPE),
         (VERDICT_HEADER, failure.verdict.encode()),
--- a/rhubarbwinch/http/sse.py
+++ b/rhubarbwinch/http/sse.py
@@ -1,7 +1,7 @@
-"""Server-sent events: splitting a byte stream and reading event ids.
+"""Splits byte streams into server-sent events and reads their fields.
 
-The relay handles each event of each stream, so what it needs of an event is
-found by scanning; JSON is parsed only where a scan can't decide.
+The relay handles each event of each stream, so it finds the fields by scanning.
+JSON is parsed only where a scan cannot decide.
 """
 
 from typing import Any
@@ -23,31 +23,31 @@
     """One event of a generation.
 
     Attributes:
-        raw: The event's bytes, with the empty line that ends it.
+        raw: The bytes of the event, including the empty line at its end.
     """
 
     raw: bytes
 
     @property
     def is_done(self) -> bool:
-        """Whether this is the mark that ends the stream."""
+        """Whether this is the event that ends the stream."""
         return self.raw == DONE
 
     @property
     def is_comment(self) -> bool:
-        """Whether this only keeps the connection alive."""
+        """Whether this is a comment, sent to keep the connection alive."""
         return self.raw.startswith(b":")
 
     @property
     def is_error(self) -> bool:
-        """Whether the engine reports that the generation failed."""
+        """Whether the engine reports that the generation has failed."""
         return self.raw.startswith(b"event: error")
 
     @property
     def is_last_token(self) -> bool:
         """Whether the generation is complete with this event.
 
-        A quotation mark inside a JSON text is escaped, so the scan can't
+        Quotation marks within JSON strings are escaped, so the scan cannot
         mistake the text of a token for the field.
         """
         if _UNFINISHED in self.raw:
@@ -56,7 +56,7 @@
 
     @property
     def id(self) -> EventId | None:
-        """The generation and the index; only the first line is read."""
+        """The generation and index, if the first line is the event's id."""
         if not self.raw.startswith(b"id:"):
             return None
         line = self.raw[3 : self.raw.index(b"\n")]
@@ -83,21 +83,21 @@
 
 
 def join(found: list[StreamEvent]) -> bytes:
-    """Returns the bytes of events that go out in one send."""
+    """Returns the bytes of several events, for one write."""
     if len(found) == 1:
         return found[0].raw
     return b"".join([event.raw for event in found])
 
 
 class Splitter:
-    """Cuts received bytes into events."""
+    """Splits received bytes into events."""
 
     def __init__(self) -> None:
         self._rest = b""
 
     @property
     def rest(self) -> bytes:
-        """What has come of an event that is not complete."""
+        """The received bytes of an incomplete event."""
         return self._rest
 
     def feed(self, data: bytes) -> list[StreamEvent]:
@@ -111,7 +111,7 @@
         if b"\r" in data:
             data = data.replace(b"\r\n", b"\n")
         if data.find(_END) == len(data) - 2 >= 0:
-            # One whole event is what a read holds nearly always.
+            # Nearly all reads return exactly one complete event.
             self._rest = b""
             return [StreamEvent(data)]
         parts = data.split(_END)
--- a/rhubarbwinch/http/transport.py
+++ b/rhubarbwinch/http/transport.py
@@ -1,8 +1,8 @@
-"""An httpx transport whose cost for each read of a long stream is small.
+"""An httpx transport with a low cost per read of a long stream.
 
-The heads of requests and answers are left to `h11`. What comes many times a
-stream, the chunks of its body, is cut by scanning, without a timer, a lock or
-an event object for each read. It speaks HTTP/1.1 over TCP without TLS.
+`h11` handles the heads of requests and responses. The body's chunks, of which a
+stream has many, are split by scanning, without a timer, a lock or an event
+object per read. The transport supports HTTP/1.1 over TCP without TLS.
 """
 
 import asyncio
@@ -18,32 +18,34 @@
 from rhubarbwinch.http.httpbody import Body, make_body
 
 MAX_HEAD_BYTES = 64 << 10
-# Reading stops while so much waits for the caller, and goes on below.
+# Reading is paused when more bytes than this wait for the caller, and resumed
+# when the caller has taken them.
 MAX_WAITING_BYTES = 256 << 10
 MAX_IDLE_CONNECTIONS = 1024
 IDLE_S = 20.0
-# An endpoint closes an idle connection at the time that it announces; a
-# request sent shortly before could cross the close.
+# An endpoint closes an idle connection at the time that it announces. A request
+# sent shortly before could cross the close, so the connection is not used then.
 KEEP_ALIVE_MARGIN_S = 0.5
-# Answers to earlier requests that may stand before the expected one.
+# Number of responses to earlier requests that may precede the expected one.
 MAX_STALE_ANSWERS = 4
-# Some round trips; a lost packet makes a live endpoint look gone.
+# Several round-trip times, since with a shorter time-out a lost packet makes a
+# live endpoint look unreachable.
 PROBE_S = 0.4
 _KEEP_ALIVE = re.compile(rb"timeout=(\d{1,6})")
 
-# Tells whether the head of an answer belongs to the request that was sent.
+# Returns whether a response head belongs to the request that was sent.
 AnswerCheck = Callable[[h11.Response], bool]
 
 
 @attrs.frozen
 class TransportOptions:
-    """How connections are kept.
+    """How connections are kept open.
 
     Attributes:
-        idle_s: How long an idle connection is kept when the endpoint does not
-            announce a time.
-        dead_peer_ms: A connection whose peer acknowledges nothing for so
-            long, sent bytes or probes, is closed; 0 leaves it to the system.
+        idle_s: How long an idle connection is kept if the endpoint announces no
+            time.
+        dead_peer_ms: A connection is closed if its peer acknowledges neither
+            sent bytes nor probes for this time; 0 leaves it to the system.
     """
 
     idle_s: float = IDLE_S
@@ -51,10 +53,11 @@
 
 
 class _Timer:
-    """Fails a wait for bytes; made again only when it has fired early.
+    """Fails a wait for bytes at its deadline.
 
-    Moving a deadline costs a comparison, where a new timer for each read
-    costs more than the read.
+    A new event loop timer for each read would cost more than the read. A wait
+    therefore only sets a new deadline, and a timer that fires before the
+    deadline is scheduled again.
     """
 
     def __init__(self, connection: "Connection") -> None:
@@ -64,7 +67,7 @@
         self._deadline = 0.0
 
     def start(self, seconds: float | None) -> None:
-        """Sets the deadline of the wait that begins."""
+        """Sets the deadline of a new wait."""
         if seconds is None:
             self._deadline = 0.0
             return
@@ -73,11 +76,11 @@
             self._handle = self._loop.call_at(self._deadline, self._fire)
 
     def stop(self) -> None:
-        """Ends the wait."""
+        """Clears the deadline."""
         self._deadline = 0.0
 
     def close(self) -> None:
-        """Drops the timer."""
+        """Cancels the timer."""
         if self._handle is not None:
             self._handle.cancel()
             self._handle = None
@@ -93,7 +96,7 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection to an endpoint, for one request at a time."""
+    """A connection to an endpoint, for one request at a time."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -130,14 +133,15 @@
         self.is_open = True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Ends a body that has no length; fails what is waited for."""
+        """Completes a body without a length; otherwise fails the request."""
         self.is_open = False
         self._timer.close()
         has_no_length = self._body is not None and (
             self._body.ends_with_connection
         )
         if has_no_length and exc is None and self._error is None:
-            # After a reset the rest of such a body is missing.
+            # Only a clean close completes such a body. After a reset, the rest
+            # is missing.
             assert self._body is not None
             self._body.is_complete = True
             self._wake()
@@ -147,20 +151,20 @@
             self._can_write.set_result(None)
 
     def pause_writing(self) -> None:
-        """Makes the sender wait."""
+        """Blocks senders until the write buffer has drained."""
         self._can_write = self._loop.create_future()
 
     def resume_writing(self) -> None:
-        """Lets the sender go on."""
+        """Unblocks the sender."""
         if self._can_write is not None and not self._can_write.done():
             self._can_write.set_result(None)
         self._can_write = None
 
     def data_received(self, data: bytes) -> None:
-        """Takes bytes of the answer."""
+        """Parses received bytes of the response."""
         try:
             if not self.is_used:
-                # An endpoint has nothing to say before it is asked.
+                # Bytes without a request belong to no response.
                 self.abort()
                 return
             if self._head is None:
@@ -172,7 +176,7 @@
         self._wake()
 
     def fail(self, error: httpx.TransportError) -> None:
-        """Ends the request with an error; the connection is of no more use."""
+        """Fails the request and closes the connection."""
         if self._error is None:
             self._error = error
         self._wake()
@@ -187,13 +191,14 @@
     async def exchange(
         self, request: httpx.Request, timeout_s: float | None
     ) -> h11.Response:
-        """Sends a request and returns the head of its answer.
+        """Sends a request and returns its response head.
 
-        The extension `target` of the request replaces the path of its URL, and
-        `is_answer` passes over answers to earlier requests.
+        The request extension `target` replaces the path of the URL. The
+        extension `is_answer` is a predicate of response heads; responses that
+        do not satisfy it belong to earlier requests and are skipped.
 
         Raises:
-            httpx.TransportError: It failed; bytes may have been sent.
+            httpx.TransportError: The request failed; bytes may have been sent.
         """
         self.is_used = True
         self._error = None
@@ -204,7 +209,7 @@
         head = h11.Request(
             method=method, target=target, headers=request.headers.raw
         )
-        # The first bytes go out with the head, in one packet.
+        # The start of the body is sent with the head, in one packet.
         data = self._http.send(head) or b""
         assert isinstance(request.stream, httpx.AsyncByteStream)
         async for part in request.stream:
@@ -219,10 +224,11 @@
         return self._head
 
     async def body(self, timeout_s: float | None) -> AsyncIterator[bytes]:
-        """Yields the body as it comes; all that has come in one piece.
+        """Yields the body as it arrives, all available bytes at once.
 
         Raises:
-            httpx.TransportError: The body was cut, garbled or silent.
+            httpx.TransportError: The body was cut off, was malformed or timed
+                out.
         """
         body = self._body
         assert body is not None
@@ -235,7 +241,7 @@
                 await self._wait(timeout_s)
 
     def reset(self) -> bool:
-        """Prepares for the next request; False if there can't be one."""
+        """Prepares for another request; returns False if that is impossible."""
         body, self._body = self._body, None
         head, self._head = self._head, None
         is_whole = body is not None and body.is_complete and not self._arrived
@@ -244,7 +250,7 @@
         if body is not None and (body.rest or body.ends_with_connection):
             return False
         if self._transport.get_write_buffer_size():
-            # The endpoint answered before it had read the whole request.
+            # The endpoint responded before it had read the whole request.
             return False
         options = dict(head.headers).get(b"connection", b"").lower()
         if b"close" in options or head.http_version < b"1.1":
@@ -270,7 +276,7 @@
             raise self._error
 
     def _read_head(self, data: bytes) -> bytes:
-        """Reads the answer's head; returns the bytes of the body."""
+        """Parses the response head; returns the received bytes of the body."""
         while True:
             self._http.receive_data(data)
             event = self._http.next_event()
@@ -286,10 +292,11 @@
             data = self._pass_over(body, data)
 
     def _pass_over(self, body: Body, data: bytes) -> bytes:
-        """Skips an answer to an earlier request; returns what follows it.
+        """Skips a response to an earlier request; returns the bytes after it.
 
         Raises:
-            ValueError: Its end can't be known, or there are too many.
+            ValueError: The end of the response is unknown, or there are too
+                many such responses.
         """
         self._stale_answers += 1
         body.feed(data)
@@ -299,7 +306,8 @@
         self._http = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
         )
-        # An answer is read only by a connection that has sent a request.
+        # h11 parses a response only after a request, so a dummy request is
+        # passed to it, whose bytes are not sent.
         self._http.send(
             h11.Request(
                 method=self._method, target=b"/", headers=[(b"host", b"-")]
@@ -318,7 +326,7 @@
             self._transport.pause_reading()
 
     def _pop(self) -> bytes:
-        """Returns all bytes that wait."""
+        """Returns all received bytes of the body that wait."""
         arrived = self._arrived
         data = arrived[0] if len(arrived) == 1 else b"".join(arrived)
         arrived.clear()
@@ -345,7 +353,7 @@
 
 
 class _Stream(httpx.AsyncByteStream):
-    """The body of an answer; returns its connection when it is closed."""
+    """The body of a response; releases its connection when closed."""
 
     def __init__(
         self,
@@ -363,15 +371,18 @@
         return self._connection.body(self._timeout_s)
 
     async def aclose(self) -> None:
-        """Returns the connection, or closes it in the middle of a body."""
+        """Releases the connection, or closes it within an unfinished body."""
         self._transport.give_back(self._key, self._connection)
 
 
 class Transport(httpx.AsyncBaseTransport):
-    """Keeps connections to endpoints and sends requests over them.
+    """Sends requests to endpoints over a pool of connections.
 
     Args:
-        options: How connections are kept.
+        options: How connections are kept open.
+
+    Attributes:
+        new_connections: The number of connections opened.
     """
 
     def __init__(self, options: TransportOptions | None = None) -> None:
@@ -383,15 +394,17 @@
     async def handle_async_request(
         self, request: httpx.Request
     ) -> httpx.Response:
-        """Sends a request; the body of the answer is read as it comes.
+        """Sends a request; the response body is streamed.
 
-        The extension `max_idle_s` of the request bounds how long the
-        connection may have been idle; 0 asks for a new one.
+        The request extension `max_idle_s` limits how long the connection may
+        have been idle; 0 demands a new one.
 
         Raises:
-            httpx.ConnectError: There is no connection; nothing was sent.
-            httpx.ConnectTimeout: None came in time; nothing was sent.
-            httpx.TransportError: It failed later; bytes may have been sent.
+            httpx.ConnectError: No connection was made; nothing was sent.
+            httpx.ConnectTimeout: No connection was made in time; nothing was
+                sent.
+            httpx.TransportError: The request failed later; bytes may have been
+                sent.
         """
         if request.url.scheme != "http":
             raise httpx.UnsupportedProtocol("only http:// is supported")
@@ -426,7 +439,10 @@
         self._idle_count = 0
 
     def give_back(self, key: str, connection: Connection) -> None:
-        """Takes a connection back whose answer has been read or given up."""
+        """Returns a connection to the pool, or closes it.
+
+        It is closed if it can't be reused or the pool is full.
+        """
         if self._idle_count >= MAX_IDLE_CONNECTIONS or not connection.reset():
             connection.abort()
             return
@@ -434,7 +450,7 @@
         self._idle_count += 1
 
     async def is_unreachable(self, key: str) -> bool:
-        """Tells whether an endpoint accepts no new connection."""
+        """Returns whether an endpoint accepts no new connections."""
         host, _, port = key.rpartition(":")
         try:
             connection = await _connect(host, int(port), PROBE_S, self._options)
@@ -450,7 +466,7 @@
             connection.abort()
 
     def _take_idle(self, key: str, max_idle_s: float) -> Connection | None:
-        """Returns the connection used last that is still good."""
+        """Returns the usable idle connection that was used last, or None."""
         connections = self._idle.get(key)
         now = asyncio.get_running_loop().time()
         while connections:
@@ -460,7 +476,8 @@
             if connection.keep_alive_s is not None:
                 limit_s = connection.keep_alive_s - KEEP_ALIVE_MARGIN_S
             if connection.is_open and max_idle_s <= idle_s < limit_s:
-                # It is good for a request that may be repeated.
+                # The connection stays in the pool for requests that may be
+                # retried, which accept a longer idle time.
                 return None
             connections.pop()
             self._idle_count -= 1
@@ -477,7 +494,7 @@
 
     Raises:
         httpx.ConnectError: The endpoint can't be reached.
-        httpx.ConnectTimeout: It was not reached in time.
+        httpx.ConnectTimeout: The endpoint was not reached in time.
     """
     loop = asyncio.get_running_loop()
     try:
@@ -493,15 +510,15 @@
 
 
 def probe_dead_peer(link: socket.socket, limit_ms: int) -> None:
-    """Makes the system close a connection whose peer is silent.
+    """Makes the operating system close a connection to a silent peer.
 
     Args:
-        link: The connection's socket.
+        link: The socket of the connection.
         limit_ms: How long sent bytes or probes may stay unacknowledged.
     """
     link.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, limit_ms)
     link.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    # The system counts in whole seconds.
+    # These options are in whole seconds.
     seconds = max(1, limit_ms // 2000)
     link.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, seconds)
     link.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, seconds)
--- a/rhubarbwinch/links/__init__.py
+++ b/rhubarbwinch/links/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between our processes, and what carries them."""
+"""The messages between processes and their transports."""
--- a/rhubarbwinch/links/broadcast.py
+++ b/rhubarbwinch/links/broadcast.py
@@ -1,8 +1,8 @@
-"""Small typed messages to all peers at once, by UDP.
+"""Broadcasts small typed messages to all peers by UDP.
 
-A message is encoded once, and costs each peer one datagram and no connection.
-Datagrams get lost at times, so a message must be one that is sent again, or
-whose loss its receiver notices.
+A message is encoded once and costs one datagram per peer and no connection.
+Datagrams may be lost, so each message must either be repeated or be of a kind
+whose loss the receiver notices.
 """
 
 import asyncio
@@ -16,14 +16,15 @@
 
 T = TypeVar("T")
 
-# What fits a packet of the usual network, with room for the name of the
-# message; larger ones would be lost with any one of their fragments.
+# Fits into one packet of a usual network, with space for the name of the
+# message class. A larger datagram would be fragmented and lost with any one
+# fragment.
 MAX_MESSAGE_BYTES = 1_350
 _SEPARATOR = b"\0"
 
 
 class Broadcast(asyncio.DatagramProtocol):
-    """Sends to all known peers, and takes what peers send.
+    """Sends messages to all known peers and receives theirs.
 
     Args:
         address: `a.b.c.d:port` at which peers reach this process.
@@ -36,19 +37,19 @@
         self._transport: asyncio.DatagramTransport | None = None
 
     def on(self, kind: type[T], handle: Callable[[T], None]) -> None:
-        """Sets the function that takes messages of a class."""
+        """Sets the handler for messages of a class."""
         self._handlers[kind.__name__.encode()] = (kind, handle)
 
     def add(self, address: str) -> None:
-        """Sends to a peer from now on."""
+        """Adds a peer to the receivers of all later messages."""
         self._peers[address] = misc.split_address(address)
 
     def forget(self, address: str) -> None:
-        """Sends no more to a peer that is gone."""
+        """Removes a peer that is gone from the receivers."""
         self._peers.pop(address, None)
 
     def send(self, message: Any) -> None:
-        """Sends a message to all peers; it never waits."""
+        """Sends a message to all peers without blocking."""
         if self._transport is None:
             return
         kind = type(message).__name__.encode()
@@ -57,7 +58,7 @@
             self._transport.sendto(data, address)
 
     async def run(self) -> None:
-        """Takes messages until cancelled."""
+        """Receives messages until cancelled."""
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
             lambda: self, local_addr=misc.split_address(self._address)
@@ -70,7 +71,7 @@
             transport.close()
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Hands a message to its function; a bad one is logged."""
+        """Calls the handler of a message; logs a malformed message."""
         kind, _, body = data.partition(_SEPARATOR)
         known = self._handlers.get(kind)
         try:
@@ -80,11 +81,11 @@
         except CodecError as error:
             events.PEER_REFUSED.log(sender=str(addr), error=str(error))
         except Exception as error:
-            # One message that can't be handled must not end the others.
+            # A failed handler must not stop the handling of later messages.
             events.HANDLER_FAILED.log(
                 message=kind[:40].decode("latin-1"), error=repr(error)
             )
 
     def error_received(self, exc: Exception) -> None:
-        """Logs what the system says of a datagram, such as a closed port."""
+        """Logs a network error of a datagram, such as a closed port."""
         events.DATAGRAM_FAILED.log(error=repr(exc))
--- a/rhubarbwinch/links/links.py
+++ b/rhubarbwinch/links/links.py
@@ -1,7 +1,9 @@
-"""Links between processes: typed calls over ZeroMQ, one peer a socket.
+"""Links between processes: typed calls over ZeroMQ, one socket per peer.
 
-Each frame list is (protocol version, kind, sender's incarnation, sequence
-number, body). An answer repeats the incarnation and number of its call.
+A message has three frames: a header of protocol version, incarnation of the
+calling process and sequence number; the name of the message class; the body. A
+reply repeats the incarnation and sequence number of its call. The number 0
+marks a message without a reply.
 """
 
 import asyncio
@@ -33,9 +35,9 @@
 _MAX_QUEUED = 10_000
 _MAX_MESSAGE_BYTES = 4 << 20
 _MAX_HANDLING = 20_000
-# How long a message waits for a connection that is being made.
+# How long a message waits while a connection is being established.
 _CONNECT_MS = 250
-# The kind of an answer to a call whose handler failed.
+# The kind of a reply to a call whose handler failed.
 _FAILED = "!failed"
 
 
@@ -49,7 +51,7 @@
 
 @attrs.define
 class LinkCounters:
-    """What links dropped; for metrics and tests."""
+    """Counts of dropped and failed messages, for metrics and tests."""
 
     unknown_answers: int = 0
     refused: int = 0
@@ -59,7 +61,7 @@
 
 @attrs.frozen
 class _Handler:
-    """A message's class and the function that answers it."""
+    """A message class and its handler."""
 
     kind: type
     answer: Callable[[Any], Awaitable[Any]]
@@ -71,11 +73,12 @@
 
 
 class LinkServer:
-    """Answers calls of peers.
+    """Handles calls from peers.
 
     Args:
         address: `a.b.c.d:port` to listen on.
-        keys: Encrypts and authenticates peers; None leaves links open.
+        keys: The key pair for encryption and authentication; with None, links
+            are neither encrypted nor authenticated.
     """
 
     def __init__(self, address: str, keys: LinkKeys | None = None) -> None:
@@ -86,11 +89,11 @@
         self._handling = 0
 
     def on(self, kind: type[T], answer: Callable[[T], Awaitable[Any]]) -> None:
-        """Sets the function that answers messages of a class."""
+        """Sets the handler for messages of a class; it returns the reply."""
         self._handlers[kind.__name__] = _Handler(kind, answer)
 
     async def run(self) -> None:
-        """Serves until cancelled; each call runs in a task of its own."""
+        """Serves until cancelled; each call is handled in its own task."""
         context = zmq.asyncio.Context.instance()
         socket = context.socket(zmq.ROUTER)
         socket.setsockopt(zmq.LINGER, 0)
@@ -110,7 +113,8 @@
         finally:
             socket.close()
             if authenticator is not None:
-                # A closed socket frees its address late; a restart needs it.
+                # Unbinding frees the address at once, which a restart in this
+                # process needs; closing the socket frees it later.
                 authenticator.zap_socket.unbind(_ZAP_ADDRESS)
                 authenticator.stop()
 
@@ -128,17 +132,18 @@
     async def _answer_checked(
         self, socket: zmq.asyncio.Socket, frames: list[bytes]
     ) -> None:
-        """Answers a message.
+        """Handles a message and sends its reply.
 
         Raises:
             ValueError: The frames are not a message.
             struct.error: The header is too short or too long.
-            CodecError: It is of another version or of an unknown kind.
+            CodecError: The message has another protocol version or an unknown
+                kind, or its body can't be decoded.
         """
         peer, header, kind, body = frames
         version, incarnation, number = _HEADER.unpack(header)
         if version != PROTOCOL_VERSION:
-            raise CodecError(f"protocol version {version}")
+            raise CodecError(f"unsupported protocol version {version}")
         handler = self._handlers.get(kind.decode())
         if handler is None:
             raise CodecError(f"unknown message {kind!r}")
@@ -150,11 +155,11 @@
     async def _handle(
         self, handler: _Handler, message: Any, incarnation: int, number: int
     ) -> list[bytes]:
-        """Returns the answer's frames; none if there is no answer."""
+        """Returns the frames of the reply; none if there is no reply."""
         try:
             answer = await handler.answer(message)
         except Exception as error:
-            # One message that can't be handled must not end the others.
+            # A failed handler must not stop the handling of other messages.
             self.counters.failed += 1
             events.HANDLER_FAILED.log(
                 message=handler.kind.__name__, error=repr(error)
@@ -167,7 +172,7 @@
 
 
 def _serve_keys(socket: zmq.asyncio.Socket, keys: LinkKeys | None) -> Any:
-    """Makes a socket accept only peers that hold the same key pair."""
+    """Makes a socket accept only peers that have the same key pair."""
     if keys is None:
         return None
     from zmq.auth.asyncio import AsyncioAuthenticator  # noqa: PLC0415
@@ -189,7 +194,7 @@
         self._public = public.encode()
 
     def callback(self, domain: str, key: bytes) -> bool:
-        """Tells whether a peer's public key, in Z85, may connect."""
+        """Returns whether a peer with this public key, in Z85, may connect."""
         known = hmac.compare_digest(key, self._public)
         if not known:
             events.PEER_REFUSED.log(error="a peer with another key")
@@ -197,7 +202,7 @@
 
 
 class Links:
-    """Calls peers, over one socket and one receiving task for each.
+    """Calls peers, with one socket and one receiving task per peer.
 
     Args:
         incarnation: This process's number, new at each start.
@@ -217,7 +222,7 @@
     async def run(
         self, *, task_status: Any = anyio.TASK_STATUS_IGNORED
     ) -> None:
-        """Keeps the receiving tasks until cancelled."""
+        """Runs the receiving tasks until cancelled."""
         try:
             async with anyio.create_task_group() as tasks:
                 self._tasks = tasks
@@ -230,13 +235,13 @@
     async def call(
         self, address: str, message: Any, answer: type[T], timeout_ms: int
     ) -> T:
-        """Sends a message and returns the peer's answer.
+        """Sends a message and returns the peer's reply.
 
         Raises:
             LinkError: The message was not sent.
-            LinkTimeout: No answer came in time, or the peer failed; it may
-                have acted.
-            CodecError: The answer is of another kind; the peer has acted.
+            LinkTimeout: No reply arrived in time, or the peer's handler failed;
+                the peer may have acted.
+            CodecError: The reply is of another kind; the peer has acted.
         """
         number = next(self._numbers)
         waiting = _Waiting()
@@ -251,7 +256,7 @@
         finally:
             del self._waiting[number]
             if waiting.kind and not is_over:
-                # The answer came while the caller was being cancelled.
+                # The reply arrived while the call was being cancelled.
                 self._handle_late(waiting.kind, waiting.body)
         if not waiting.kind:
             raise LinkTimeout(f"{address} gave no answer in {timeout_ms} ms")
@@ -262,7 +267,7 @@
         return codec.decode(waiting.body, answer)
 
     async def send(self, address: str, message: Any) -> None:
-        """Sends a message that has no answer.
+        """Sends a message that has no reply.
 
         Raises:
             LinkError: The message was not sent.
@@ -272,7 +277,7 @@
     def on_late(
         self, kind: type[T], handle: Callable[[T], Awaitable[None]]
     ) -> None:
-        """Sets what is done with answers whose call has been given up."""
+        """Sets the handler for replies that arrive after their call ended."""
         self._late[kind.__name__] = _Handler(kind, handle)
 
     def forget(self, address: str) -> None:
@@ -291,13 +296,13 @@
             number,
             codec.encode(message),
         )
-        # Always a future; its type says only that it can be awaited.
+        # pyzmq returns a future, but declares only an awaitable.
         sending = asyncio.ensure_future(peer.socket.send_multipart(frames))
         try:
             if not sending.done():
                 await asyncio.wait({sending}, timeout=wait_ms / 1000)
         finally:
-            # What has not been taken yet must not go out later.
+            # A message that is not sent by now must not be sent later.
             sending.cancel()
         if sending.cancelled():
             raise LinkError(f"{address}: no connection in {wait_ms} ms")
@@ -311,12 +316,13 @@
         socket = zmq.asyncio.Context.instance().socket(zmq.DEALER)
         socket.setsockopt(zmq.LINGER, 0)
         socket.setsockopt(zmq.SNDHWM, _MAX_QUEUED)
-        # Without a connection nothing is queued: a message to a peer that is
-        # gone fails, and does not reach the peer after its sender gave up.
+        # Without a connection nothing is queued. A message to an unreachable
+        # peer fails and cannot arrive after its sender has given up.
         socket.setsockopt(zmq.IMMEDIATE, 1)
         socket.setsockopt(zmq.RECONNECT_IVL, 50)
         socket.setsockopt(zmq.RECONNECT_IVL_MAX, 1000)
-        # A stalled connection is given up, so that a new one can be made.
+        # Heartbeats close a stalled connection, so that a new one is
+        # established.
         socket.setsockopt(zmq.HEARTBEAT_IVL, 1000)
         socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, 3000)
         if self._keys is not None:
@@ -330,7 +336,7 @@
         return peer
 
     async def _receive(self, peer: "_Peer") -> None:
-        """Takes answers until the peer is forgotten; owns the socket."""
+        """Receives replies until the peer is forgotten; owns the socket."""
         try:
             with peer.scope:
                 while True:
@@ -346,17 +352,20 @@
             events.PEER_REFUSED.log(error=str(error))
 
     def _take(self, frames: list[bytes]) -> None:
-        """Hands an answer to its call.
+        """Passes a reply to its waiting call.
 
         Raises:
             ValueError: The frames are not a message.
             struct.error: The header is too short or too long.
-            CodecError: It is of another version or another process.
+            CodecError: The reply has another protocol version, or belongs to a
+                call of another process.
         """
         header, kind, body = frames
         version, incarnation, number = _HEADER.unpack(header)
         if version != PROTOCOL_VERSION or incarnation != self._incarnation:
-            raise CodecError(f"version {version}, incarnation {incarnation}")
+            raise CodecError(
+                f"reply with version {version}, incarnation {incarnation}"
+            )
         waiting = self._waiting.get(number)
         if waiting is None or waiting.kind:
             self._handle_late(kind.decode(), body)
@@ -366,7 +375,7 @@
         waiting.done.set()
 
     def _handle_late(self, kind: str, body: bytes) -> None:
-        """Counts an answer that nobody waits for, and has it undone."""
+        """Counts a reply without a waiting call; starts its late handler."""
         self.counters.unknown_answers += 1
         events.ANSWER_DROPPED.log(kind=kind)
         handler = self._late.get(kind)
@@ -386,7 +395,7 @@
 
 @attrs.frozen(eq=False)
 class _Peer:
-    """The socket to a peer and what ends its receiving task."""
+    """The socket to a peer and the cancel scope of its receiving task."""
 
     socket: zmq.asyncio.Socket
     scope: anyio.CancelScope = attrs.field(factory=anyio.CancelScope)
@@ -394,7 +403,7 @@
 
 @attrs.define
 class _Waiting:
-    """A call whose answer has not come."""
+    """A call that waits for its reply."""
 
     done: anyio.Event = attrs.field(factory=anyio.Event)
     kind: str = ""
--- a/rhubarbwinch/links/linktypes.py
+++ b/rhubarbwinch/links/linktypes.py
@@ -1,4 +1,4 @@
-"""What parts need of links: implemented over ZeroMQ and in memory."""
+"""Interfaces of links, implemented over ZeroMQ and in memory."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any, Protocol, TypeVar
@@ -12,11 +12,11 @@
     async def call(
         self, address: str, message: Any, answer: type[T], timeout_ms: int
     ) -> T:
-        """Sends a message and returns the peer's answer.
+        """Sends a message and returns the peer's reply.
 
         Raises:
             LinkError: The message was not sent.
-            LinkTimeout: No answer came in time; the peer may have acted.
+            LinkTimeout: No reply arrived in time; the peer may have acted.
         """
         ...
 
@@ -26,22 +26,22 @@
 
 
 class Listener(Protocol):
-    """Answers calls of peers."""
+    """Handles calls from peers."""
 
     def on(self, kind: type[T], answer: Callable[[T], Awaitable[Any]]) -> None:
-        """Sets the function that answers messages of a class."""
+        """Sets the handler for messages of a class; it returns the reply."""
         ...
 
 
 class RunningCaller(Caller, Protocol):
-    """Calls peers while it runs."""
+    """Calls peers while its `run` is active."""
 
     async def run(self) -> None:
-        """Keeps the connections until cancelled."""
+        """Runs the connections until cancelled."""
         ...
 
     async def send(self, address: str, message: Any) -> None:
-        """Sends a message that has no answer.
+        """Sends a message that has no reply.
 
         Raises:
             LinkError: The message was not sent.
@@ -51,12 +51,12 @@
     def on_late(
         self, kind: type[T], handle: Callable[[T], Awaitable[None]]
     ) -> None:
-        """Sets what is done with answers whose call has been given up."""
+        """Sets the handler for replies that arrive after their call ended."""
         ...
 
 
 class RunningListener(Listener, Protocol):
-    """Answers calls of peers while it runs."""
+    """Handles calls from peers while its `run` is active."""
 
     async def run(self) -> None:
         """Serves until cancelled."""
--- a/rhubarbwinch/links/memlinks.py
+++ b/rhubarbwinch/links/memlinks.py
@@ -1,4 +1,4 @@
-"""Links in memory, for tests and for programs that embed the parts."""
+"""Links in memory, for tests and for programs that embed components."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any, TypeVar
@@ -11,13 +11,13 @@
 
 T = TypeVar("T")
 
-# What the frames of a message and its kind add to the body.
+# Size of the message header.
 _HEADER_BYTES = 18
 
 
 @attrs.define
 class Traffic:
-    """What a node has sent and received, without the transport's headers."""
+    """The traffic of a node, without the transport's headers."""
 
     messages: int = 0
     octets: int = 0
@@ -30,18 +30,21 @@
 
 @attrs.frozen
 class _Handler:
-    """A message's class and the function that answers it."""
+    """A message class and its handler."""
 
     kind: type
     answer: Callable[[Any], Awaitable[Any]]
 
 
 class MemoryNetwork:
-    """Carries messages between the nodes of one process.
+    """Delivers messages between the nodes of one process.
 
     Args:
-        clock: The time that messages take.
-        latency_ms: The time in one direction.
+        clock: The source of time.
+        latency_ms: The delay of a message in one direction.
+
+    Attributes:
+        cut: The addresses of nodes that are disconnected.
     """
 
     def __init__(self, clock: Clock, latency_ms: int = 1) -> None:
@@ -51,17 +54,17 @@
         self._nodes: dict[str, MemoryLinks] = {}
 
     def node(self, address: str) -> "MemoryLinks":
-        """Adds a node; one that had the address before is replaced."""
+        """Adds a node; an earlier node at the address is replaced."""
         self._nodes[address] = MemoryLinks(self, address)
         return self._nodes[address]
 
     async def carry(
         self, source: str, address: str, message: Any, timeout_ms: int
     ) -> Any:
-        """Carries a message and its answer.
+        """Delivers a message and returns its reply.
 
         Raises:
-            LinkTimeout: One of the two nodes is cut off.
+            LinkTimeout: One of the two nodes is missing or disconnected.
         """
         if address not in self._nodes or self.cut & {source, address}:
             await self._clock.sleep(timeout_ms)
@@ -75,10 +78,10 @@
 
 
 class MemoryLinks:
-    """One node: calls others and answers them.
+    """One node, which calls others and handles their calls.
 
     Args:
-        network: Carries its messages.
+        network: Delivers its messages.
         address: Its own address.
     """
 
@@ -89,16 +92,17 @@
         self._handlers: dict[str, _Handler] = {}
 
     def on(self, kind: type[T], answer: Callable[[T], Awaitable[Any]]) -> None:
-        """Sets the function that answers messages of a class."""
+        """Sets the handler for messages of a class; it returns the reply."""
         self._handlers[kind.__name__] = _Handler(kind, answer)
 
     async def call(
         self, address: str, message: Any, answer: type[T], timeout_ms: int
     ) -> T:
-        """Sends a message and returns the peer's answer.
+        """Sends a message and returns the peer's reply.
 
         Raises:
-            LinkTimeout: No answer came.
+            LinkError: The peer gave no reply, or handles no such messages.
+            LinkTimeout: One of the two nodes is missing or disconnected.
         """
         sent = self._pass(message)
         found = await self._network.carry(
@@ -109,22 +113,22 @@
         return self._pass(found)
 
     async def send(self, address: str, message: Any) -> None:
-        """Sends a message that has no answer."""
+        """Sends a message that has no reply."""
         try:
             await self._network.carry(
                 self._address, address, self._pass(message), 0
             )
         except LinkTimeout:
-            # Nobody tells the sender of a message whether it arrived.
+            # A sender does not learn whether such a message has arrived.
             return
 
     def on_late(
         self, kind: type[T], handle: Callable[[T], Awaitable[None]]
     ) -> None:
-        """Does nothing; an answer comes before its call is given up."""
+        """Does nothing; replies in memory are never late."""
 
     async def receive(self, message: Any) -> Any:
-        """Answers a message; None if its class is not known."""
+        """Handles a message; returns its reply, None for unknown classes."""
         handler = self._handlers.get(type(message).__name__)
         if handler is None:
             return None
@@ -135,7 +139,7 @@
         """Does nothing; there are no connections."""
 
     def _pass(self, message: T) -> T:
-        """Returns a copy that shares nothing, and counts its bytes."""
+        """Counts a message; returns a copy without shared objects."""
         data = codec.encode(message)
         name = type(message).__name__
         self.traffic.count(len(data) + len(name) + _HEADER_BYTES)
--- a/rhubarbwinch/links/messages.py
+++ b/rhubarbwinch/links/messages.py
@@ -1,4 +1,4 @@
-"""The messages between the processes, as attrs classes."""
+"""The messages between processes, as attrs classes."""
 
 import enum
 
@@ -19,23 +19,23 @@
 
 @attrs.frozen
 class PermitRequest:
-    """An entry asks a pool's owner for a place at an endpoint.
+    """An entry's request to a pool's owner for a permit.
 
     Attributes:
-        request_id: The generation id; never used again.
-        entry: The member name of the entry that asks.
+        request_id: The generation id; never reused.
+        entry: The member name of the requesting entry.
         pool: `target/data-centre`; the target is a model or plain service.
         account: The client account.
-        service: The service that the request came in by.
+        service: The service that the caller used.
         interactive: Whether a person waits for the first token.
         prompt_tokens: The estimated length of the prompt.
-        max_tokens: The caller's bound on the output; 0 for plain services.
+        max_tokens: The caller's limit on the output; 0 for plain services.
         prefix: Hashes of the prompt's leading blocks, longest last.
-        fingerprint: Digest of account and content, for quarantine.
+        fingerprint: A digest of account and content, for quarantine.
         repeatable: Whether the request may run more than once.
         wait_ms: How long the request may wait in the queue.
-        avoid: Endpoint names that just failed this request.
-        traceparent: The span that asks (W3C), or empty.
+        avoid: Names of endpoints that have just failed this request.
+        traceparent: The span of the request (W3C Trace Context), or empty.
     """
 
     request_id: str
@@ -56,10 +56,10 @@
 
 @attrs.frozen
 class PermitGrant:
-    """A place at an endpoint.
+    """A permit: the right to run one request at an endpoint.
 
     Attributes:
-        request_id: The request that it is for.
+        request_id: The request that the permit is for.
         endpoint: The endpoint's name.
         address: The endpoint's `a.b.c.d:port`.
         priority: The engine priority; a lower number goes first.
@@ -73,7 +73,7 @@
 
 @attrs.frozen
 class PermitReply:
-    """The answer to a permit request: one of the two is set."""
+    """The reply to a permit request: one of the two fields is set."""
 
     grant: PermitGrant | None = None
     failure: Failure | None = None
@@ -81,13 +81,13 @@
 
 @attrs.frozen
 class PermitRelease:
-    """An entry gives a permit back.
+    """An entry's release of a permit.
 
     Attributes:
-        request_id: The request whose permit it was.
+        request_id: The request that the permit was for.
         pool: The permit's pool.
         end: How the request ended.
-        tokens: The tokens generated.
+        tokens: The number of generated tokens.
     """
 
     request_id: str
@@ -98,12 +98,14 @@
 
 @attrs.frozen
 class StreamProgress:
-    """An open stream; also rebuilds the view of a pool's new owner.
+    """The progress of an open stream.
+
+    A pool's new owner rebuilds its state from these too.
 
     Attributes:
-        request: The request as it was made.
-        endpoint: The endpoint that it runs on.
-        tokens: The tokens passed on so far.
+        request: The original permit request.
+        endpoint: The endpoint that the request runs on.
+        tokens: The number of tokens relayed so far.
     """
 
     request: PermitRequest
@@ -113,7 +115,7 @@
 
 @attrs.frozen
 class ProgressReport:
-    """An entry tells a pool's owner of all its open streams in the pool."""
+    """An entry's report of its open streams in a pool to the pool's owner."""
 
     entry: str
     pool: str
@@ -122,11 +124,11 @@
 
 @attrs.frozen
 class StreamGrowth:
-    """How far an open stream has come.
+    """The number of tokens of an open stream.
 
     Attributes:
-        key: `request_key` of its request id.
-        tokens: The tokens passed on so far.
+        key: The `request_key` of its request id.
+        tokens: The number of tokens relayed so far.
     """
 
     key: int
@@ -135,14 +137,14 @@
 
 @attrs.frozen
 class DigestReport:
-    """An entry's open streams in a pool, in a few bytes.
+    """A digest of an entry's open streams in a pool, in a few bytes.
 
     Attributes:
         entry: The member name of the entry.
         pool: The pool.
-        count: How many streams are open.
-        digest: The exclusive or of their keys.
-        grown: Streams that have grown much since they were last told.
+        count: The number of open streams.
+        digest: The exclusive or of the streams' keys.
+        grown: Streams that have grown much since their last report.
     """
 
     entry: str
@@ -154,14 +156,14 @@
 
 @attrs.frozen
 class DigestReply:
-    """A pool's owner tells whether it needs a `ProgressReport`."""
+    """The reply of a pool's owner: whether it needs a `ProgressReport`."""
 
     wants_all: bool = False
 
 
 @attrs.frozen
 class PriorityChange:
-    """A broker asks an entry to change a running stream's priority."""
+    """A broker's request to an entry to change a stream's priority."""
 
     request_id: str
     endpoint: str
@@ -170,7 +172,7 @@
 
 @attrs.frozen
 class StreamTake:
-    """An entry asks the entry that made a stream to leave the stream to it.
+    """An entry's request to take over a stream from the entry that started it.
 
     Attributes:
         generation: The generation id.
@@ -181,10 +183,11 @@
 
 @attrs.frozen
 class StreamTaken:
-    """The answer to `StreamTake`.
+    """The reply to `StreamTake`.
 
     Attributes:
-        request: The permit request of the stream; None if it is not held.
+        request: The permit request of the stream; None if the entry does not
+            have the stream.
         endpoint: The endpoint that the stream runs on.
     """
 
@@ -194,12 +197,12 @@
 
 @attrs.frozen
 class Ack:
-    """An empty answer."""
+    """An empty reply."""
 
 
 @attrs.frozen
 class ClaimQuestion:
-    """Asks a claim's owner whether it can still send.
+    """Asks a claim's owner whether it may still send the request.
 
     Attributes:
         token: The claim's token.
@@ -212,10 +215,11 @@
 
 @attrs.frozen
 class ClaimAnswer:
-    """The owner's answer.
+    """The reply to `ClaimQuestion`.
 
     Attributes:
-        unsent: The owner never sent under the token and never will.
+        unsent: Whether the owner has sent nothing under the token and never
+            will.
     """
 
     unsent: bool
--- a/tests/http/test_httpapi.py
+++ b/tests/http/test_httpapi.py
@@ -1,4 +1,4 @@
-"""Bad input through the real programs: a clear problem with its verdict."""
+"""Bad input to the real programs: each gets a problem with its verdict."""
 
 import json
 import socket
@@ -16,7 +16,7 @@
 
 
 class BadInputTest(GoldTestCase):
-    """One deployment; every test ends with a request that is served."""
+    """Bad input to one deployment; after each test a good call succeeds."""
 
     @classmethod
     def setUpClass(cls):
@@ -49,7 +49,7 @@
         self.assertLess(len(data["detail"]), 400)
 
     def _exchange(self, data):
-        """Sends bytes as they are and returns the whole answer."""
+        """Sends raw bytes and returns the complete response."""
         host, port = self.address.split(":")
         with socket.create_connection((host, int(port)), 20) as raw:
             raw.sendall(data)
--- a/tests/http/test_transport.py
+++ b/tests/http/test_transport.py
@@ -1,4 +1,4 @@
-"""The transport against a server that plays scripted bytes."""
+"""The transport against a server that sends scripted bytes."""
 
 import asyncio
 import socket
@@ -18,9 +18,9 @@
 
 
 class Script:
-    """A server that answers the n-th request by the n-th list of parts.
+    """A server that responds to the n-th request with the n-th list of parts.
 
-    A part is bytes, or an event to wait for; None closes the connection.
+    A part is bytes to send or an event to wait for; None closes the connection.
     """
 
     def __init__(self, *answers):
@@ -65,14 +65,14 @@
             asyncio.CancelledError,
             ConnectionError,
         ):
-            # The client or the test is done.
+            # The client has disconnected or the test has ended.
             return
         finally:
             writer.close()
 
 
 class TransportTest(unittest.TestCase):
-    """What callers of httpx expect of a transport."""
+    """Requests, connection reuse, time-outs and malformed responses."""
 
     @asynchronous
     async def test_whole_answers_share_a_connection(self):
@@ -182,7 +182,7 @@
             async with server.client.stream("GET", server.url) as answer:
                 async for _ in answer.aiter_raw():
                     break
-            # The connection is gone although the body had not ended.
+            # The connection was closed, since its body had not ended.
             self.assertEqual(server.client._transport._idle_count, 0)
 
     @asynchronous
@@ -209,7 +209,7 @@
 
 
 class StaleAnswerTest(unittest.TestCase):
-    """Answers that belong to other requests, and bodies cut by a reset."""
+    """Responses to other requests, and bodies that are cut off by a reset."""
 
     def _request(self, server, name):
         def is_mine(head):
@@ -249,7 +249,7 @@
             await writer.drain()
             await go_on.wait()
             link = writer.get_extra_info("socket")
-            # With no time to linger a close is a reset.
+            # With a linger time of 0, closing resets the connection.
             option = struct.pack("ii", 1, 0)
             link.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, option)
             writer.transport.abort()
--- a/tests/links/test_links.py
+++ b/tests/links/test_links.py
@@ -1,4 +1,4 @@
-"""Calls between processes: answers late, reordered, given up, garbled."""
+"""Calls between processes with late, reordered or malformed replies."""
 
 import asyncio
 import random
@@ -28,7 +28,7 @@
 
 
 class Desk:
-    """A server that holds each permit request until it is told to answer."""
+    """A server that delays the reply to a permit request until `open`."""
 
     def __init__(self):
         self.address = free_address()
@@ -60,7 +60,7 @@
 
 
 def _members(address):
-    """Returns members with one broker."""
+    """Returns the members of a deployment with one broker."""
     member = Member("broker-1", Role.BROKER, "dc-a", "r", 2, address, "")
     me = Member("entry-1", Role.ENTRY, "dc-a", "r", 1, "127.0.0.1:1", "")
     members = Members(me)
@@ -72,7 +72,7 @@
     """Links to a server in the same process, over real sockets."""
 
     async def _run(self, session):
-        """Runs a session with a desk and links; returns both."""
+        """Runs a session with a server and links; returns both."""
         desk, links = Desk(), Links(1)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(desk.server.run)
