--- a/rhubarbwinch/gateway/beliefs.py
+++ b/rhubarbwinch/gateway/beliefs.py
@@ -44,7 +44,7 @@
             elif change.key.startswith(platform.endpoint_prefix):
                 self._apply_endpoint(change, after_outage)
             elif change.key.startswith(platform.member_prefix):
-                self._apply_member(change)
+                self._apply_peer_registration(change)
         self._streams.note_change()
 
     def take_leaving(self, notice: LeavingNotice) -> None:
@@ -52,8 +52,10 @@
         if self._context.fleet.mark_leaving(
             notice.endpoint, notice.started_ms, self._context.clock.now()
         ):
-            self._note_endpoint(notice.endpoint, "says it leaves", 0, True)
-            self._note_leaving(notice.endpoint)
+            self._log_endpoint_change(
+                notice.endpoint, "says it leaves", 0, True
+            )
+            self._handle_leaving(notice.endpoint)
 
     def leaving_notices(self) -> list[LeavingNotice]:
         """Returns the known leaving endpoints, for a gateway that starts."""
@@ -65,10 +67,10 @@
     def expire(self) -> None:
         """Gives up endpoints whose expired entries were not renewed."""
         for known in self._context.fleet.expire(self._context.clock.now()):
-            self._note_endpoint(known.endpoint.id, "lapsed", 0, True)
-            self._note_leaving(known.endpoint.id)
+            self._log_endpoint_change(known.endpoint.id, "lapsed", 0, True)
+            self._handle_leaving(known.endpoint.id)
 
-    def _apply_member(self, change: Change) -> None:
+    def _apply_peer_registration(self, change: Change) -> None:
         """Applies another gateway's registration."""
         if change.entry is None:
             return
@@ -114,7 +116,7 @@
         endpoint_id = change.key.removeprefix(context.platform.endpoint_prefix)
         if change.entry is None:
             leaves = context.fleet.remove(endpoint_id, now, after_outage)
-            self._note_endpoint(
+            self._log_endpoint_change(
                 endpoint_id, "removed", change.revision, after_outage
             )
         else:
@@ -128,18 +130,18 @@
                     revision=change.revision,
                     error=str(error),
                 )
-                context.fleet.note_unreadable(endpoint_id)
+                context.fleet.mark_unreadable(endpoint_id)
                 return
             known = context.fleet.get(endpoint_id)
             if known is None or known.endpoint.state is not endpoint.state:
-                self._note_endpoint(
+                self._log_endpoint_change(
                     endpoint_id, endpoint.state, change.revision, after_outage
                 )
             leaves = context.fleet.put(endpoint, now)
         if leaves:
-            self._note_leaving(endpoint_id)
+            self._handle_leaving(endpoint_id)
 
-    def _note_endpoint(
+    def _log_endpoint_change(
         self, endpoint_id: str, state: str, revision: int, after_outage: bool
     ) -> None:
         events.ENDPOINT_CHANGED.log(
@@ -149,7 +151,7 @@
             after_outage=after_outage,
         )
 
-    def _note_leaving(self, endpoint_id: str) -> None:
+    def _handle_leaving(self, endpoint_id: str) -> None:
         known = self._context.fleet.get(endpoint_id)
         if known is None:
             return
--- a/rhubarbwinch/gateway/crashes.py
+++ b/rhubarbwinch/gateway/crashes.py
@@ -19,7 +19,7 @@
 MAX_CRASHES = 3
 # A request that crashes endpoints is retried within seconds. A request that was
 # suspected by chance may run again after this time.
-KEEP_MS = 60_000
+SUSPECT_RETENTION_MS = 60_000
 MAX_SUSPECTS = 2_000
 
 
@@ -63,41 +63,41 @@
     Args:
         is_gone: Returns whether an endpoint address accepts no connections.
         clock: The source of time.
-        tell: Broadcasts a crash to all gateways.
+        broadcast: Broadcasts a crash to all gateways.
     """
 
     def __init__(
         self,
         is_gone: Callable[[str], Awaitable[bool]],
         clock: Clock,
-        tell: Callable[[CrashNotice], None],
+        broadcast: Callable[[CrashNotice], None],
     ) -> None:
         self._is_gone = is_gone
         self._clock = clock
-        self._tell = tell
+        self._broadcast = broadcast
         self._suspects: dict[str, _Suspect] = {}
-        self._breaks: list[Break] = []
-        self._has_breaks = anyio.Event()
+        self._unchecked: list[Break] = []
+        self._has_unchecked = anyio.Event()
 
-    def suspect(self, found: Break) -> None:
+    def suspect(self, broken: Break) -> None:
         """Schedules a check whether the endpoint has crashed."""
-        self._breaks.append(found)
-        self._has_breaks.set()
+        self._unchecked.append(broken)
+        self._has_unchecked.set()
 
     async def run(self) -> None:
         """Checks endpoints that broke off responses, until cancelled."""
         while True:
-            await self._has_breaks.wait()
-            self._has_breaks = anyio.Event()
-            breaks, self._breaks = self._breaks, []
+            await self._has_unchecked.wait()
+            self._has_unchecked = anyio.Event()
+            unchecked, self._unchecked = self._unchecked, []
             async with anyio.create_task_group() as tasks:
-                for found in breaks:
-                    tasks.start_soon(self._look, found)
+                for broken in unchecked:
+                    tasks.start_soon(self._check, broken)
 
     def note(self, request: str, endpoint: str, now_ms: int) -> int:
         """Records a crash; returns the request's number of crashes."""
         suspect = self._suspects.setdefault(request, _Suspect())
-        if now_ms - suspect.last_ms > KEEP_MS:
+        if now_ms - suspect.last_ms > SUSPECT_RETENTION_MS:
             suspect.endpoints.clear()
         suspect.endpoints.add(endpoint)
         suspect.last_ms = now_ms
@@ -113,18 +113,20 @@
     def is_refused(self, request: str, now_ms: int) -> bool:
         """Returns whether a request is refused."""
         suspect = self._suspects.get(request)
-        if suspect is None or now_ms - suspect.last_ms > KEEP_MS:
+        if suspect is None or now_ms - suspect.last_ms > SUSPECT_RETENTION_MS:
             return False
         return len(suspect.endpoints) >= MAX_CRASHES
 
-    async def _look(self, found: Break) -> None:
-        if not await self._is_gone(found.address):
+    async def _check(self, broken: Break) -> None:
+        if not await self._is_gone(broken.address):
             return
-        count = self.note(found.fingerprint, found.endpoint, self._clock.now())
+        count = self.note(
+            broken.fingerprint, broken.endpoint, self._clock.now()
+        )
         events.CRASHED_UNDER.log(
-            request=found.request_id,
-            endpoint=found.endpoint,
-            fingerprint=found.fingerprint,
+            request=broken.request_id,
+            endpoint=broken.endpoint,
+            fingerprint=broken.fingerprint,
             crashes=count,
         )
-        self._tell(CrashNotice(found.fingerprint, found.endpoint))
+        self._broadcast(CrashNotice(broken.fingerprint, broken.endpoint))
--- a/rhubarbwinch/gateway/failurereports.py
+++ b/rhubarbwinch/gateway/failurereports.py
@@ -34,19 +34,20 @@
 
     Attributes:
         calls_each: Calls from one gateway to one endpoint in the window.
-        near: Number of gateways in this data centre, this one included.
+        local_gateways: Number of gateways in this data centre, this one
+            included.
         gateways: Number of all gateways, this one included.
         endpoints: The ids of the service's endpoints.
     """
 
     calls_each: float
-    near: int
+    local_gateways: int
     gateways: int
     endpoints: frozenset[str] = frozenset()
 
 
 @attrs.define
-class _Tally:
+class _EndpointReports:
     """The reports about one endpoint, each with its time of arrival."""
 
     reports: list[tuple[int, FailureNotice]] = attrs.field(factory=list)
@@ -55,7 +56,9 @@
     def add(self, report: FailureNotice, now_ms: int) -> None:
         """Adds a report, and drops those that have left the window."""
         self.reports = [
-            found for found in self.reports if now_ms - found[0] <= WINDOW_MS
+            arrival
+            for arrival in self.reports
+            if now_ms - arrival[0] <= WINDOW_MS
         ]
         self.reports.append((now_ms, report))
 
@@ -73,7 +76,7 @@
 
     def __init__(self, data_center: str) -> None:
         self._data_center = data_center
-        self._tallies: dict[str, _Tally] = {}
+        self._by_endpoint: dict[str, _EndpointReports] = {}
 
     def note(
         self, report: FailureNotice, traffic: Traffic, now_ms: int
@@ -85,55 +88,59 @@
             traffic: The usual traffic to the service's endpoints.
             now_ms: The current time.
         """
-        tally = self._tallies.setdefault(report.endpoint, _Tally())
-        tally.add(report, now_ms)
-        everyone = tally.recent(now_ms)
+        counted = self._by_endpoint.setdefault(
+            report.endpoint, _EndpointReports()
+        )
+        counted.add(report, now_ms)
+        recent_reports = counted.recent(now_ms)
         others = traffic.endpoints - {report.endpoint}
-        usual = self._usual(others, now_ms)
-        is_on_trial = now_ms < tally.trial_until_ms
-        near = [r for r in everyone if r.data_center == self._data_center]
-        calls = traffic.calls_each * traffic.near
-        if _is_bad(near, calls, usual, is_on_trial):
+        mean_others = self._mean_reports(others, now_ms)
+        is_on_trial = now_ms < counted.trial_until_ms
+        local_gateways = [
+            r for r in recent_reports if r.data_center == self._data_center
+        ]
+        calls = traffic.calls_each * traffic.local_gateways
+        if _is_bad(local_gateways, calls, mean_others, is_on_trial):
             return True
         # A failure seen by two data centres is no fault of the network path
         # from one of them.
         calls = traffic.calls_each * traffic.gateways
-        return len({r.data_center for r in everyone}) > 1 and _is_bad(
-            everyone, calls, usual, is_on_trial
+        return len({r.data_center for r in recent_reports}) > 1 and _is_bad(
+            recent_reports, calls, mean_others, is_on_trial
         )
 
-    def _usual(self, endpoints: frozenset[str], now_ms: int) -> float:
+    def _mean_reports(self, endpoints: frozenset[str], now_ms: int) -> float:
         """Returns the mean number of reports per endpoint."""
         if not endpoints:
             return 0.0
-        found = sum(
-            len(self._tallies[name].recent(now_ms))
+        report_count = sum(
+            len(self._by_endpoint[name].recent(now_ms))
             for name in endpoints
-            if name in self._tallies
+            if name in self._by_endpoint
         )
-        return found / len(endpoints)
+        return report_count / len(endpoints)
 
     def note_pause(self, endpoint: str, until_ms: int) -> None:
         """Records that an endpoint is avoided until a time.
 
         Its trial follows the pause.
         """
-        tally = self._tallies.setdefault(endpoint, _Tally())
-        tally.reports.clear()
-        tally.trial_until_ms = until_ms + TRIAL_MS
+        counted = self._by_endpoint.setdefault(endpoint, _EndpointReports())
+        counted.reports.clear()
+        counted.trial_until_ms = until_ms + TRIAL_MS
 
     def forget(self, endpoint: str) -> None:
         """Drops the reports about an endpoint that is gone."""
-        self._tallies.pop(endpoint, None)
+        self._by_endpoint.pop(endpoint, None)
 
 
 def _is_bad(
     reports: list[FailureNotice],
     calls: float,
-    usual: float,
+    mean_others: float,
     is_on_trial: bool,
 ) -> bool:
-    if len(reports) <= MIN_FACTOR * usual:
+    if len(reports) <= MIN_FACTOR * mean_others:
         return False
     if is_on_trial:
         return bool(reports)
--- a/rhubarbwinch/gateway/feed.py
+++ b/rhubarbwinch/gateway/feed.py
@@ -32,7 +32,7 @@
 # The store ends a watch call without events after this time. Its response
 # confirms that nothing was missed, so this bounds how late a lost connection is
 # noticed.
-WATCH_WAIT_MS = 700
+WATCH_TIMEOUT_MS = 700
 # A watcher waits this long after a batch, so that changes in quick succession
 # share one watch call.
 COALESCE_MS = 60
@@ -45,14 +45,14 @@
 # A watcher whose last response from the store is older than this is not relied
 # on. The bound is the watch timeout plus the heartbeat interval plus a margin.
 # A new configuration must be active within two seconds.
-FRESH_MS = 1_500
+MAX_FRESH_AGE_MS = 1_500
 FOLLOWER_POLL_MS = 100
 # A peer with a higher revision has also broadcast the changes. If they have not
 # arrived after this time, the datagram is taken as lost.
-BEHIND_MS = 150
+LOST_DATAGRAM_MS = 150
 # Leases that expired during an outage are renewed within two seconds after its
 # end. A deletion in this time may be an expired lease of a live endpoint.
-LAPSE_GRACE_MS = 2_500
+LEASE_RENEWAL_GRACE_MS = 2_500
 # Leases expire after three failed heartbeats, more than two seconds, and a
 # failed call is noticed up to a second late. A shorter failure lets no lease
 # expire.
@@ -63,7 +63,7 @@
 MAX_BATCH_BYTES = 1_150
 MAX_VALUE_BYTES = 900
 # The encoded size of a change without its key and value.
-CHANGE_BYTES = 40
+CHANGE_OVERHEAD_BYTES = 40
 
 ChangeHandler = Callable[[list[Change], bool], None]
 
@@ -79,7 +79,7 @@
         is_watcher: Returns whether the other gateways rely on its watch.
         peer_revision: Returns the highest store revision that a peer has
             reached.
-        share: Broadcasts a batch to all peers.
+        broadcast_batch: Broadcasts a batch to all peers.
         on_change: Called with changes, and with whether they may result from
             an outage.
         links: Calls peers.
@@ -94,7 +94,7 @@
         should_watch: Callable[[], bool],
         is_watcher: Callable[[], bool],
         peer_revision: Callable[[], int],
-        share: Callable[[SharedBatch], None],
+        broadcast_batch: Callable[[SharedBatch], None],
         on_change: ChangeHandler,
         links: Caller,
         link: str,
@@ -105,60 +105,62 @@
         self._should_watch = should_watch
         self._is_watcher = is_watcher
         self._peer_revision = peer_revision
-        self._behind_since: int | None = None
-        self._share = share
+        self._behind_since_ms: int | None = None
+        self._broadcast_batch = broadcast_batch
         self._on_change = on_change
         self._links = links
         self._link = link
-        self._missing: list[tuple[SharedBatch, list[SharedChange]]] = []
-        self._has_missing = anyio.Event()
-        self._confirmed_at: int | None = None
-        self._failing_since: int | None = None
-        self._recovered_at: int | None = None
-        self._was_scanned = False
+        self._incomplete: list[tuple[SharedBatch, list[SharedChange]]] = []
+        self._has_incomplete = anyio.Event()
+        self._confirmed_at_ms: int | None = None
+        self._failing_since_ms: int | None = None
+        self._recovered_at_ms: int | None = None
+        self._is_synced = False
 
     @property
     def confirmed_ms(self) -> int:
         """Milliseconds since the store last confirmed the replica."""
-        if self._confirmed_at is None:
+        if self._confirmed_at_ms is None:
             return 1 << 40
-        return self._clock.now() - self._confirmed_at
+        return self._clock.now() - self._confirmed_at_ms
 
     @property
     def is_failing(self) -> bool:
         """Whether the last call to the store failed."""
-        return self._failing_since is not None
+        return self._failing_since_ms is not None
 
     @property
     def is_after_outage(self) -> bool:
         """Whether the store is unavailable or was until recently."""
-        if self._failing_since is not None:
+        if self._failing_since_ms is not None:
             return True
-        if self._recovered_at is None:
+        if self._recovered_at_ms is None:
             return False
-        return self._clock.now() - self._recovered_at < LAPSE_GRACE_MS
+        return (
+            self._clock.now() - self._recovered_at_ms < LEASE_RENEWAL_GRACE_MS
+        )
 
     async def run(self) -> None:
         """Watches the store or follows the watchers until cancelled."""
         failures = 0
         while True:
-            if self._was_scanned and not self._must_ask():
+            if self._is_synced and not self._must_call_store():
                 # A watcher has a fresh response, so the store is available.
-                self._note_recovery()
+                self._record_recovery()
                 failures = 0
                 await self._clock.sleep(FOLLOWER_POLL_MS)
                 continue
             try:
-                if not self._was_scanned or not self._replica.revision:
+                if not self._is_synced or not self._replica.revision:
                     await self._scan()
                 else:
                     await self._poll()
                 failures = 0
             except StoreCompacted as error:
                 events.WATCH_COMPACTED.log(error=str(error))
-                self._was_scanned = False
+                self._is_synced = False
             except StoreError as error:
-                self._note_failure(error)
+                self._record_failure(error)
                 failures += 1
                 await self._clock.sleep(self._retry_ms(failures))
 
@@ -167,74 +169,76 @@
             return RETRY_MS
         return min(MAX_RETRY_MS, RETRY_MS << (failures - 1))
 
-    def _must_ask(self) -> bool:
+    def _must_call_store(self) -> bool:
         """Returns whether this gateway has to call the store now."""
         return self._should_watch() or self._is_behind()
 
     def _is_behind(self) -> bool:
         """Returns whether a datagram of a peer seems to be lost."""
         if self._peer_revision() <= self._replica.revision:
-            self._behind_since = None
+            self._behind_since_ms = None
             return False
         now = self._clock.now()
-        if self._behind_since is None:
-            self._behind_since = now
-        return now - self._behind_since >= BEHIND_MS
+        if self._behind_since_ms is None:
+            self._behind_since_ms = now
+        return now - self._behind_since_ms >= LOST_DATAGRAM_MS
 
     async def _scan(self) -> None:
         """Reads all entries, at the start or after a gap in the history."""
         listing = await self._store.scan("")
-        self._note_answer()
-        before = self._replica.revision
+        self._record_response()
+        previous_revision = self._replica.revision
         changes = self._replica.merge_listing(listing)
-        self._was_scanned = True
+        self._is_synced = True
         events.STORE_READ.log(
             revision=listing.revision,
             keys=len(listing.entries),
             changes=len(changes),
         )
-        self._tell(changes, ChangeBatch(before, listing.revision, changes))
+        self._publish(
+            changes, ChangeBatch(previous_revision, listing.revision, changes)
+        )
 
     async def _poll(self) -> None:
         batch = await self._store.poll(
-            "", self._replica.revision, WATCH_WAIT_MS
+            "", self._replica.revision, WATCH_TIMEOUT_MS
         )
-        self._note_answer()
+        self._record_response()
         changes = self._replica.merge_batch(batch)
         if changes:
-            self._tell(changes, batch)
+            self._publish(changes, batch)
         if batch.changes:
             await self._clock.sleep(COALESCE_MS)
 
-    def _tell(self, changes: list[Change], batch: ChangeBatch) -> None:
+    def _publish(self, changes: list[Change], batch: ChangeBatch) -> None:
         if not changes:
             return
         self._on_change(changes, self.is_after_outage)
         for part in split_batch(batch, changes):
-            self._share(
+            self._broadcast_batch(
                 SharedBatch(
                     self._link,
                     part.after,
                     part.revision,
-                    [_shared(change) for change in part.changes],
+                    [_to_shared(change) for change in part.changes],
                     self.is_after_outage,
                 )
             )
 
     def take_batch(self, batch: SharedBatch) -> None:
         """Handles a batch that a peer has broadcast."""
-        left_out = [c for c in batch.changes if c.bytes_left_out]
-        if left_out:
-            self._missing.append((batch, left_out))
-            self._has_missing.set()
+        omitted = [c for c in batch.changes if c.bytes_left_out]
+        if omitted:
+            self._incomplete.append((batch, omitted))
+            self._has_incomplete.set()
             return
-        self._take(batch, [_change(shared) for shared in batch.changes])
+        self._apply(batch, [_from_shared(shared) for shared in batch.changes])
 
-    def _take(self, batch: SharedBatch, changes: list[Change]) -> None:
-        taken = self._replica.merge_batch(
+    def _apply(self, batch: SharedBatch, changes: list[Change]) -> None:
+        applied = self._replica.merge_batch(
             ChangeBatch(batch.after, batch.revision, changes)
         )
-        if taken is None:
+        if applied is None:
             # The changes between the two revisions are unknown and need a
             # scan. The changes of this batch can be applied already.
             events.FEED_GAP.log(
@@ -242,30 +246,30 @@
                 known=self._replica.revision,
                 after=batch.after,
             )
-            self._was_scanned = False
-            taken = self._replica.merge_batch(
+            self._is_synced = False
+            applied = self._replica.merge_batch(
                 ChangeBatch(0, self._replica.revision, changes)
             )
-        if taken:
-            self._on_change(taken, batch.after_outage)
+        if applied:
+            self._on_change(applied, batch.after_outage)
 
     async def run_fetches(self) -> None:
         """Fetches values that were too large for batches, until cancelled."""
         while True:
-            await self._has_missing.wait()
-            self._has_missing = anyio.Event()
-            while self._missing:
-                batch, left_out = self._missing.pop(0)
-                await self._fetch(batch, left_out)
+            await self._has_incomplete.wait()
+            self._has_incomplete = anyio.Event()
+            while self._incomplete:
+                batch, omitted = self._incomplete.pop(0)
+                await self._fetch(batch, omitted)
 
     async def _fetch(
-        self, batch: SharedBatch, left_out: list[SharedChange]
+        self, batch: SharedBatch, omitted: list[SharedChange]
     ) -> None:
         """Fetches a batch's missing values from its sender and applies it."""
         # A key that changed more than once has an item for each change, but
         # the sender holds only the newest value.
-        changes = {c.key: _change(c) for c in batch.changes}
-        newest = {shared.key: shared for shared in left_out}
+        changes = {c.key: _from_shared(c) for c in batch.changes}
+        newest = {shared.key: shared for shared in omitted}
         for key, shared in newest.items():
             known = self._replica.get(key)
             if known is not None and known.revision >= shared.revision:
@@ -274,10 +278,10 @@
             found = await self._fetch_value(batch.sender, shared)
             if found is None:
                 # The next iteration of `run` scans the store.
-                self._was_scanned = False
+                self._is_synced = False
                 return
-            changes[key] = _change(found)
-        self._take(batch, list(changes.values()))
+            changes[key] = _from_shared(found)
+        self._apply(batch, list(changes.values()))
 
     async def _fetch_value(
         self, sender: str, shared: SharedChange
@@ -302,12 +306,12 @@
 
     def take_snapshot(self, snapshot: Snapshot) -> None:
         """Merges a peer's snapshot, for a start without the store."""
-        changes = [_change(shared) for shared in snapshot.changes]
-        taken = self._replica.merge_batch(
+        changes = [_from_shared(shared) for shared in snapshot.changes]
+        applied = self._replica.merge_batch(
             ChangeBatch(0, snapshot.revision, changes)
         )
-        if taken:
-            self._on_change(taken, False)
+        if applied:
+            self._on_change(applied, False)
 
     async def answer_snapshot(self, call: SnapshotCall) -> Snapshot:
         """Returns all known entries to a peer."""
@@ -317,23 +321,23 @@
             [SharedChange(e.key, e.revision, e.value) for e in entries],
         )
 
-    def _note_answer(self) -> None:
-        self._confirmed_at = self._clock.now()
-        self._note_recovery()
+    def _record_response(self) -> None:
+        self._confirmed_at_ms = self._clock.now()
+        self._record_recovery()
 
-    def _note_recovery(self) -> None:
-        if self._failing_since is None:
+    def _record_recovery(self) -> None:
+        if self._failing_since_ms is None:
             return
         now = self._clock.now()
-        down_ms = now - self._failing_since
+        down_ms = now - self._failing_since_ms
         events.STORE_UP.log(down_ms=down_ms)
-        self._failing_since = None
+        self._failing_since_ms = None
         if down_ms >= MIN_OUTAGE_MS:
-            self._recovered_at = now
+            self._recovered_at_ms = now
 
-    def _note_failure(self, error: StoreError) -> None:
-        if self._failing_since is None:
-            self._failing_since = self._clock.now()
+    def _record_failure(self, error: StoreError) -> None:
+        if self._failing_since_ms is None:
+            self._failing_since_ms = self._clock.now()
             events.STORE_DOWN.log(
                 error=str(error), revision=self._replica.revision
             )
@@ -350,14 +354,14 @@
     parts: list[list[Change]] = [[]]
     size = 0
     for change in ordered:
-        bytes_here = _size(change)
+        change_bytes = _size(change)
         # Changes of one transaction share a revision and stay together.
         is_same = parts[-1] and parts[-1][-1].revision == change.revision
-        if parts[-1] and size + bytes_here > MAX_BATCH_BYTES and not is_same:
+        if parts[-1] and size + change_bytes > MAX_BATCH_BYTES and not is_same:
             parts.append([])
             size = 0
         parts[-1].append(change)
-        size += bytes_here
+        size += change_bytes
     found = []
     after = batch.after
     for part in parts:
@@ -371,11 +375,11 @@
 def _size(change: Change) -> int:
     """Returns the approximate encoded size of a change."""
     value = change.entry.value if change.entry is not None else b""
-    told = len(value) if len(value) <= MAX_VALUE_BYTES else 0
-    return CHANGE_BYTES + len(change.key) + told
+    value_bytes = len(value) if len(value) <= MAX_VALUE_BYTES else 0
+    return CHANGE_OVERHEAD_BYTES + len(change.key) + value_bytes
 
 
-def _shared(change: Change) -> SharedChange:
+def _to_shared(change: Change) -> SharedChange:
     if change.entry is None:
         return SharedChange(change.key, change.revision)
     value = change.entry.value
@@ -386,7 +390,7 @@
     return SharedChange(change.key, change.revision, value)
 
 
-def _change(shared: SharedChange) -> Change:
+def _from_shared(shared: SharedChange) -> Change:
     if shared.value is None:
         return Change(shared.key, shared.revision, None)
     entry = Entry(shared.key, shared.value, shared.revision)
--- a/rhubarbwinch/gateway/fleet.py
+++ b/rhubarbwinch/gateway/fleet.py
@@ -12,10 +12,10 @@
 # Live endpoints renew expired entries within two seconds after the end of a
 # store outage. An entry that is still missing after this time belongs to an
 # endpoint that is gone.
-LAPSE_MS = 2_300
+EXPIRED_ENTRY_GRACE_MS = 2_300
 # An endpoint still serves its open requests for a while after its entry was
 # removed, so its state is kept for this time.
-KEEP_GONE_MS = 60_000
+LEFT_RETENTION_MS = 60_000
 
 
 @attrs.define
@@ -25,7 +25,7 @@
     Attributes:
         endpoint: Its last registration that could be decoded.
         is_leaving: Whether it is shutting down and accepts no new requests.
-        left_ms: When it became known that it leaves; 0 while it stays.
+        leaving_since_ms: When it became known that it leaves; 0 while it stays.
         warm_at_ms: When its warm-up ends.
         lapse_due_ms: When the endpoint counts as gone because its entry expired
             in a store outage and was not renewed; 0 if the entry is there.
@@ -34,7 +34,7 @@
 
     endpoint: Endpoint
     is_leaving: bool = False
-    left_ms: int = 0
+    leaving_since_ms: int = 0
     warm_at_ms: int = 0
     lapse_due_ms: int = 0
     is_readable: bool = True
@@ -78,14 +78,14 @@
         known.is_readable = True
         known.warm_at_ms = now_ms + endpoint.warmup_ms
         if endpoint.state is EndpointState.DRAINING:
-            return self._leave(known, now_ms)
+            return self._start_leaving(known, now_ms)
         if known.is_leaving:
             # The endpoint was given up, but its entry has been renewed.
             known.is_leaving = False
-            known.left_ms = 0
+            known.leaving_since_ms = 0
         return False
 
-    def note_unreadable(self, endpoint_id: str) -> None:
+    def mark_unreadable(self, endpoint_id: str) -> None:
         """Excludes an endpoint whose newest entry can't be decoded."""
         known = self._known.get(endpoint_id)
         if known is not None:
@@ -97,9 +97,11 @@
         if known is None:
             return False
         if after_outage and not known.is_leaving:
-            known.lapse_due_ms = known.lapse_due_ms or now_ms + LAPSE_MS
+            known.lapse_due_ms = (
+                known.lapse_due_ms or now_ms + EXPIRED_ENTRY_GRACE_MS
+            )
             return False
-        return self._leave(known, now_ms)
+        return self._start_leaving(known, now_ms)
 
     def mark_leaving(
         self, endpoint_id: str, started_ms: int, now_ms: int
@@ -108,7 +110,7 @@
         known = self._known.get(endpoint_id)
         if known is None or known.endpoint.started_ms != started_ms:
             return False
-        return self._leave(known, now_ms)
+        return self._start_leaving(known, now_ms)
 
     def all_leaving(self) -> list[Known]:
         """Returns the leaving endpoints whose state is still kept."""
@@ -121,7 +123,7 @@
     def expire(self, now_ms: int) -> list[Known]:
         """Gives up endpoints whose expired entries were not renewed.
 
-        Endpoints that left longer ago than `KEEP_GONE_MS` are dropped.
+        Endpoints that left longer ago than `LEFT_RETENTION_MS` are dropped.
 
         Returns:
             The endpoints given up by this call.
@@ -133,19 +135,20 @@
         ]
         for known in due:
             known.lapse_due_ms = 0
-            self._leave(known, now_ms)
-        old = [
+            self._start_leaving(known, now_ms)
+        outdated = [
             name
             for name, known in self._known.items()
-            if known.is_leaving and now_ms - known.left_ms > KEEP_GONE_MS
+            if known.is_leaving
+            and now_ms - known.leaving_since_ms > LEFT_RETENTION_MS
         ]
-        for name in old:
+        for name in outdated:
             del self._known[name]
         return due
 
-    def _leave(self, known: Known, now_ms: int) -> bool:
+    def _start_leaving(self, known: Known, now_ms: int) -> bool:
         if known.is_leaving:
             return False
         known.is_leaving = True
-        known.left_ms = now_ms
+        known.leaving_since_ms = now_ms
         return True
--- a/rhubarbwinch/gateway/hops.py
+++ b/rhubarbwinch/gateway/hops.py
@@ -6,7 +6,7 @@
 from rhubarbwinch.gateway.wire import Headers
 
 # The header of W3C Trace Context.
-TRACE_PARENT = b"traceparent"
+TRACEPARENT = b"traceparent"
 
 
 class Tracer(Protocol):
@@ -33,8 +33,10 @@
     """Returns the span of a caller's request, a child of the caller's span."""
     if tracer is None:
         return nullcontext()
-    found = [v.decode("latin-1") for n, v in headers if _is_parent(n)]
-    return tracer.span("gateway", "".join(found[:1]), request=request_id)
+    traceparents = [
+        v.decode("latin-1") for n, v in headers if _is_traceparent(n)
+    ]
+    return tracer.span("gateway", "".join(traceparents[:1]), request=request_id)
 
 
 def send_span(
@@ -50,9 +52,9 @@
     """Returns the headers with the current span as the parent."""
     if tracer is None:
         return headers
-    kept = [(n, v) for n, v in headers if not _is_parent(n)]
-    return [*kept, (TRACE_PARENT, tracer.current().encode())]
+    kept = [(n, v) for n, v in headers if not _is_traceparent(n)]
+    return [*kept, (TRACEPARENT, tracer.current().encode())]
 
 
-def _is_parent(name: bytes) -> bool:
-    return name.lower() == TRACE_PARENT
+def _is_traceparent(name: bytes) -> bool:
+    return name.lower() == TRACEPARENT
--- a/rhubarbwinch/gateway/loads.py
+++ b/rhubarbwinch/gateway/loads.py
@@ -38,7 +38,7 @@
 
 
 @attrs.define
-class _Told:
+class _PeerLoads:
     """The loads that a peer has announced last."""
 
     sequence: tuple[int, int]
@@ -56,9 +56,9 @@
     def __init__(self) -> None:
         self.version = 0
         self._own: dict[str, Load] = {}
-        self._local: dict[str, int] = {}
-        self._told: dict[str, _Told] = {}
-        self._peers: dict[str, Load] = {}
+        self._plain_calls: dict[str, int] = {}
+        self._last_by_peer: dict[str, _PeerLoads] = {}
+        self._peer_totals: dict[str, Load] = {}
 
     def add(
         self, endpoint: str, tokens: int, prefill: int = 0, runs: int = 1
@@ -81,7 +81,7 @@
         Plain calls are not announced to peers, since a plain call ends in
         about the time that an announcement takes to have an effect.
         """
-        self._local[endpoint] = self._local.get(endpoint, 0) + runs
+        self._plain_calls[endpoint] = self._plain_calls.get(endpoint, 0) + runs
 
     def end_prefill(self, endpoint: str, prefill: int) -> None:
         """Records that a request's prefill has ended."""
@@ -115,7 +115,7 @@
         load = self._own.get(endpoint)
         return load.runs if load is not None else 0
 
-    def take(
+    def receive(
         self,
         peer: str,
         sequence: tuple[int, int],
@@ -123,40 +123,42 @@
         now_ms: int,
     ) -> None:
         """Replaces the loads of a peer; an outdated message is ignored."""
-        told = self._told.get(peer)
-        if told is not None and told.sequence >= sequence:
+        last = self._last_by_peer.get(peer)
+        if last is not None and last.sequence >= sequence:
             return
-        self._told[peer] = _Told(sequence, now_ms, loads)
-        before = told.loads if told is not None else []
+        self._last_by_peer[peer] = _PeerLoads(sequence, now_ms, loads)
+        before = last.loads if last is not None else []
         if before != loads:
-            self._count_peer(before, -1)
-            self._count_peer(loads, 1)
+            self._add_peer_loads(before, -1)
+            self._add_peer_loads(loads, 1)
 
-    def forget_silent(self, now_ms: int) -> None:
+    def drop_silent_peers(self, now_ms: int) -> None:
         """Drops the loads of gateways that have become silent."""
         silent = [
             peer
-            for peer, told in self._told.items()
-            if now_ms - told.at_ms > PEER_SILENCE_MS
+            for peer, last in self._last_by_peer.items()
+            if now_ms - last.at_ms > PEER_SILENCE_MS
         ]
         for peer in silent:
-            self._count_peer(self._told.pop(peer).loads, -1)
+            self._add_peer_loads(self._last_by_peer.pop(peer).loads, -1)
 
     def total(self, endpoint: str) -> Load:
         """Returns the load of all gateways at an endpoint."""
-        found = Load(self._local.get(endpoint, 0))
-        for load in (self._own.get(endpoint), self._peers.get(endpoint)):
+        load_sum = Load(self._plain_calls.get(endpoint, 0))
+        for load in (self._own.get(endpoint), self._peer_totals.get(endpoint)):
             if load is not None:
-                found.add(load.runs, load.tokens, load.prefill)
-        return found
+                load_sum.add(load.runs, load.tokens, load.prefill)
+        return load_sum
 
-    def _count_peer(self, loads: list[EndpointLoad], sign: int) -> None:
+    def _add_peer_loads(self, loads: list[EndpointLoad], sign: int) -> None:
         """Adds a peer's loads to the sum of all peers, or subtracts them."""
         for load in loads:
-            here = self._peers.setdefault(load.endpoint, Load())
-            here.add(sign * load.runs, sign * load.tokens, sign * load.prefill)
-            if here == Load():
-                del self._peers[load.endpoint]
+            total_load = self._peer_totals.setdefault(load.endpoint, Load())
+            total_load.add(
+                sign * load.runs, sign * load.tokens, sign * load.prefill
+            )
+            if total_load == Load():
+                del self._peer_totals[load.endpoint]
 
 
 @attrs.define(eq=False)
--- a/rhubarbwinch/gateway/moving.py
+++ b/rhubarbwinch/gateway/moving.py
@@ -15,18 +15,18 @@
 
 # Migrations may fill an engine further than new generations, since the work
 # done for a run would be lost.
-MOVE_MEMORY_SHARE = 1.0
+TARGET_KV_CACHE_SHARE = 1.0
 # An engine with a larger share of recent failures is no migration target.
 MAX_FAILURE_SHARE = 0.25
 # Replicas of runs are a precaution, so a standby engine keeps KV cache free for
 # runs of its own. The second bound holds for all engines together: a burst or
 # the loss of engines needs their KV cache for runs.
-BACKUP_MEMORY_SHARE = 0.7
-BACKUP_POOL_SHARE = 0.5
+STANDBY_KV_CACHE_SHARE = 0.7
+STANDBY_TOTAL_SHARE = 0.5
 # Cost in runs of a target in another data centre. A copy to there takes twice
 # as long, and all other runs on the leaving engine wait for it, so such a
 # target must have a much lower load.
-CROSS_RUNS = 4.0
+TARGET_OTHER_DATA_CENTER_RUNS = 4.0
 # Tokens generated after the copy need prefill before the run resumes. Frequent
 # refreshes keep the pause of the stream short and take only some milliseconds
 # of the network link.
@@ -35,7 +35,7 @@
 # more missing events than this, the pause could exceed the bound of a route, so
 # the copy is refreshed early.
 MAX_EVENTS_BEHIND = 10
-CATCH_UP_MS = 40
+EARLY_REFRESH_MS = 40
 
 
 def choose_home(
@@ -43,7 +43,7 @@
     source: Endpoint,
     tokens: int,
     rng: random.Random,
-    memory_share: float = MOVE_MEMORY_SHARE,
+    memory_share: float = TARGET_KV_CACHE_SHARE,
 ) -> Candidate | None:
     """Returns the migration target of a run, or None without capacity."""
     fitting = [
@@ -70,11 +70,11 @@
         tokens: The KV cache that the run is expected to need, in tokens.
         rng: Breaks ties.
     """
-    used = sum(c.load.tokens for c in candidates) + tokens
-    there_is = sum(c.capacity_tokens for c in candidates)
-    if used > there_is * BACKUP_POOL_SHARE:
+    reserved = sum(c.load.tokens for c in candidates) + tokens
+    capacity = sum(c.capacity_tokens for c in candidates)
+    if reserved > capacity * STANDBY_TOTAL_SHARE:
         return None
-    return choose_home(candidates, source, tokens, rng, BACKUP_MEMORY_SHARE)
+    return choose_home(candidates, source, tokens, rng, STANDBY_KV_CACHE_SHARE)
 
 
 def refresh_after_ms(events_behind: int) -> int:
@@ -83,11 +83,11 @@
     Args:
         events_behind: Events that the run has made since the copy was taken.
     """
-    return CATCH_UP_MS if events_behind > MAX_EVENTS_BEHIND else REFRESH_MS
+    return EARLY_REFRESH_MS if events_behind > MAX_EVENTS_BEHIND else REFRESH_MS
 
 
 def _cost(candidate: Candidate, source: Endpoint) -> float:
     cost = candidate.load.runs + FAILING_RUNS * candidate.failure_share
     if candidate.endpoint.data_center != source.data_center:
-        cost += CROSS_RUNS
+        cost += TARGET_OTHER_DATA_CENTER_RUNS
     return cost
--- a/rhubarbwinch/gateway/outage.py
+++ b/rhubarbwinch/gateway/outage.py
@@ -23,8 +23,8 @@
 STALE_AND_FAILING_MS = 750
 # An engine's report lags by some hundred milliseconds, and the engine shuts
 # down two seconds after its notice. Polling puts a small load on the engine.
-ASK_MS = 300
-CHECK_MS = 200
+POLL_INTERVAL_MS = 300
+CHECK_INTERVAL_MS = 200
 
 
 class OutageWatch:
@@ -36,7 +36,7 @@
         stale_ms: Returns the age of the newest response from the store.
         is_failing: Returns whether the store fails the calls of all watchers.
         engines: Returns the engines that this gateway polls in an outage.
-        lapsed: Returns those of the engines whose entries have expired.
+        expired: Returns those of the engines whose entries have expired.
         on_leaving: Called with an engine that leaves.
     """
 
@@ -47,7 +47,7 @@
         stale_ms: Callable[[], int],
         is_failing: Callable[[], bool],
         engines: Callable[[], list[Endpoint]],
-        lapsed: Callable[[], list[Endpoint]],
+        expired: Callable[[], list[Endpoint]],
         on_leaving: Callable[[Endpoint], None],
     ) -> None:
         self._clock = clock
@@ -55,7 +55,7 @@
         self._stale_ms = stale_ms
         self._is_failing = is_failing
         self._engines = engines
-        self._lapsed = lapsed
+        self._expired = expired
         self._on_leaving = on_leaving
         self._is_outage = False
 
@@ -68,13 +68,15 @@
             if is_outage != self._is_outage:
                 self._is_outage = is_outage
                 events.OUTAGE_CHANGED.log(outage=is_outage, stale_ms=stale_ms)
-            doubtful = self._engines() if is_outage else self._lapsed()
+            polled = self._engines() if is_outage else self._expired()
             async with anyio.create_task_group() as tasks:
-                for endpoint in doubtful:
-                    tasks.start_soon(self._ask, endpoint)
-            await self._clock.sleep(ASK_MS if doubtful else CHECK_MS)
+                for endpoint in polled:
+                    tasks.start_soon(self._poll, endpoint)
+            await self._clock.sleep(
+                POLL_INTERVAL_MS if polled else CHECK_INTERVAL_MS
+            )
 
-    async def _ask(self, endpoint: Endpoint) -> None:
+    async def _poll(self, endpoint: Endpoint) -> None:
         try:
             report = await self._calls.report(endpoint.address)
         except EndpointError as error:
--- a/rhubarbwinch/gateway/peers.py
+++ b/rhubarbwinch/gateway/peers.py
@@ -5,7 +5,7 @@
 import anyio
 import attrs
 
-from rhubarbwinch.gateway.feed import FRESH_MS
+from rhubarbwinch.gateway.feed import MAX_FRESH_AGE_MS
 from rhubarbwinch.gateway.loads import LoadBook
 from rhubarbwinch.gateway.messages import (
     FailureNotice,
@@ -26,14 +26,14 @@
 # announced at once by an extra heartbeat.
 HEARTBEAT_MS = 700
 # Three heartbeat intervals, so that a lost heartbeat makes no peer look dead.
-ALIVE_MS = 2_200
+ALIVE_TIMEOUT_MS = 2_200
 # A peer that is silent for this time is forgotten. Its registration in the
 # store or a new heartbeat adds it again.
-FORGET_MS = 30_000
+FORGET_AFTER_MS = 30_000
 # Load changes within this time share a heartbeat.
 COALESCE_MS = 3
 # Number of gateways that watch the store for the others; one is a spare.
-WATCHERS = 2
+WATCHER_COUNT = 2
 SNAPSHOT_TIMEOUT_MS = 1_000
 # Longer than the lifetime of any process.
 NEVER_MS = 1 << 40
@@ -46,15 +46,15 @@
     Attributes:
         address: The addresses of its links and broadcasts.
         added_ms: When its address became known.
-        last: Its last heartbeat, or None.
-        heard_ms: When the last heartbeat arrived.
+        last_heartbeat: Its last heartbeat, or None.
+        last_arrival_ms: When the last heartbeat arrived.
         was_alive: Whether it was alive at the last check.
     """
 
     address: PeerAddress
     added_ms: int
-    last: Heartbeat | None = None
-    heard_ms: int = 0
+    last_heartbeat: Heartbeat | None = None
+    last_arrival_ms: int = 0
     was_alive: bool = False
 
 
@@ -62,35 +62,35 @@
     """Sends heartbeats to all other gateways and keeps their last ones.
 
     Args:
-        me: A heartbeat with the name and addresses of this gateway, the
+        own: A heartbeat with the name and addresses of this gateway, the
             template for all that it sends.
         broadcast: Sends to all peers.
         links: Calls single peers.
         clock: The source of time.
         loads: Provides the loads of this gateway and takes those of peers.
-        describe: Returns a heartbeat with the current state filled in.
+        add_state: Returns a heartbeat with the current state filled in.
     """
 
     def __init__(
         self,
-        me: Heartbeat,
+        own: Heartbeat,
         broadcast: Broadcast,
         links: Caller,
         clock: Clock,
         loads: LoadBook,
-        describe: Callable[[Heartbeat], Heartbeat],
+        add_state: Callable[[Heartbeat], Heartbeat],
     ) -> None:
-        self._me = me
+        self._own = own
         self._broadcast = broadcast
         self._links = links
         self._clock = clock
         self._loads = loads
-        self._describe = describe
+        self._add_state = add_state
         self._sequence = 0
         self._peers: dict[str, Peer] = {}
         self._wakeup = anyio.Event()
-        self._told_version = -1
-        broadcast.on(Heartbeat, self.take)
+        self._announced_version = -1
+        broadcast.on(Heartbeat, self.receive)
 
     async def run(self) -> None:
         """Sends heartbeats until cancelled."""
@@ -99,29 +99,29 @@
                 await self._wakeup.wait()
             await self._clock.sleep(COALESCE_MS)
             self._wakeup = anyio.Event()
-            self._told_version = self._loads.version
+            self._announced_version = self._loads.version
             self._sequence += 1
             self._broadcast.send(
-                self._describe(
+                self._add_state(
                     attrs.evolve(
-                        self._me,
+                        self._own,
                         sequence=self._sequence,
                         loads=self._loads.own(),
                     )
                 )
             )
-            self._check()
+            self._check_liveness()
 
     def add(self, address: PeerAddress) -> None:
         """Adds a peer by its address."""
-        if address == self._me.address or address.link in self._peers:
+        if address == self._own.address or address.link in self._peers:
             return
         self._peers[address.link] = Peer(address, self._clock.now())
         self._broadcast.add(address.broadcast)
 
     def tell_loads(self) -> None:
         """Schedules a heartbeat if the loads have changed since the last."""
-        if self._loads.version != self._told_version:
+        if self._loads.version != self._announced_version:
             self.tell()
 
     def tell(self) -> None:
@@ -134,27 +134,30 @@
 
     def report_failure(self, endpoint: str) -> FailureNotice:
         """Broadcasts a failed request to all peers; returns the notice."""
-        me = self._me
-        notice = FailureNotice(me.name, me.data_center, endpoint)
+        own = self._own
+        notice = FailureNotice(own.name, own.data_center, endpoint)
         self._broadcast.send(notice)
         return notice
 
-    def take(self, heartbeat: Heartbeat) -> None:
+    def receive(self, heartbeat: Heartbeat) -> None:
         """Handles a peer's heartbeat."""
-        if heartbeat.link == self._me.link:
+        if heartbeat.link == self._own.link:
             return
         self.add(heartbeat.address)
         peer = self._peers[heartbeat.link]
-        was = peer.last if self._is_alive(peer) else None
-        order = (heartbeat.incarnation, heartbeat.sequence)
-        if peer.last is not None and peer.last.incarnation == order[0]:
-            if peer.last.sequence >= heartbeat.sequence:
+        previous = peer.last_heartbeat if self._is_alive(peer) else None
+        position = (heartbeat.incarnation, heartbeat.sequence)
+        if (
+            peer.last_heartbeat is not None
+            and peer.last_heartbeat.incarnation == position[0]
+        ):
+            if peer.last_heartbeat.sequence >= heartbeat.sequence:
                 return
         now = self._clock.now()
-        peer.last = heartbeat
-        peer.heard_ms = now
-        self._loads.take(heartbeat.name, order, heartbeat.loads, now)
-        if was is None or was.is_serving != heartbeat.is_serving:
+        peer.last_heartbeat = heartbeat
+        peer.last_arrival_ms = now
+        self._loads.receive(heartbeat.name, position, heartbeat.loads, now)
+        if previous is None or previous.is_serving != heartbeat.is_serving:
             peer.was_alive = True
             events.GATEWAY_CHANGED.log(
                 peer=heartbeat.name,
@@ -162,24 +165,26 @@
                 leaving=heartbeat.is_leaving,
             )
 
-    def fronts(self) -> list[str]:
+    def front_addresses(self) -> list[str]:
         """Returns the caller-facing addresses of the serving peers."""
         return sorted(
             heartbeat.front
-            for heartbeat in self._alive()
+            for heartbeat in self._live_heartbeats()
             if heartbeat.is_serving
         )
 
     @property
     def count(self) -> int:
         """The number of live peers, leaving ones included."""
-        return len(self._alive())
+        return len(self._live_heartbeats())
 
     @property
     def near_count(self) -> int:
         """The number of live peers in this data centre."""
-        here = self._me.data_center
-        return sum(h.data_center == here for h in self._alive())
+        own_data_center = self._own.data_center
+        return sum(
+            h.data_center == own_data_center for h in self._live_heartbeats()
+        )
 
     def is_watcher(self) -> bool:
         """Returns whether this gateway watches the store for all others.
@@ -187,11 +192,13 @@
         Rendezvous hashing of the names selects the watchers among the live
         gateways that are not leaving.
         """
-        return self._me.name in self._watchers()
+        return self._own.name in self._watchers()
 
     def _watchers(self) -> list[str]:
-        names = [h.name for h in self._alive() if not h.is_leaving]
-        return rendezvous.ranking("feed", [*names, self._me.name])[:WATCHERS]
+        names = [h.name for h in self._live_heartbeats() if not h.is_leaving]
+        return rendezvous.ranking("feed", [*names, self._own.name])[
+            :WATCHER_COUNT
+        ]
 
     def should_watch(self) -> bool:
         """Returns whether this gateway has to watch the store itself.
@@ -199,7 +206,7 @@
         Watchers do, and so does a gateway none of whose peers has a fresh
         response from the store.
         """
-        return self.is_watcher() or self.confirmed_ms > FRESH_MS
+        return self.is_watcher() or self.confirmed_ms > MAX_FRESH_AGE_MS
 
     @property
     def confirmed_ms(self) -> int:
@@ -207,9 +214,9 @@
         now = self._clock.now()
         return min(
             (
-                now - peer.heard_ms + peer.last.confirmed_ms
+                now - peer.last_arrival_ms + peer.last_heartbeat.confirmed_ms
                 for peer in self._peers.values()
-                if peer.last is not None
+                if peer.last_heartbeat is not None
             ),
             default=NEVER_MS,
         )
@@ -217,19 +224,19 @@
     @property
     def revision(self) -> int:
         """The highest store revision that a live peer has reached."""
-        return max((h.revision for h in self._alive()), default=0)
+        return max((h.revision for h in self._live_heartbeats()), default=0)
 
-    def is_store_failing(self, fails_here: bool) -> bool:
+    def is_store_failing(self, is_failing_here: bool) -> bool:
         """Returns whether the store fails the calls of all watchers.
 
         The failure of some watchers is no outage: the store may reject single
         gateways and serve the others.
 
         Args:
-            fails_here: Whether the store fails the calls of this gateway.
+            is_failing_here: Whether the store fails the calls of this gateway.
         """
-        failing = {h.name: h.is_store_failing for h in self._alive()}
-        failing[self._me.name] = fails_here
+        failing = {h.name: h.is_store_failing for h in self._live_heartbeats()}
+        failing[self._own.name] = is_failing_here
         return all(failing.get(name, False) for name in self._watchers())
 
     def owns(self, key: str) -> bool:
@@ -238,8 +245,8 @@
         Args:
             key: Identifies the task; rendezvous hashing selects its owner.
         """
-        names = [h.name for h in self._alive() if not h.is_leaving]
-        return rendezvous.owner(key, [*names, self._me.name]) == self._me.name
+        names = [h.name for h in self._live_heartbeats() if not h.is_leaving]
+        return rendezvous.owner(key, [*names, self._own.name]) == self._own.name
 
     async def fetch_snapshot(self) -> Snapshot | None:
         """Requests a snapshot of the store from one peer after another.
@@ -249,44 +256,44 @@
         """
         for link in list(self._peers):
             try:
-                found = await self._links.call(
+                snapshot = await self._links.call(
                     link,
-                    SnapshotCall(self._me.name),
+                    SnapshotCall(self._own.name),
                     Snapshot,
                     SNAPSHOT_TIMEOUT_MS,
                 )
             except (LinkError, CodecError) as error:
                 events.SNAPSHOT_MISSED.log(peer=link, error=str(error))
                 continue
-            if found.revision:
-                return found
+            if snapshot.revision:
+                return snapshot
         return None
 
-    def _alive(self) -> list[Heartbeat]:
+    def _live_heartbeats(self) -> list[Heartbeat]:
         """Returns the last heartbeats of the live peers."""
         return [
-            peer.last
+            peer.last_heartbeat
             for peer in self._peers.values()
-            if peer.last is not None and self._is_alive(peer)
+            if peer.last_heartbeat is not None and self._is_alive(peer)
         ]
 
     def _is_alive(self, peer: Peer) -> bool:
-        if peer.last is None:
+        if peer.last_heartbeat is None:
             return False
-        return self._clock.now() - peer.heard_ms <= ALIVE_MS
+        return self._clock.now() - peer.last_arrival_ms <= ALIVE_TIMEOUT_MS
 
-    def _check(self) -> None:
+    def _check_liveness(self) -> None:
         """Logs peers that fell silent and forgets those silent for long."""
         now = self._clock.now()
-        self._loads.forget_silent(now)
+        self._loads.drop_silent_peers(now)
         for link, peer in list(self._peers.items()):
             is_alive = self._is_alive(peer)
             if peer.was_alive and not is_alive:
                 events.GATEWAY_LOST.log(
-                    peer=link, silent_ms=now - peer.heard_ms
+                    peer=link, silent_ms=now - peer.last_arrival_ms
                 )
             peer.was_alive = is_alive
-            if now - max(peer.heard_ms, peer.added_ms) > FORGET_MS:
+            if now - max(peer.last_arrival_ms, peer.added_ms) > FORGET_AFTER_MS:
                 del self._peers[link]
                 self._broadcast.forget(peer.address.broadcast)
                 self._links.forget(link)
--- a/rhubarbwinch/gateway/placing.py
+++ b/rhubarbwinch/gateway/placing.py
@@ -18,24 +18,24 @@
 MEMORY_SHARE = 0.92
 # Share of an engine's slots that is used. With more runs the events would come
 # too slowly.
-SLOT_SHARE = 1.0
+MAX_SLOT_SHARE = 1.0
 # Pending prefill delays the events of other runs. This many prompt tokens cost
 # as much as one run.
 PREFILL_TOKENS_PER_RUN = 1_500
 # Cost of a full KV cache in runs, in proportion for a partly filled one. A full
 # KV cache leads to preemption.
-FULL_MEMORY_RUNS = 8.0
+FULL_KV_CACHE_RUNS = 8.0
 # Cost in runs of an engine whose recent calls have all failed.
 FAILING_RUNS = 10.0
 # Cost factors of plain endpoints. A failure share of 1 multiplies the cost by 1
 # plus this factor; warm-up and another data centre multiply it directly.
 PLAIN_FAILURE_FACTOR = 4.0
 PLAIN_WARMUP_FACTOR = 2.0
-PLAIN_CROSS_FACTOR = 1.1
+PLAIN_OTHER_DATA_CENTER_FACTOR = 1.1
 # Cost in runs of an engine in another data centre, for latency and traffic.
-CROSS_COST = 0.3
+OTHER_DATA_CENTER_RUNS = 0.3
 # Cost in runs of an engine that is still warming up.
-WARMUP_COST = 4.0
+WARMUP_RUNS = 4.0
 
 
 @attrs.frozen
@@ -61,12 +61,12 @@
 
         An engine without reserved KV cache takes a run of any size.
         """
-        if self.load.runs + 1 > self.endpoint.slots * SLOT_SHARE:
+        if self.load.runs + 1 > self.endpoint.slots * MAX_SLOT_SHARE:
             return False
         if not self.capacity_tokens:
             return True
-        most = self.capacity_tokens * memory_share
-        return self.load.tokens + tokens <= most or not self.load.tokens
+        limit = self.capacity_tokens * memory_share
+        return self.load.tokens + tokens <= limit or not self.load.tokens
 
 
 def choose_engine(
@@ -89,11 +89,11 @@
     load = candidate.load
     cost = load.runs + load.prefill / PREFILL_TOKENS_PER_RUN
     if candidate.capacity_tokens:
-        cost += FULL_MEMORY_RUNS * load.tokens / candidate.capacity_tokens
+        cost += FULL_KV_CACHE_RUNS * load.tokens / candidate.capacity_tokens
     if not candidate.is_warm:
-        cost += WARMUP_COST
+        cost += WARMUP_RUNS
     if candidate.endpoint.data_center != data_center:
-        cost += CROSS_COST
+        cost += OTHER_DATA_CENTER_RUNS
     return cost + FAILING_RUNS * candidate.failure_share
 
 
@@ -114,5 +114,5 @@
     if not candidate.is_warm:
         cost *= PLAIN_WARMUP_FACTOR
     if candidate.endpoint.data_center != data_center:
-        cost *= PLAIN_CROSS_FACTOR
+        cost *= PLAIN_OTHER_DATA_CENTER_FACTOR
     return cost
--- a/rhubarbwinch/gateway/registration.py
+++ b/rhubarbwinch/gateway/registration.py
@@ -59,8 +59,8 @@
         if self._lease and await self._store.keep_lease(self._lease):
             return
         self._lease = await self._store.grant_lease(LEASE_MS)
-        found = await self._store.get(self._key)
-        expected = found.revision if found is not None else 0
+        entry = await self._store.get(self._key)
+        expected = entry.revision if entry is not None else 0
         value = codec.encode(self._address)
         swap = await self._store.swap(self._key, expected, value, self._lease)
         if not swap.won:
--- a/rhubarbwinch/gateway/replica.py
+++ b/rhubarbwinch/gateway/replica.py
@@ -48,16 +48,16 @@
         A key that is missing in the listing is deleted if its known state is
         not newer than the listing.
         """
-        found = {entry.key for entry in listing.entries}
-        gone = [
+        listed_keys = {entry.key for entry in listing.entries}
+        deleted = [
             Change(key, listing.revision, None)
             for key, cell in self._cells.items()
-            if key not in found
+            if key not in listed_keys
             and cell.entry is not None
             and cell.revision <= listing.revision
         ]
-        fresh = [Change(e.key, e.revision, e) for e in listing.entries]
-        changes = self._apply(gone + fresh)
+        updated = [Change(e.key, e.revision, e) for e in listing.entries]
+        changes = self._apply(deleted + updated)
         self.revision = max(self.revision, listing.revision)
         return changes
 
@@ -73,7 +73,7 @@
         return changes
 
     def _apply(self, changes: list[Change]) -> list[Change]:
-        taken = []
+        effective = []
         for change in changes:
             cell = self._cells.get(change.key)
             if cell is not None and cell.revision >= change.revision:
@@ -81,15 +81,15 @@
             self._cells[change.key] = _Cell(change.revision, change.entry)
             if cell is None and change.entry is None:
                 continue
-            taken.append(change)
-        self._forget()
-        return taken
+            effective.append(change)
+        self._drop_old_tombstones()
+        return effective
 
-    def _forget(self) -> None:
+    def _drop_old_tombstones(self) -> None:
         """Drops the oldest tombstones when there are too many."""
-        gone = [k for k, c in self._cells.items() if c.entry is None]
-        if len(gone) <= MAX_TOMBSTONES:
+        deleted = [k for k, c in self._cells.items() if c.entry is None]
+        if len(deleted) <= MAX_TOMBSTONES:
             return
-        gone.sort(key=lambda key: self._cells[key].revision)
-        for key in gone[: len(gone) - MAX_TOMBSTONES]:
+        deleted.sort(key=lambda key: self._cells[key].revision)
+        for key in deleted[: len(deleted) - MAX_TOMBSTONES]:
             del self._cells[key]
--- a/rhubarbwinch/gateway/retrybudget.py
+++ b/rhubarbwinch/gateway/retrybudget.py
@@ -10,7 +10,7 @@
 
 # Share of the allowance that is used. The rest is a margin, since the
 # platform's windows slide differently from ours.
-USED_PART = 0.8
+USED_SHARE = 0.8
 
 
 class RetryBudget:
@@ -27,7 +27,7 @@
         self._window_ms = window_ms
         self._extra = extra
         self._requests: dict[str, deque[int]] = {}
-        self._sends: dict[str, deque[int]] = {}
+        self._retries: dict[str, deque[int]] = {}
 
     def change(self, ratio: float, window_ms: int, extra: int) -> None:
         """Changes the parameters; the counts are kept."""
@@ -38,7 +38,7 @@
     def add_request(self, service: str, now_ms: int) -> None:
         """Counts a caller's request."""
         self._requests.setdefault(service, deque()).append(now_ms)
-        self._fade(self._requests[service], now_ms)
+        self._drop_expired(self._requests[service], now_ms)
 
     def take(self, service: str, gateways: int, now_ms: int) -> bool:
         """Takes a retry from the budget; False if the budget is spent.
@@ -49,15 +49,15 @@
             now_ms: The current time.
         """
         requests = self._requests.get(service, deque())
-        sends = self._sends.setdefault(service, deque())
-        self._fade(requests, now_ms)
-        self._fade(sends, now_ms)
+        retries = self._retries.setdefault(service, deque())
+        self._drop_expired(requests, now_ms)
+        self._drop_expired(retries, now_ms)
         allowed = self._ratio * len(requests) + self._extra / max(1, gateways)
-        if len(sends) + 1 > USED_PART * allowed:
+        if len(retries) + 1 > USED_SHARE * allowed:
             return False
-        sends.append(now_ms)
+        retries.append(now_ms)
         return True
 
-    def _fade(self, times: deque[int], now_ms: int) -> None:
+    def _drop_expired(self, times: deque[int], now_ms: int) -> None:
         while times and now_ms - times[0] > self._window_ms:
             times.popleft()
--- a/rhubarbwinch/gateway/selfservice.py
+++ b/rhubarbwinch/gateway/selfservice.py
@@ -44,16 +44,16 @@
             await responder.send(200 if self._is_ready() else 503, [], b"")
             return
         if platform.directory_name(request.target) is not None:
-            await self._answer_lookup(responder)
+            await self._send_directory(responder)
             return
         if request.target.startswith(b"/metrics"):
-            kind = (b"Content-Type", b"text/plain; version=0.0.4")
-            await responder.send(200, [kind], statistics.render())
+            content_type = (b"Content-Type", b"text/plain; version=0.0.4")
+            await responder.send(200, [content_type], statistics.render())
             return
         await responder.send(404, [], b"")
 
-    async def _answer_lookup(self, responder: EdgeResponder) -> None:
-        addresses = self._peers.fronts()
+    async def _send_directory(self, responder: EdgeResponder) -> None:
+        addresses = self._peers.front_addresses()
         if self._is_ready():
             addresses.append(self._settings.front)
         if not addresses:
@@ -61,5 +61,5 @@
             return
         ttl = min(DIRECTORY_TTL_MS, self._settings.directory_ttl_max_ms)
         body = self._platform.directory_answer(addresses, ttl)
-        kind = (b"Content-Type", b"application/json")
-        await responder.send(200, [kind], body)
+        content_type = (b"Content-Type", b"application/json")
+        await responder.send(200, [content_type], body)
--- a/rhubarbwinch/gateway/suspicion.py
+++ b/rhubarbwinch/gateway/suspicion.py
@@ -17,10 +17,10 @@
 # An endpoint is avoided if its failure share is larger than this and larger
 # than twice the share of the service's other endpoints.
 MIN_SHARE = 0.3
-FIRST_PAUSE_MS = 1_000
+INITIAL_PAUSE_MS = 1_000
 MAX_PAUSE_MS = 8_000
 # After this time without a pause, the next one is short again.
-FORGIVE_MS = 15_000
+PAUSE_RESET_MS = 15_000
 
 
 class Outcome(enum.Enum):
@@ -44,17 +44,17 @@
     service: str
     failures: float = 0.0
     calls: float = 0.0
-    at_ms: int = 0
+    updated_ms: int = 0
     avoided_until_ms: int = 0
-    pause_ms: int = FIRST_PAUSE_MS
+    pause_ms: int = INITIAL_PAUSE_MS
     is_on_trial: bool = False
 
-    def fade(self, now_ms: int) -> None:
+    def decay(self, now_ms: int) -> None:
         """Decays the weight of earlier outcomes."""
-        share = 0.5 ** ((now_ms - self.at_ms) / HALF_LIFE_MS)
+        share = 0.5 ** ((now_ms - self.updated_ms) / HALF_LIFE_MS)
         self.failures *= share
         self.calls *= share
-        self.at_ms = now_ms
+        self.updated_ms = now_ms
 
 
 class Suspicion:
@@ -69,8 +69,10 @@
         """Records an outcome; returns whether a new pause begins with it."""
         record = self._records.get(endpoint)
         if record is None:
-            record = self._records[endpoint] = _Record(service, at_ms=now_ms)
-        record.fade(now_ms)
+            record = self._records[endpoint] = _Record(
+                service, updated_ms=now_ms
+            )
+        record.decay(now_ms)
         record.calls += 1
         record.failures += outcome.value
         if outcome is Outcome.GOOD and record.is_on_trial:
@@ -78,11 +80,11 @@
             record.is_on_trial = False
             record.failures = 0.0
             return False
-        if now_ms - record.avoided_until_ms > FORGIVE_MS:
-            record.pause_ms = FIRST_PAUSE_MS
+        if now_ms - record.avoided_until_ms > PAUSE_RESET_MS:
+            record.pause_ms = INITIAL_PAUSE_MS
         if not self._is_bad(record, outcome, now_ms):
             return False
-        self._avoid(record, now_ms)
+        self._start_pause(record, now_ms)
         return True
 
     def avoid(self, service: str, endpoint: str, now_ms: int) -> int | None:
@@ -93,13 +95,15 @@
         """
         record = self._records.get(endpoint)
         if record is None:
-            record = self._records[endpoint] = _Record(service, at_ms=now_ms)
+            record = self._records[endpoint] = _Record(
+                service, updated_ms=now_ms
+            )
         if now_ms < record.avoided_until_ms:
             return None
-        self._avoid(record, now_ms)
+        self._start_pause(record, now_ms)
         return record.avoided_until_ms
 
-    def _avoid(self, record: _Record, now_ms: int) -> None:
+    def _start_pause(self, record: _Record, now_ms: int) -> None:
         record.avoided_until_ms = now_ms + record.pause_ms
         record.pause_ms = min(MAX_PAUSE_MS, record.pause_ms * 2)
         record.is_on_trial = True
@@ -118,13 +122,15 @@
 
     def calls_each(self, service: str, window_ms: int) -> float:
         """Returns the mean number of calls to an endpoint in a window."""
-        found = [
+        call_counts = [
             r.calls for r in self._records.values() if r.service == service
         ]
-        if not found:
+        if not call_counts:
             return 0.0
-        weight_ms = HALF_LIFE_MS / math.log(2)
-        return sum(found) / len(found) * window_ms / weight_ms
+        mean_lifetime_ms = HALF_LIFE_MS / math.log(2)
+        return (
+            sum(call_counts) / len(call_counts) * window_ms / mean_lifetime_ms
+        )
 
     def forget(self, endpoint: str) -> None:
         """Drops the record of an endpoint that is gone."""
@@ -138,12 +144,12 @@
         those whose pause ends first are used too, up to half of all.
         """
         good = [e for e in endpoints if not self.is_avoided(e, now_ms)]
-        least = (len(endpoints) + 1) // 2
-        if len(good) >= least:
+        min_count = (len(endpoints) + 1) // 2
+        if len(good) >= min_count:
             return good
         avoided = [e for e in endpoints if self.is_avoided(e, now_ms)]
         avoided.sort(key=lambda e: self._records[e].avoided_until_ms)
-        return good + avoided[: least - len(good)]
+        return good + avoided[: min_count - len(good)]
 
     def _is_bad(self, record: _Record, outcome: Outcome, now_ms: int) -> bool:
         if outcome is Outcome.GOOD or now_ms < record.avoided_until_ms:
@@ -153,9 +159,11 @@
         if record.failures < MIN_FAILURES:
             return False
         share = record.failures / max(1.0, record.calls)
-        return share > MIN_SHARE and share > 2 * self._usual(record)
+        return share > MIN_SHARE and share > 2 * self._others_failure_share(
+            record
+        )
 
-    def _usual(self, record: _Record) -> float:
+    def _others_failure_share(self, record: _Record) -> float:
         """Returns the failure share of the service's other endpoints."""
         others = [
             r
--- a/rhubarbwinch/gateway/waiting.py
+++ b/rhubarbwinch/gateway/waiting.py
@@ -17,10 +17,10 @@
 WAIT_SHARE = 0.6
 # Weight of the newest value in the moving average of the time between
 # admissions.
-GAP_WEIGHT = 0.1
-FIRST_GAP_MS = 50.0
+GAP_AVERAGE_WEIGHT = 0.1
+INITIAL_GAP_MS = 50.0
 # A request is refused only if its expected wait is clearly over the limit.
-HOPELESS_FACTOR = 2.0
+WAIT_LIMIT_FACTOR = 2.0
 MIN_RETRY_AFTER_MS = 200
 
 
@@ -29,19 +29,19 @@
     """A request that waits.
 
     Attributes:
-        rank: Its priority, 0 first.
-        due_ms: The time of its latency objective.
+        priority: Its priority, 0 first.
+        deadline_ms: The time at which its latency objective ends.
         turn: Set when the request may try to be placed.
     """
 
-    rank: int
-    due_ms: int
+    priority: int
+    deadline_ms: int
     turn: anyio.Event = attrs.field(factory=anyio.Event)
 
     @property
-    def order(self) -> tuple[int, int]:
+    def sort_key(self) -> tuple[int, int]:
         """The sort key; the lowest goes first."""
-        return (self.rank, self.due_ms)
+        return (self.priority, self.deadline_ms)
 
 
 class WaitQueue:
@@ -54,45 +54,51 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._waiters: list[Waiter] = []
-        self._gap_ms = FIRST_GAP_MS
+        self._gap_ms = INITIAL_GAP_MS
         self._admitted_ms = 0
 
     def __len__(self) -> int:
         return len(self._waiters)
 
-    def expected_wait_ms(self, rank: int, due_ms: int) -> int:
+    def expected_wait_ms(self, priority: int, deadline_ms: int) -> int:
         """Returns how long a new request would wait behind those ahead."""
-        ahead = sum(w.order <= (rank, due_ms) for w in self._waiters)
+        ahead = sum(
+            w.sort_key <= (priority, deadline_ms) for w in self._waiters
+        )
         return int((ahead + 1) * self._gap_ms)
 
-    def is_hopeless(self, rank: int, due_ms: int, limit_ms: int) -> bool:
+    def is_hopeless(
+        self, priority: int, deadline_ms: int, limit_ms: int
+    ) -> bool:
         """Returns whether a new request's wait would exceed the limit."""
         if not self._waiters:
             return False
-        wait_ms = self.expected_wait_ms(rank, due_ms)
-        return wait_ms > HOPELESS_FACTOR * limit_ms
+        wait_ms = self.expected_wait_ms(priority, deadline_ms)
+        return wait_ms > WAIT_LIMIT_FACTOR * limit_ms
 
-    def retry_after_ms(self, rank: int, due_ms: int) -> int:
+    def retry_after_ms(self, priority: int, deadline_ms: int) -> int:
         """Returns after how long a refused request may be retried."""
-        return max(MIN_RETRY_AFTER_MS, self.expected_wait_ms(rank, due_ms))
+        return max(
+            MIN_RETRY_AFTER_MS, self.expected_wait_ms(priority, deadline_ms)
+        )
 
     def note_admission(self) -> None:
         """Updates the average time between admissions while others wait."""
         now = self._clock.now()
         if self._waiters and self._admitted_ms:
             gap = min(2_000, now - self._admitted_ms)
-            self._gap_ms += GAP_WEIGHT * (gap - self._gap_ms)
+            self._gap_ms += GAP_AVERAGE_WEIGHT * (gap - self._gap_ms)
         self._admitted_ms = now
 
-    def is_first(self, rank: int, due_ms: int) -> bool:
+    def is_first(self, priority: int, deadline_ms: int) -> bool:
         """Returns whether a new request would be ahead of all waiting ones."""
-        return all(w.order > (rank, due_ms) for w in self._waiters)
+        return all(w.sort_key > (priority, deadline_ms) for w in self._waiters)
 
-    def join(self, rank: int, due_ms: int) -> Waiter:
+    def join(self, priority: int, deadline_ms: int) -> Waiter:
         """Adds a request to the queue."""
-        waiter = Waiter(rank, due_ms)
+        waiter = Waiter(priority, deadline_ms)
         self._waiters.append(waiter)
-        self._waiters.sort(key=lambda w: w.order)
+        self._waiters.sort(key=lambda w: w.sort_key)
         statistics.WAITING.set(len(self._waiters))
         return waiter
 
--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -5,9 +5,9 @@
 import anyio
 
 from rhubarbwinch.gateway.crashes import (
-    KEEP_MS,
     MAX_CRASHES,
     MAX_SUSPECTS,
+    SUSPECT_RETENTION_MS,
     CrashLedger,
     fingerprint,
 )
@@ -43,9 +43,9 @@
 
     def test_crashes_of_long_ago_do_not_count(self):
         self._crash("r", ["e1", "e2", "e3"])
-        self.assertFalse(self.ledger.is_refused("r", KEEP_MS + 1))
-        self._crash("r", ["e4"], KEEP_MS + 2)
-        self.assertFalse(self.ledger.is_refused("r", KEEP_MS + 2))
+        self.assertFalse(self.ledger.is_refused("r", SUSPECT_RETENTION_MS + 1))
+        self._crash("r", ["e4"], SUSPECT_RETENTION_MS + 2)
+        self.assertFalse(self.ledger.is_refused("r", SUSPECT_RETENTION_MS + 2))
 
     def test_the_number_of_suspects_is_bounded(self):
         for i in range(MAX_SUSPECTS + 50):
--- a/tests/gateway/test_feed.py
+++ b/tests/gateway/test_feed.py
@@ -6,14 +6,14 @@
 import anyio
 
 from rhubarbwinch.gateway.feed import (
-    BEHIND_MS,
     FOLLOWER_POLL_MS,
-    LAPSE_GRACE_MS,
+    LEASE_RENEWAL_GRACE_MS,
+    LOST_DATAGRAM_MS,
     MAX_RETRY_MS,
     MIN_OUTAGE_MS,
     RETRY_MS,
     Feed,
-    _shared,
+    _to_shared,
     split_batch,
 )
 from rhubarbwinch.gateway.messages import SharedBatch, SharedChange
@@ -139,7 +139,7 @@
         await self._run(2 * MIN_OUTAGE_MS)
         self.assertEqual(self.seen[-1], ([("a", 4)], True))
         self.assertTrue(self.shared[-1].after_outage)
-        await self._run(LAPSE_GRACE_MS)
+        await self._run(LEASE_RENEWAL_GRACE_MS)
         self.assertFalse(self.feed.is_after_outage)
 
     @asynchronous
@@ -194,7 +194,7 @@
         self.peers_know = 5
         await self._run(FOLLOWER_POLL_MS)
         self.assertEqual(self.seen, [])
-        await self._run(BEHIND_MS + FOLLOWER_POLL_MS)
+        await self._run(LOST_DATAGRAM_MS + FOLLOWER_POLL_MS)
         self.assertEqual(self.seen, [([("a", 5)], False)])
         await self._run(2_000)
         self.assertEqual(self.store.calls, ["scan", "poll after 3"])
@@ -283,7 +283,7 @@
         for before, after in itertools.pairwise(parts):
             self.assertEqual(before.revision, after.after)
         for part in parts:
-            shared = [_shared(change) for change in part.changes]
+            shared = [_to_shared(change) for change in part.changes]
             message = SharedBatch("10.0.0.1:1234", 1 << 40, 1 << 40, shared)
             self.assertLess(len(codec.encode(message)), MAX_MESSAGE_BYTES)
         self.assertEqual(sum(len(p.changes) for p in parts), 21)
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -3,7 +3,11 @@
 import unittest
 
 from rhubarbwinch.gateway.endpoints import EndpointState
-from rhubarbwinch.gateway.fleet import KEEP_GONE_MS, LAPSE_MS, Fleet
+from rhubarbwinch.gateway.fleet import (
+    EXPIRED_ENTRY_GRACE_MS,
+    LEFT_RETENTION_MS,
+    Fleet,
+)
 from tests.gatewaybuilders import endpoint
 
 
@@ -31,15 +35,19 @@
 
     def test_an_entry_that_lapsed_in_an_outage_has_time_to_come_back(self):
         self.assertFalse(self.fleet.remove("e1", 100, after_outage=True))
-        self.assertEqual(self.fleet.expire(100 + LAPSE_MS - 1), [])
+        self.assertEqual(
+            self.fleet.expire(100 + EXPIRED_ENTRY_GRACE_MS - 1), []
+        )
         self.assertEqual(self._names(), ["e1", "e2"])
-        self.fleet.put(endpoint("e1"), 100 + LAPSE_MS - 1)
-        self.assertEqual(self.fleet.expire(100 + LAPSE_MS + 1), [])
+        self.fleet.put(endpoint("e1"), 100 + EXPIRED_ENTRY_GRACE_MS - 1)
+        self.assertEqual(
+            self.fleet.expire(100 + EXPIRED_ENTRY_GRACE_MS + 1), []
+        )
         self.assertEqual(self._names(), ["e1", "e2"])
 
     def test_an_entry_that_does_not_come_back_ends_the_endpoint(self):
         self.fleet.remove("e1", 100, after_outage=True)
-        due = self.fleet.expire(100 + LAPSE_MS)
+        due = self.fleet.expire(100 + EXPIRED_ENTRY_GRACE_MS)
         self.assertEqual([k.endpoint.id for k in due], ["e1"])
         self.assertEqual(self._names(), ["e2"])
 
@@ -56,12 +64,12 @@
         self.assertEqual(self._names(), ["e1", "e2"])
 
     def test_an_entry_that_cannot_be_read_names_no_endpoint(self):
-        self.fleet.note_unreadable("e1")
+        self.fleet.mark_unreadable("e1")
         self.assertEqual(self._names(), ["e2"])
         self.fleet.put(endpoint("e1"), 60)
         self.assertEqual(self._names(), ["e1", "e2"])
 
     def test_endpoints_that_are_gone_are_forgotten(self):
         self.fleet.remove("e1", 0, after_outage=False)
-        self.fleet.expire(KEEP_GONE_MS + 1)
+        self.fleet.expire(LEFT_RETENTION_MS + 1)
         self.assertIsNone(self.fleet.get("e1"))
--- a/tests/gateway/test_loads.py
+++ b/tests/gateway/test_loads.py
@@ -16,7 +16,7 @@
         for _ in range(3):
             first.add("e1", 4_000, 3_000)
         second.add("e1", 4_000)
-        second.take("first", (1, 1), first.own(), 0)
+        second.receive("first", (1, 1), first.own(), 0)
         total = second.total("e1")
         self.assertEqual(
             (total.runs, total.tokens, total.prefill), (4, 16_000, 9_000)
@@ -24,22 +24,22 @@
 
     def test_an_older_heartbeat_does_not_undo_a_newer_one(self):
         book = LoadBook()
-        book.take("p", (1, 5), [EndpointLoad("e1", 2, 10)], 0)
-        book.take("p", (1, 4), [], 0)
+        book.receive("p", (1, 5), [EndpointLoad("e1", 2, 10)], 0)
+        book.receive("p", (1, 4), [], 0)
         self.assertEqual(book.total("e1").runs, 2)
 
     def test_a_peer_that_starts_again_counts_anew(self):
         book = LoadBook()
-        book.take("p", (1, 500), [EndpointLoad("e1", 2, 10)], 0)
-        book.take("p", (2, 1), [], 0)
+        book.receive("p", (1, 500), [EndpointLoad("e1", 2, 10)], 0)
+        book.receive("p", (2, 1), [], 0)
         self.assertEqual(book.total("e1").runs, 0)
 
     def test_what_a_silent_peer_has_running_is_counted_for_a_while(self):
         book = LoadBook()
-        book.take("p", (1, 1), [EndpointLoad("e1", 2, 10)], 0)
-        book.forget_silent(PEER_SILENCE_MS)
+        book.receive("p", (1, 1), [EndpointLoad("e1", 2, 10)], 0)
+        book.drop_silent_peers(PEER_SILENCE_MS)
         self.assertEqual(book.total("e1").runs, 2)
-        book.forget_silent(PEER_SILENCE_MS + 1)
+        book.drop_silent_peers(PEER_SILENCE_MS + 1)
         self.assertEqual(book.total("e1").runs, 0)
 
     def test_what_ends_is_counted_no_more(self):
@@ -64,15 +64,15 @@
         book = LoadBook()
         book.add("e1", 100)
         before = book.version
-        book.take("p", (1, 1), [EndpointLoad("e1", 2, 10)], 0)
-        book.take("p", (1, 2), [], 1)
-        book.forget_silent(PEER_SILENCE_MS + 2)
+        book.receive("p", (1, 1), [EndpointLoad("e1", 2, 10)], 0)
+        book.receive("p", (1, 2), [], 1)
+        book.drop_silent_peers(PEER_SILENCE_MS + 2)
         self.assertEqual(book.version, before)
 
     def test_the_sum_of_peers_follows_each_of_them(self):
         book = LoadBook()
-        book.take("p", (1, 1), [EndpointLoad("e1", 2, 10, 5)], 0)
-        book.take("q", (1, 1), [EndpointLoad("e1", 1, 7)], 0)
-        book.take("p", (1, 2), [EndpointLoad("e2", 1, 4)], 0)
+        book.receive("p", (1, 1), [EndpointLoad("e1", 2, 10, 5)], 0)
+        book.receive("q", (1, 1), [EndpointLoad("e1", 1, 7)], 0)
+        book.receive("p", (1, 2), [EndpointLoad("e2", 1, 4)], 0)
         found = [(x.runs, x.tokens, x.prefill) for x in map(book.total, ENDS)]
         self.assertEqual(found, [(1, 7, 0), (1, 4, 0)])
--- a/tests/gateway/test_outage.py
+++ b/tests/gateway/test_outage.py
@@ -5,7 +5,7 @@
 import anyio
 
 from rhubarbwinch.gateway.outage import (
-    ASK_MS,
+    POLL_INTERVAL_MS,
     STALE_AND_FAILING_MS,
     STALE_MS,
     OutageWatch,
@@ -69,19 +69,23 @@
 
     @asynchronous
     async def test_an_engine_that_says_it_leaves_is_noticed(self):
-        await self._run(STALE_MS + 1, ASK_MS - 1)
+        await self._run(STALE_MS + 1, POLL_INTERVAL_MS - 1)
         self.assertEqual(self.left, ["e2"])
         self.assertEqual(len(self.calls.asked), 3)
 
     @asynchronous
     async def test_an_engine_whose_entry_has_lapsed_is_asked(self):
-        await self._run(0, ASK_MS - 1, lapsed=2)
+        await self._run(0, POLL_INTERVAL_MS - 1, lapsed=2)
         self.assertEqual(self.left, ["e2"])
         self.assertEqual(len(self.calls.asked), 2)
 
     @asynchronous
     async def test_a_call_that_failed_makes_the_watch_quicker(self):
-        await self._run(STALE_AND_FAILING_MS + 1, ASK_MS - 1, is_failing=True)
+        await self._run(
+            STALE_AND_FAILING_MS + 1, POLL_INTERVAL_MS - 1, is_failing=True
+        )
         self.assertEqual(self.left, ["e2"])
-        await self._run(STALE_AND_FAILING_MS, ASK_MS - 1, is_failing=True)
+        await self._run(
+            STALE_AND_FAILING_MS, POLL_INTERVAL_MS - 1, is_failing=True
+        )
         self.assertEqual(self.left, [])
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -6,7 +6,7 @@
 
 from rhubarbwinch.gateway.loads import LoadBook
 from rhubarbwinch.gateway.messages import Heartbeat
-from rhubarbwinch.gateway.peers import ALIVE_MS, Peers
+from rhubarbwinch.gateway.peers import ALIVE_TIMEOUT_MS, Peers
 from rhubarbwinch.shared.clock import ManualClock
 
 
@@ -52,7 +52,7 @@
         """Delivers heartbeats of g2 to g6; `by_name` overrides fields."""
         for number in range(2, 7):
             fields = by_name.get(f"g{number}", {})
-            self.peers.take(_heartbeat(number, sequence, **fields))
+            self.peers.receive(_heartbeat(number, sequence, **fields))
 
     def _watchers(self):
         self._hear()
@@ -77,7 +77,7 @@
 
     def test_a_gateway_that_hears_of_no_other_goes_by_its_own_calls(self):
         self._hear()
-        self.clock.set(ALIVE_MS + 2)
+        self.clock.set(ALIVE_TIMEOUT_MS + 2)
         self.assertTrue(self.peers.is_store_failing(True))
         self.assertFalse(self.peers.is_store_failing(False))
 
--- a/tests/gateway/test_placing.py
+++ b/tests/gateway/test_placing.py
@@ -107,7 +107,7 @@
 
     def test_a_copy_that_is_far_behind_is_renewed_soon(self):
         # A first copy took 1.4 s, in which its run made 50 events.
-        self.assertEqual(moving.refresh_after_ms(50), moving.CATCH_UP_MS)
+        self.assertEqual(moving.refresh_after_ms(50), moving.EARLY_REFRESH_MS)
         self.assertEqual(moving.refresh_after_ms(2), moving.REFRESH_MS)
 
 
--- a/tests/gateway/test_suspicion.py
+++ b/tests/gateway/test_suspicion.py
@@ -4,7 +4,7 @@
 import unittest
 
 from rhubarbwinch.gateway.suspicion import (
-    FIRST_PAUSE_MS,
+    INITIAL_PAUSE_MS,
     MAX_PAUSE_MS,
     Outcome,
     Suspicion,
@@ -50,8 +50,8 @@
     def test_after_its_pause_one_good_call_clears_an_endpoint(self):
         suspicion = Suspicion()
         suspicion.note("svc", "e1", Outcome.UNREACHABLE, 0)
-        self.assertTrue(suspicion.is_avoided("e1", FIRST_PAUSE_MS - 1))
-        later = FIRST_PAUSE_MS + 1
+        self.assertTrue(suspicion.is_avoided("e1", INITIAL_PAUSE_MS - 1))
+        later = INITIAL_PAUSE_MS + 1
         self.assertFalse(suspicion.is_avoided("e1", later))
         suspicion.note("svc", "e1", Outcome.GOOD, later)
         suspicion.note("svc", "e1", Outcome.BROKEN, later)
