--- a/rhubarbwinch/http/httpapi.py
+++ b/rhubarbwinch/http/httpapi.py
@@ -58,12 +58,14 @@
 
     Args:
         send: The ASGI function.
-        closing: Whether the connection is closed after this response.
+        closes_connection: Whether the connection is closed after this response.
     """
 
-    def __init__(self, send: ASGISendCallable, closing: bool = False) -> None:
+    def __init__(
+        self, send: ASGISendCallable, closes_connection: bool = False
+    ) -> None:
         self._send = send
-        self._closing = closing
+        self._closes_connection = closes_connection
         self._started = False
 
     @property
@@ -74,7 +76,7 @@
     async def start(self, status: int, headers: Headers) -> None:
         """Sends the response head."""
         self._started = True
-        if self._closing:
+        if self._closes_connection:
             headers = [*headers, (b"connection", b"close")]
         await self._send(
             {
@@ -163,10 +165,10 @@
         responder = Responder(send, self._must_close(scope))
         try:
             request = await self._read_in_time(scope, receive)
-            handle = self._find(request)
-            await _until_gone(handle, request, responder, receive)
-        except Refused as refused:
-            failure = refused.failure
+            handle = self._find_handler(request)
+            await _run_until_disconnect(handle, request, responder, receive)
+        except Refused as refusal:
+            failure = refusal.failure
             events.REQUEST_FAILED.log(
                 reason=failure.reason,
                 verdict=failure.verdict,
@@ -210,44 +212,44 @@
             scope["method"], scope["path"], query, headers, bytes(body)
         )
 
-    def _find(self, request: Request) -> Handler:
+    def _find_handler(self, request: Request) -> Handler:
         for route in self._routes:
-            method_fits = route.method in ("*", request.method)
-            if method_fits and request.path.startswith(route.prefix):
+            matches_method = route.method in ("*", request.method)
+            if matches_method and request.path.startswith(route.prefix):
                 return route.handle
         detail = f"no {request.method} {request.path}"
         raise Refused(not_run(Reason.NOT_FOUND, detail))
 
 
-async def _until_gone(
+async def _run_until_disconnect(
     handle: Handler,
     request: Request,
     responder: Responder,
     receive: ASGIReceiveCallable,
 ) -> None:
     """Runs a handler; cancels it when its caller disconnects."""
-    refused: list[Refused] = []
+    refusals: list[Refused] = []
     async with anyio.create_task_group() as tasks:
 
-        async def watch() -> None:
+        async def wait_for_disconnect() -> None:
             while True:
                 message: Any = await receive()
                 if message["type"] == "http.disconnect":
                     tasks.cancel_scope.cancel()
                     return
 
-        tasks.start_soon(watch)
+        tasks.start_soon(wait_for_disconnect)
         try:
             await handle(request, responder)
         except Refused as error:
-            refused.append(error)
+            refusals.append(error)
         except Exception as error:
             detail = f"{type(error).__name__}: {error}"
             failure = Failure(Verdict.MAY_HAVE_RUN, Reason.INTERNAL, detail)
-            refused.append(Refused(failure))
+            refusals.append(Refused(failure))
         tasks.cancel_scope.cancel()
-    if refused:
-        raise refused[0]
+    if refusals:
+        raise refusals[0]
 
 
 async def _serve_lifespan(receive: Any, send: Any) -> None:
--- a/rhubarbwinch/http/httpbody.py
+++ b/rhubarbwinch/http/httpbody.py
@@ -21,22 +21,22 @@
     """
 
     def __init__(self, length: int | None) -> None:
-        self._left = length
+        self._remaining = length
         self.is_complete = length == 0
         self.rest = b""
 
     @property
     def ends_with_connection(self) -> bool:
         """Whether the body is delimited by the connection's close."""
-        return self._left is None
+        return self._remaining is None
 
     def feed(self, data: bytes) -> bytes:
         """Returns the bytes of the body in `data`."""
-        if self._left is None:
+        if self._remaining is None:
             return data
-        found, self.rest = data[: self._left], data[self._left :]
-        self._left -= len(found)
-        self.is_complete = self._left == 0
+        found, self.rest = data[: self._remaining], data[self._remaining :]
+        self._remaining -= len(found)
+        self.is_complete = self._remaining == 0
         return found
 
 
@@ -46,7 +46,7 @@
     def __init__(self) -> None:
         super().__init__(-1)
         # Remaining bytes of the chunk with its line end; 0 between chunks.
-        self._chunk = 0
+        self._chunk_remaining = 0
         self._in_trailer = False
 
     def feed(self, data: bytes) -> bytes:
@@ -57,41 +57,43 @@
         """
         data = self.rest + data if self.rest else data
         parts: list[bytes] = []
-        at = 0
-        while at < len(data) and not self.is_complete:
-            if self._chunk:
-                end = at + self._chunk
+        position = 0
+        while position < len(data) and not self.is_complete:
+            if self._chunk_remaining:
+                end = position + self._chunk_remaining
                 if end > len(data):
-                    at = self._take_part(data, at, parts)
+                    position = self._append_part(data, position, parts)
                     break
-                parts.append(self._take_chunk(data, at, end))
-                at = end
+                parts.append(self._finish_chunk(data, position, end))
+                position = end
                 continue
-            end = data.find(b"\r\n", at)
+            end = data.find(b"\r\n", position)
             if end < 0:
-                _check_line(len(data) - at)
+                _check_line_length(len(data) - position)
                 break
-            self._read_line(data[at:end])
-            at = end + 2
-        self.rest = data[at:]
+            self._parse_line(data[position:end])
+            position = end + 2
+        self.rest = data[position:]
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
-    def _take_chunk(self, data: bytes, at: int, end: int) -> bytes:
+    def _finish_chunk(self, data: bytes, position: int, end: int) -> bytes:
         """Returns the rest of a chunk that ends within `data`."""
         if data[end - 2 : end] != b"\r\n":
             raise ValueError("a chunk without its line end")
-        self._chunk = 0
-        return data[at : end - 2]
+        self._chunk_remaining = 0
+        return data[position : end - 2]
 
-    def _take_part(self, data: bytes, at: int, parts: list[bytes]) -> int:
+    def _append_part(
+        self, data: bytes, position: int, parts: list[bytes]
+    ) -> int:
         """Adds the received part of a chunk; returns the end of the part."""
         # The last two bytes of a chunk are its line end, not content.
-        end = min(len(data), at + self._chunk - 2)
-        parts.append(data[at:end])
-        self._chunk -= end - at
+        end = min(len(data), position + self._chunk_remaining - 2)
+        parts.append(data[position:end])
+        self._chunk_remaining -= end - position
         return end
 
-    def _read_line(self, line: bytes) -> None:
+    def _parse_line(self, line: bytes) -> None:
         """Parses the length of a chunk, or a line of the trailer."""
         if self._in_trailer:
             self.is_complete = not line
@@ -103,10 +105,10 @@
         if size == 0:
             self._in_trailer = True
         else:
-            self._chunk = size + 2
+            self._chunk_remaining = size + 2
 
 
-def _check_line(length: int) -> None:
+def _check_line_length(length: int) -> None:
     if length > MAX_LINE_BYTES:
         raise ValueError("a chunk's first line is too long")
 
--- a/rhubarbwinch/http/httpserver.py
+++ b/rhubarbwinch/http/httpserver.py
@@ -15,8 +15,8 @@
 from hypercorn.typing import ASGIFramework
 from hypercorn.utils import wrap_app
 
-LINGER_S = 0.5
-CLOSE_S = 2.0
+ACCEPT_LINGER_S = 0.5
+FINISH_TIMEOUT_S = 2.0
 
 
 class HttpServer:
@@ -36,11 +36,11 @@
     async def run(self, closing: anyio.Event) -> None:
         """Serves until `closing` is set, then finishes the open requests.
 
-        Connections accepted last have `LINGER_S` to send their requests. Open
-        requests have `CLOSE_S` to finish.
+        Connections accepted last have `ACCEPT_LINGER_S` to send their requests.
+        Open requests have `FINISH_TIMEOUT_S` to finish.
         """
         sockets = self._config.create_sockets()
-        secure = self._config.create_ssl_context()
+        ssl_context = self._config.create_ssl_context()
         servers = [
             await asyncio.start_server(
                 self._serve, sock=sock, backlog=self._config.backlog
@@ -52,7 +52,7 @@
                 self._serve,
                 sock=sock,
                 backlog=self._config.backlog,
-                ssl=secure,
+                ssl=ssl_context,
                 ssl_handshake_timeout=self._config.ssl_handshake_timeout,
             )
             for sock in sockets.secure_sockets
@@ -62,10 +62,10 @@
         finally:
             for server in servers:
                 server.close()
-        await anyio.sleep(LINGER_S)
+        await anyio.sleep(ACCEPT_LINGER_S)
         await self._context.terminated.set()
         if self._tasks:
-            await asyncio.wait(self._tasks, timeout=CLOSE_S)
+            await asyncio.wait(self._tasks, timeout=FINISH_TIMEOUT_S)
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
--- a/rhubarbwinch/http/problems.py
+++ b/rhubarbwinch/http/problems.py
@@ -56,11 +56,11 @@
 
 def headers(failure: Failure) -> list[tuple[bytes, bytes]]:
     """Returns the headers of a problem response."""
-    found = [
+    response_headers = [
         (b"content-type", CONTENT_TYPE),
         (VERDICT_HEADER, failure.verdict.encode()),
     ]
     if failure.retry_after_ms is not None:
         seconds = max(1, -(-failure.retry_after_ms // 1000))
-        found.append((b"retry-after", str(seconds).encode()))
-    return found
+        response_headers.append((b"retry-after", str(seconds).encode()))
+    return response_headers
--- a/rhubarbwinch/http/sse.py
+++ b/rhubarbwinch/http/sse.py
@@ -14,8 +14,8 @@
 
 MAX_EVENT_BYTES = 1 << 20
 DONE = b"data: [DONE]\n\n"
-_END = b"\n\n"
-_UNFINISHED = b'"finish_reason":null'
+_EVENT_END = b"\n\n"
+_NO_FINISH_REASON = b'"finish_reason":null'
 
 
 @attrs.define
@@ -50,7 +50,7 @@
         Quotation marks within JSON strings are escaped, so the scan cannot
         mistake the text of a token for the field.
         """
-        if _UNFINISHED in self.raw:
+        if _NO_FINISH_REASON in self.raw:
             return False
         return _has_finish_reason(self.data)
 
@@ -82,11 +82,11 @@
     return any(c.get("finish_reason") is not None for c in choices)
 
 
-def join(found: list[StreamEvent]) -> bytes:
+def join(events: list[StreamEvent]) -> bytes:
     """Returns the bytes of several events, for one write."""
-    if len(found) == 1:
-        return found[0].raw
-    return b"".join([event.raw for event in found])
+    if len(events) == 1:
+        return events[0].raw
+    return b"".join([event.raw for event in events])
 
 
 class Splitter:
@@ -110,12 +110,12 @@
             data = self._rest + data
         if b"\r" in data:
             data = data.replace(b"\r\n", b"\n")
-        if data.find(_END) == len(data) - 2 >= 0:
+        if data.find(_EVENT_END) == len(data) - 2 >= 0:
             # Nearly all reads return exactly one complete event.
             self._rest = b""
             return [StreamEvent(data)]
-        parts = data.split(_END)
+        parts = data.split(_EVENT_END)
         self._rest = parts.pop()
         if len(self._rest) > MAX_EVENT_BYTES:
             raise EndpointError("an event is too long", sent=True)
-        return [StreamEvent(part + _END) for part in parts if part]
+        return [StreamEvent(part + _EVENT_END) for part in parts if part]
--- a/rhubarbwinch/http/transport.py
+++ b/rhubarbwinch/http/transport.py
@@ -20,21 +20,21 @@
 MAX_HEAD_BYTES = 64 << 10
 # Reading is paused when more bytes than this wait for the caller, and resumed
 # when the caller has taken them.
-MAX_WAITING_BYTES = 256 << 10
+MAX_BUFFERED_BYTES = 256 << 10
 MAX_IDLE_CONNECTIONS = 1024
-IDLE_S = 20.0
+DEFAULT_IDLE_S = 20.0
 # An endpoint closes an idle connection at the time that it announces. A request
 # sent shortly before could cross the close, so the connection is not used then.
 KEEP_ALIVE_MARGIN_S = 0.5
 # Number of responses to earlier requests that may precede the expected one.
-MAX_STALE_ANSWERS = 4
+MAX_STALE_RESPONSES = 4
 # Several round-trip times, since with a shorter time-out a lost packet makes a
 # live endpoint look unreachable.
-PROBE_S = 0.4
+PROBE_TIMEOUT_S = 0.4
 _KEEP_ALIVE = re.compile(rb"timeout=(\d{1,6})")
 
 # Returns whether a response head belongs to the request that was sent.
-AnswerCheck = Callable[[h11.Response], bool]
+ResponseCheck = Callable[[h11.Response], bool]
 
 
 @attrs.frozen
@@ -48,7 +48,7 @@
             sent bytes nor probes for this time; 0 leaves it to the system.
     """
 
-    idle_s: float = IDLE_S
+    idle_s: float = DEFAULT_IDLE_S
     dead_peer_ms: int = 0
 
 
@@ -107,15 +107,15 @@
         self._method = b""
         self._head: h11.Response | None = None
         self._body: Body | None = None
-        self._arrived: deque[bytes] = deque()
-        self._waiting_bytes = 0
+        self._received: deque[bytes] = deque()
+        self._buffered_bytes = 0
         self._is_paused = False
         self._error: httpx.TransportError | None = None
         self._wakeup: asyncio.Future[None] | None = None
         self._can_write: asyncio.Future[None] | None = None
         self._timer = _Timer(self)
-        self._check: AnswerCheck | None = None
-        self._stale_answers = 0
+        self._is_expected: ResponseCheck | None = None
+        self._stale_responses = 0
         self.is_open = False
         self.is_used = False
         self.has_sent = False
@@ -170,7 +170,7 @@
             if self._head is None:
                 data = self._read_head(data)
             if self._body is not None and data:
-                self._take(self._body.feed(data))
+                self._buffer(self._body.feed(data))
         except (h11.RemoteProtocolError, ValueError) as error:
             self.fail(httpx.RemoteProtocolError(str(error)))
         self._wake()
@@ -202,8 +202,8 @@
         """
         self.is_used = True
         self._error = None
-        self._check = request.extensions.get("is_answer")
-        self._stale_answers = 0
+        self._is_expected = request.extensions.get("is_answer")
+        self._stale_responses = 0
         target = request.extensions.get("target", request.url.raw_path)
         method = self._method = request.method.encode()
         head = h11.Request(
@@ -233,8 +233,8 @@
         body = self._body
         assert body is not None
         while True:
-            if self._arrived:
-                yield self._pop()
+            if self._received:
+                yield self._take_buffered()
             elif body.is_complete:
                 return
             else:
@@ -244,8 +244,10 @@
         """Prepares for another request; returns False if that is impossible."""
         body, self._body = self._body, None
         head, self._head = self._head, None
-        is_whole = body is not None and body.is_complete and not self._arrived
-        if not self.is_open or not is_whole or head is None:
+        is_received = (
+            body is not None and body.is_complete and not self._received
+        )
+        if not self.is_open or not is_received or head is None:
             return False
         if body is not None and (body.rest or body.ends_with_connection):
             return False
@@ -286,21 +288,21 @@
                 return b""
             data = self._http.trailing_data[0]
             body = make_body(self._method, event)
-            if self._check is None or self._check(event):
+            if self._is_expected is None or self._is_expected(event):
                 self._head, self._body = event, body
                 return data
-            data = self._pass_over(body, data)
+            data = self._skip_response(body, data)
 
-    def _pass_over(self, body: Body, data: bytes) -> bytes:
+    def _skip_response(self, body: Body, data: bytes) -> bytes:
         """Skips a response to an earlier request; returns the bytes after it.
 
         Raises:
             ValueError: The end of the response is unknown, or there are too
                 many such responses.
         """
-        self._stale_answers += 1
+        self._stale_responses += 1
         body.feed(data)
-        too_many = self._stale_answers > MAX_STALE_ANSWERS
+        too_many = self._stale_responses > MAX_STALE_RESPONSES
         if body.ends_with_connection or not body.is_complete or too_many:
             raise ValueError("an answer to another request")
         self._http = h11.Connection(
@@ -316,21 +318,21 @@
         self._http.send(h11.EndOfMessage())
         return body.rest
 
-    def _take(self, data: bytes) -> None:
+    def _buffer(self, data: bytes) -> None:
         if not data:
             return
-        self._arrived.append(data)
-        self._waiting_bytes += len(data)
-        if self._waiting_bytes > MAX_WAITING_BYTES and not self._is_paused:
+        self._received.append(data)
+        self._buffered_bytes += len(data)
+        if self._buffered_bytes > MAX_BUFFERED_BYTES and not self._is_paused:
             self._is_paused = True
             self._transport.pause_reading()
 
-    def _pop(self) -> bytes:
+    def _take_buffered(self) -> bytes:
         """Returns all received bytes of the body that wait."""
-        arrived = self._arrived
-        data = arrived[0] if len(arrived) == 1 else b"".join(arrived)
-        arrived.clear()
-        self._waiting_bytes = 0
+        received = self._received
+        data = received[0] if len(received) == 1 else b"".join(received)
+        received.clear()
+        self._buffered_bytes = 0
         if self._is_paused and self.is_open:
             self._is_paused = False
             self._transport.resume_reading()
@@ -372,7 +374,7 @@
 
     async def aclose(self) -> None:
         """Releases the connection, or closes it within an unfinished body."""
-        self._transport.give_back(self._key, self._connection)
+        self._transport.release(self._key, self._connection)
 
 
 class Transport(httpx.AsyncBaseTransport):
@@ -413,7 +415,7 @@
         host, port = request.url.host, request.url.port or 80
         key = f"{host}:{port}"
         idle_s = request.extensions.get("max_idle_s", self._options.idle_s)
-        connection = self._take_idle(key, idle_s)
+        connection = self._acquire_idle(key, idle_s)
         if connection is None:
             self.new_connections += 1
             connection = await _connect(
@@ -438,7 +440,7 @@
         self._idle.clear()
         self._idle_count = 0
 
-    def give_back(self, key: str, connection: Connection) -> None:
+    def release(self, key: str, connection: Connection) -> None:
         """Returns a connection to the pool, or closes it.
 
         It is closed if it can't be reused or the pool is full.
@@ -453,7 +455,9 @@
         """Returns whether an endpoint accepts no new connections."""
         host, _, port = key.rpartition(":")
         try:
-            connection = await _connect(host, int(port), PROBE_S, self._options)
+            connection = await _connect(
+                host, int(port), PROBE_TIMEOUT_S, self._options
+            )
         except (httpx.ConnectError, httpx.ConnectTimeout):
             return True
         connection.abort()
@@ -465,7 +469,7 @@
             self._idle_count -= 1
             connection.abort()
 
-    def _take_idle(self, key: str, max_idle_s: float) -> Connection | None:
+    def _acquire_idle(self, key: str, max_idle_s: float) -> Connection | None:
         """Returns the usable idle connection that was used last, or None."""
         connections = self._idle.get(key)
         now = asyncio.get_running_loop().time()
@@ -509,17 +513,17 @@
     return connection
 
 
-def probe_dead_peer(link: socket.socket, limit_ms: int) -> None:
+def probe_dead_peer(sock: socket.socket, limit_ms: int) -> None:
     """Makes the operating system close a connection to a silent peer.
 
     Args:
-        link: The socket of the connection.
+        sock: The socket of the connection.
         limit_ms: How long sent bytes or probes may stay unacknowledged.
     """
-    link.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, limit_ms)
-    link.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, limit_ms)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     # These options are in whole seconds.
     seconds = max(1, limit_ms // 2000)
-    link.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, seconds)
-    link.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, seconds)
-    link.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, seconds)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, seconds)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2)
--- a/rhubarbwinch/links/broadcast.py
+++ b/rhubarbwinch/links/broadcast.py
@@ -73,11 +73,11 @@
     def datagram_received(self, data: bytes, addr: Any) -> None:
         """Calls the handler of a message; logs a malformed message."""
         kind, _, body = data.partition(_SEPARATOR)
-        known = self._handlers.get(kind)
+        handler = self._handlers.get(kind)
         try:
-            if known is None:
+            if handler is None:
                 raise CodecError(f"unknown message {kind[:40]!r}")
-            known[1](codec.decode(body, known[0]))
+            handler[1](codec.decode(body, handler[0]))
         except CodecError as error:
             events.PEER_REFUSED.log(sender=str(addr), error=str(error))
         except Exception as error:
--- a/rhubarbwinch/links/links.py
+++ b/rhubarbwinch/links/links.py
@@ -34,9 +34,9 @@
 _ZAP_ADDRESS = "inproc://zeromq.zap.01"
 _MAX_QUEUED = 10_000
 _MAX_MESSAGE_BYTES = 4 << 20
-_MAX_HANDLING = 20_000
+_MAX_OPEN_CALLS = 20_000
 # How long a message waits while a connection is being established.
-_CONNECT_MS = 250
+_CONNECT_TIMEOUT_MS = 250
 # The kind of a reply to a call whose handler failed.
 _FAILED = "!failed"
 
@@ -53,7 +53,7 @@
 class LinkCounters:
     """Counts of dropped and failed messages, for metrics and tests."""
 
-    unknown_answers: int = 0
+    unknown_replies: int = 0
     refused: int = 0
     failed: int = 0
     overloaded: int = 0
@@ -86,11 +86,11 @@
         self._address = address
         self._keys = keys
         self._handlers: dict[str, _Handler] = {}
-        self._handling = 0
+        self._open_calls = 0
 
-    def on(self, kind: type[T], answer: Callable[[T], Awaitable[Any]]) -> None:
+    def on(self, kind: type[T], handle: Callable[[T], Awaitable[Any]]) -> None:
         """Sets the handler for messages of a class; it returns the reply."""
-        self._handlers[kind.__name__] = _Handler(kind, answer)
+        self._handlers[kind.__name__] = _Handler(kind, handle)
 
     async def run(self) -> None:
         """Serves until cancelled; each call is handled in its own task."""
@@ -98,18 +98,18 @@
         socket = context.socket(zmq.ROUTER)
         socket.setsockopt(zmq.LINGER, 0)
         socket.setsockopt(zmq.MAXMSGSIZE, _MAX_MESSAGE_BYTES)
-        authenticator = _serve_keys(socket, self._keys)
+        authenticator = _configure_curve(socket, self._keys)
         try:
             socket.bind(f"tcp://{self._address}")
             async with anyio.create_task_group() as tasks:
                 while True:
                     frames = await socket.recv_multipart()
-                    if self._handling >= _MAX_HANDLING:
+                    if self._open_calls >= _MAX_OPEN_CALLS:
                         self.counters.overloaded += 1
-                        events.LINK_OVERLOADED.log(handling=self._handling)
+                        events.LINK_OVERLOADED.log(handling=self._open_calls)
                         continue
-                    self._handling += 1
-                    tasks.start_soon(self._answer, socket, frames)
+                    self._open_calls += 1
+                    tasks.start_soon(self._serve_call, socket, frames)
         finally:
             socket.close()
             if authenticator is not None:
@@ -118,18 +118,18 @@
                 authenticator.zap_socket.unbind(_ZAP_ADDRESS)
                 authenticator.stop()
 
-    async def _answer(
+    async def _serve_call(
         self, socket: zmq.asyncio.Socket, frames: list[bytes]
     ) -> None:
         try:
-            await self._answer_checked(socket, frames)
+            await self._serve_checked(socket, frames)
         except (ValueError, struct.error, CodecError) as error:
             self.counters.refused += 1
             events.PEER_REFUSED.log(error=str(error))
         finally:
-            self._handling -= 1
+            self._open_calls -= 1
 
-    async def _answer_checked(
+    async def _serve_checked(
         self, socket: zmq.asyncio.Socket, frames: list[bytes]
     ) -> None:
         """Handles a message and sends its reply.
@@ -148,11 +148,11 @@
         if handler is None:
             raise CodecError(f"unknown message {kind!r}")
         message: Any = codec.decode(body, handler.kind)
-        reply = await self._handle(handler, message, incarnation, number)
+        reply = await self._make_reply(handler, message, incarnation, number)
         if reply and number:
             await socket.send_multipart([peer, *reply])
 
-    async def _handle(
+    async def _make_reply(
         self, handler: _Handler, message: Any, incarnation: int, number: int
     ) -> list[bytes]:
         """Returns the frames of the reply; none if there is no reply."""
@@ -171,7 +171,7 @@
         return _pack(type(answer).__name__, incarnation, number, body)
 
 
-def _serve_keys(socket: zmq.asyncio.Socket, keys: LinkKeys | None) -> Any:
+def _configure_curve(socket: zmq.asyncio.Socket, keys: LinkKeys | None) -> Any:
     """Makes a socket accept only peers that have the same key pair."""
     if keys is None:
         return None
@@ -179,7 +179,7 @@
 
     authenticator = AsyncioAuthenticator(zmq.asyncio.Context.instance())
     authenticator.start()
-    provider = _OneKey(keys.public)
+    provider = _SingleKeyProvider(keys.public)
     authenticator.configure_curve_callback("*", credentials_provider=provider)
     socket.curve_server = True
     socket.curve_publickey = keys.public.encode()
@@ -187,7 +187,7 @@
     return authenticator
 
 
-class _OneKey:
+class _SingleKeyProvider:
     """Accepts one public key."""
 
     def __init__(self, public: str) -> None:
@@ -195,10 +195,10 @@
 
     def callback(self, domain: str, key: bytes) -> bool:
         """Returns whether a peer with this public key, in Z85, may connect."""
-        known = hmac.compare_digest(key, self._public)
-        if not known:
+        is_known = hmac.compare_digest(key, self._public)
+        if not is_known:
             events.PEER_REFUSED.log(error="a peer with another key")
-        return known
+        return is_known
 
 
 class Links:
@@ -215,8 +215,8 @@
         self._keys = keys
         self._numbers = itertools.count(1)
         self._peers: dict[str, _Peer] = {}
-        self._waiting: dict[int, _Waiting] = {}
-        self._late: dict[str, _Handler] = {}
+        self._pending: dict[int, _PendingCall] = {}
+        self._late_handlers: dict[str, _Handler] = {}
         self._tasks: anyio.abc.TaskGroup | None = None
 
     async def run(
@@ -233,7 +233,7 @@
             self._peers.clear()
 
     async def call(
-        self, address: str, message: Any, answer: type[T], timeout_ms: int
+        self, address: str, message: Any, reply_type: type[T], timeout_ms: int
     ) -> T:
         """Sends a message and returns the peer's reply.
 
@@ -244,27 +244,27 @@
             CodecError: The reply is of another kind; the peer has acted.
         """
         number = next(self._numbers)
-        waiting = _Waiting()
-        self._waiting[number] = waiting
-        is_over = False
+        pending = _PendingCall()
+        self._pending[number] = pending
+        has_ended = False
         try:
-            wait_ms = min(timeout_ms, _CONNECT_MS)
+            wait_ms = min(timeout_ms, _CONNECT_TIMEOUT_MS)
             await self._send(address, number, message, wait_ms)
             with anyio.move_on_after(timeout_ms / 1000):
-                await waiting.done.wait()
-            is_over = True
+                await pending.done.wait()
+            has_ended = True
         finally:
-            del self._waiting[number]
-            if waiting.kind and not is_over:
+            del self._pending[number]
+            if pending.kind and not has_ended:
                 # The reply arrived while the call was being cancelled.
-                self._handle_late(waiting.kind, waiting.body)
-        if not waiting.kind:
+                self._handle_late_reply(pending.kind, pending.body)
+        if not pending.kind:
             raise LinkTimeout(f"{address} gave no answer in {timeout_ms} ms")
-        if waiting.kind == _FAILED:
+        if pending.kind == _FAILED:
             raise PeerFailed(f"{address} failed to handle the message")
-        if waiting.kind != answer.__name__:
-            raise CodecError(f"{address} answered by {waiting.kind}")
-        return codec.decode(waiting.body, answer)
+        if pending.kind != reply_type.__name__:
+            raise CodecError(f"{address} answered by {pending.kind}")
+        return codec.decode(pending.body, reply_type)
 
     async def send(self, address: str, message: Any) -> None:
         """Sends a message that has no reply.
@@ -272,13 +272,13 @@
         Raises:
             LinkError: The message was not sent.
         """
-        await self._send(address, 0, message, _CONNECT_MS)
+        await self._send(address, 0, message, _CONNECT_TIMEOUT_MS)
 
     def on_late(
         self, kind: type[T], handle: Callable[[T], Awaitable[None]]
     ) -> None:
         """Sets the handler for replies that arrive after their call ended."""
-        self._late[kind.__name__] = _Handler(kind, handle)
+        self._late_handlers[kind.__name__] = _Handler(kind, handle)
 
     def forget(self, address: str) -> None:
         """Closes the socket of a peer that is gone."""
@@ -346,12 +346,12 @@
 
     async def _receive_one(self, socket: zmq.asyncio.Socket) -> None:
         try:
-            self._take(await socket.recv_multipart())
+            self._deliver_reply(await socket.recv_multipart())
         except (ValueError, struct.error, CodecError) as error:
             self.counters.refused += 1
             events.PEER_REFUSED.log(error=str(error))
 
-    def _take(self, frames: list[bytes]) -> None:
+    def _deliver_reply(self, frames: list[bytes]) -> None:
         """Passes a reply to its waiting call.
 
         Raises:
@@ -366,24 +366,24 @@
             raise CodecError(
                 f"reply with version {version}, incarnation {incarnation}"
             )
-        waiting = self._waiting.get(number)
-        if waiting is None or waiting.kind:
-            self._handle_late(kind.decode(), body)
+        pending = self._pending.get(number)
+        if pending is None or pending.kind:
+            self._handle_late_reply(kind.decode(), body)
             return
-        waiting.kind = kind.decode()
-        waiting.body = body
-        waiting.done.set()
+        pending.kind = kind.decode()
+        pending.body = body
+        pending.done.set()
 
-    def _handle_late(self, kind: str, body: bytes) -> None:
+    def _handle_late_reply(self, kind: str, body: bytes) -> None:
         """Counts a reply without a waiting call; starts its late handler."""
-        self.counters.unknown_answers += 1
+        self.counters.unknown_replies += 1
         events.ANSWER_DROPPED.log(kind=kind)
-        handler = self._late.get(kind)
+        handler = self._late_handlers.get(kind)
         if handler is not None and self._tasks is not None:
             message: Any = codec.decode(body, handler.kind)
-            self._tasks.start_soon(self._undo, handler, message)
+            self._tasks.start_soon(self._run_late_handler, handler, message)
 
-    async def _undo(self, handler: _Handler, message: Any) -> None:
+    async def _run_late_handler(self, handler: _Handler, message: Any) -> None:
         try:
             await handler.answer(message)
         except Exception as error:
@@ -402,7 +402,7 @@
 
 
 @attrs.define
-class _Waiting:
+class _PendingCall:
     """A call that waits for its reply."""
 
     done: anyio.Event = attrs.field(factory=anyio.Event)
--- a/rhubarbwinch/links/linktypes.py
+++ b/rhubarbwinch/links/linktypes.py
@@ -10,7 +10,7 @@
     """Calls peers by their addresses."""
 
     async def call(
-        self, address: str, message: Any, answer: type[T], timeout_ms: int
+        self, address: str, message: Any, reply_type: type[T], timeout_ms: int
     ) -> T:
         """Sends a message and returns the peer's reply.
 
@@ -28,7 +28,7 @@
 class Listener(Protocol):
     """Handles calls from peers."""
 
-    def on(self, kind: type[T], answer: Callable[[T], Awaitable[Any]]) -> None:
+    def on(self, kind: type[T], handle: Callable[[T], Awaitable[Any]]) -> None:
         """Sets the handler for messages of a class; it returns the reply."""
         ...
 
--- a/rhubarbwinch/links/memlinks.py
+++ b/rhubarbwinch/links/memlinks.py
@@ -58,7 +58,7 @@
         self._nodes[address] = MemoryLinks(self, address)
         return self._nodes[address]
 
-    async def carry(
+    async def deliver(
         self, source: str, address: str, message: Any, timeout_ms: int
     ) -> Any:
         """Delivers a message and returns its reply.
@@ -70,11 +70,11 @@
             await self._clock.sleep(timeout_ms)
             raise LinkTimeout(f"{address} gave no answer in {timeout_ms} ms")
         await self._clock.sleep(self._latency_ms)
-        answer = await self._nodes[address].receive(message)
+        reply = await self._nodes[address].receive(message)
         await self._clock.sleep(self._latency_ms)
         if self.cut & {source, address}:
             raise LinkTimeout(f"{address} was cut off")
-        return answer
+        return reply
 
 
 class MemoryLinks:
@@ -91,12 +91,12 @@
         self._address = address
         self._handlers: dict[str, _Handler] = {}
 
-    def on(self, kind: type[T], answer: Callable[[T], Awaitable[Any]]) -> None:
+    def on(self, kind: type[T], handle: Callable[[T], Awaitable[Any]]) -> None:
         """Sets the handler for messages of a class; it returns the reply."""
-        self._handlers[kind.__name__] = _Handler(kind, answer)
+        self._handlers[kind.__name__] = _Handler(kind, handle)
 
     async def call(
-        self, address: str, message: Any, answer: type[T], timeout_ms: int
+        self, address: str, message: Any, reply_type: type[T], timeout_ms: int
     ) -> T:
         """Sends a message and returns the peer's reply.
 
@@ -104,19 +104,19 @@
             LinkError: The peer gave no reply, or handles no such messages.
             LinkTimeout: One of the two nodes is missing or disconnected.
         """
-        sent = self._pass(message)
-        found = await self._network.carry(
-            self._address, address, sent, timeout_ms
+        copy = self._copy(message)
+        reply = await self._network.deliver(
+            self._address, address, copy, timeout_ms
         )
-        if found is None:
+        if reply is None:
             raise LinkError(f"{address} refused {type(message).__name__}")
-        return self._pass(found)
+        return self._copy(reply)
 
     async def send(self, address: str, message: Any) -> None:
         """Sends a message that has no reply."""
         try:
-            await self._network.carry(
-                self._address, address, self._pass(message), 0
+            await self._network.deliver(
+                self._address, address, self._copy(message), 0
             )
         except LinkTimeout:
             # A sender does not learn whether such a message has arrived.
@@ -132,13 +132,13 @@
         handler = self._handlers.get(type(message).__name__)
         if handler is None:
             return None
-        answer = await handler.answer(self._pass(message))
-        return self._pass(answer) if answer is not None else None
+        answer = await handler.answer(self._copy(message))
+        return self._copy(answer) if answer is not None else None
 
     def forget(self, address: str) -> None:
         """Does nothing; there are no connections."""
 
-    def _pass(self, message: T) -> T:
+    def _copy(self, message: T) -> T:
         """Counts a message; returns a copy without shared objects."""
         data = codec.encode(message)
         name = type(message).__name__
--- a/tests/http/test_transport.py
+++ b/tests/http/test_transport.py
@@ -9,7 +9,7 @@
 import httpx
 
 from rhubarbwinch.http.httpbody import make_body
-from rhubarbwinch.http.transport import MAX_WAITING_BYTES, Transport
+from rhubarbwinch.http.transport import MAX_BUFFERED_BYTES, Transport
 from tests.helpers import asynchronous, free_address
 
 CHUNKED = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
@@ -17,7 +17,7 @@
 SIZED = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
 
 
-class Script:
+class ScriptedServer:
     """A server that responds to the n-th request with the n-th list of parts.
 
     A part is bytes to send or an event to wait for; None closes the connection.
@@ -76,7 +76,7 @@
 
     @asynchronous
     async def test_whole_answers_share_a_connection(self):
-        async with Script(
+        async with ScriptedServer(
             [CHUNKED + TWO_CHUNKS], [SIZED], [CHUNKED, TWO_CHUNKS]
         ) as server:
             texts = []
@@ -130,7 +130,7 @@
             [None],
         ]
         for steps in cases:
-            async with Script(steps, [SIZED]) as server:
+            async with ScriptedServer(steps, [SIZED]) as server:
                 with self.assertRaises(
                     httpx.TransportError, msg=steps
                 ) as caught:
@@ -143,7 +143,7 @@
 
     @asynchronous
     async def test_more_bytes_than_announced_end_the_connection(self):
-        async with Script([SIZED + b"extra"], [SIZED]) as server:
+        async with ScriptedServer([SIZED + b"extra"], [SIZED]) as server:
             for _ in range(2):
                 self.assertEqual(
                     (await server.client.get(server.url)).text, "ok"
@@ -153,7 +153,7 @@
     @asynchronous
     async def test_the_end_of_the_connection_can_end_a_body(self):
         head = b"HTTP/1.1 200 OK\r\n\r\n"
-        async with Script([head + b"all", b" of it", None]) as server:
+        async with ScriptedServer([head + b"all", b" of it", None]) as server:
             answer = await server.client.get(server.url)
         self.assertEqual(answer.text, "all of it")
 
@@ -161,7 +161,7 @@
     async def test_silence_before_or_within_an_answer_is_a_timeout(self):
         never = asyncio.Event()
         for steps in ([never], [CHUNKED + b"5\r\nhello\r\n", never]):
-            async with Script(steps) as server:
+            async with ScriptedServer(steps) as server:
                 with self.assertRaises(httpx.ReadTimeout):
                     await server.client.get(server.url, timeout=0.05)
                 never.set()
@@ -175,9 +175,9 @@
 
     @asynchronous
     async def test_a_cancelled_reader_closes_its_connection(self):
-        async with Script([CHUNKED + b"5\r\nhello\r\n", asyncio.Event()]) as (
-            server
-        ):
+        async with ScriptedServer(
+            [CHUNKED + b"5\r\nhello\r\n", asyncio.Event()]
+        ) as (server):
             server.answers[0].insert(1, b"1\r\nx\r\n")
             async with server.client.stream("GET", server.url) as answer:
                 async for _ in answer.aiter_raw():
@@ -191,7 +191,7 @@
         chunk = b"%x\r\n%b\r\n" % (size, b"z" * size)
         count = 1000
         steps = [CHUNKED, *[chunk] * count, b"0\r\n\r\n"]
-        async with Script(steps) as server:
+        async with ScriptedServer(steps) as server:
             async with server.client.stream("GET", server.url) as answer:
                 body = answer.stream.__aiter__()
                 total = len(await anext(body))
@@ -200,12 +200,12 @@
                     before = server.sent
                     await asyncio.sleep(0.05)
                 self.assertLess(server.sent, count * size)
-                most = len(await anext(body))
-                total += most
+                largest = len(await anext(body))
+                total += largest
                 async for data in body:
                     total += len(data)
         self.assertEqual(total, count * size)
-        self.assertLess(most, MAX_WAITING_BYTES + 8 * size)
+        self.assertLess(largest, MAX_BUFFERED_BYTES + 8 * size)
 
 
 class StaleAnswerTest(unittest.TestCase):
@@ -226,7 +226,7 @@
     @asynchronous
     async def test_answers_to_earlier_requests_are_passed_over(self):
         stale, mine = self._answer("aa"), self._answer("bb")
-        async with Script([stale, stale + mine], [mine]) as server:
+        async with ScriptedServer([stale, stale + mine], [mine]) as server:
             for _ in range(2):
                 request = self._request(server, "bb")
                 found = await server.client.send(request)
@@ -235,7 +235,7 @@
 
     @asynchronous
     async def test_only_answers_to_others_fail_the_request(self):
-        async with Script([self._answer("aa"), None]) as server:
+        async with ScriptedServer([self._answer("aa"), None]) as server:
             with self.assertRaises(httpx.TransportError):
                 await server.client.send(self._request(server, "bb"))
 
@@ -247,14 +247,14 @@
             await reader.readuntil(b"\r\n\r\n")
             writer.write(head)
             await writer.drain()
-            await go_on.wait()
-            link = writer.get_extra_info("socket")
+            await may_reset.wait()
+            sock = writer.get_extra_info("socket")
             # With a linger time of 0, closing resets the connection.
             option = struct.pack("ii", 1, 0)
-            link.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, option)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, option)
             writer.transport.abort()
 
-        go_on = asyncio.Event()
+        may_reset = asyncio.Event()
         address = free_address()
         host, port = address.split(":")
         server = await asyncio.start_server(serve, host, int(port))
@@ -262,7 +262,7 @@
         async with client.stream("GET", f"http://{address}/") as found:
             parts = found.aiter_raw()
             self.assertEqual(await anext(parts), b"part")
-            go_on.set()
+            may_reset.set()
             with self.assertRaises(httpx.TransportError):
                 await anext(parts)
         await client.aclose()
@@ -270,7 +270,7 @@
 
     @asynchronous
     async def test_a_request_may_ask_for_a_fresh_connection(self):
-        async with Script([SIZED], [SIZED], [SIZED]) as server:
+        async with ScriptedServer([SIZED], [SIZED], [SIZED]) as server:
             await server.client.get(server.url)
             await server.client.get(server.url)
             fresh = server.client.build_request(
--- a/tests/links/test_links.py
+++ b/tests/links/test_links.py
@@ -27,31 +27,33 @@
 SHORT_MS = 50
 
 
-class Desk:
+class DelayingServer:
     """A server that delays the reply to a permit request until `open`."""
 
     def __init__(self):
         self.address = free_address()
-        self.server = LinkServer(self.address)
-        self.server.on(PermitRequest, self._answer)
-        self.server.on(PermitRelease, self._release)
-        self.arrived = []
+        self.link_server = LinkServer(self.address)
+        self.link_server.on(PermitRequest, self._answer)
+        self.link_server.on(PermitRelease, self._release)
+        self.received = []
         self.released = []
-        self._doors = {}
+        self._reply_events = {}
 
     def open(self, request_id):
-        self._doors.setdefault(request_id, anyio.Event()).set()
+        self._reply_events.setdefault(request_id, anyio.Event()).set()
 
     async def until(self, check):
         while not check():
             await anyio.sleep(0.001)
 
     async def _answer(self, request):
-        self.arrived.append(request.request_id)
+        self.received.append(request.request_id)
         if request.account == "broken":
             raise RuntimeError("cannot")
-        door = self._doors.setdefault(request.request_id, anyio.Event())
-        await door.wait()
+        may_reply = self._reply_events.setdefault(
+            request.request_id, anyio.Event()
+        )
+        await may_reply.wait()
         name = f"for-{request.request_id}"
         return PermitReply(PermitGrant(request.request_id, name, "127.0.0.1:1"))
 
@@ -73,46 +75,48 @@
 
     async def _run(self, session):
         """Runs a session with a server and links; returns both."""
-        desk, links = Desk(), Links(1)
+        server, links = DelayingServer(), Links(1)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(desk.server.run)
+            tasks.start_soon(server.link_server.run)
             await tasks.start(links.run)
-            await session(desk, links, tasks)
+            await session(server, links, tasks)
             tasks.cancel_scope.cancel()
-        return desk, links
+        return server, links
 
-    async def _ask(self, desk, links, request_id, timeout_ms, **fields):
+    async def _ask(self, server, links, request_id, timeout_ms, **fields):
         request = builders.permit_request(request_id, **fields)
-        return await links.call(desk.address, request, PermitReply, timeout_ms)
+        return await links.call(
+            server.address, request, PermitReply, timeout_ms
+        )
 
     @asynchronous
     async def test_reordered_answers_reach_the_calls_they_are_for(self):
         wrong, names = [], [f"r{i}" for i in range(200)]
 
-        async def session(desk, links, tasks):
+        async def session(server, links, tasks):
             async def ask(name):
-                reply = await self._ask(desk, links, name, LONG_MS)
+                reply = await self._ask(server, links, name, LONG_MS)
                 if reply.grant.endpoint != f"for-{name}":
                     wrong.append(name)
 
             async with anyio.create_task_group() as calls:
                 for name in names:
                     calls.start_soon(ask, name)
-                await desk.until(lambda: len(desk.arrived) == len(names))
+                await server.until(lambda: len(server.received) == len(names))
                 order = random.Random(7).sample(names, len(names))
                 for name in order:
-                    desk.open(name)
+                    server.open(name)
 
         _, links = await self._run(session)
         self.assertEqual(wrong, [])
-        self.assertEqual(links.counters.unknown_answers, 0)
+        self.assertEqual(links.counters.unknown_replies, 0)
 
     @asynchronous
     async def test_late_answers_are_dropped_and_late_permits_go_back(self):
         lines = []
 
-        async def session(desk, links, tasks):
-            permits = PermitClient(links, _members(desk.address), SHORT_MS)
+        async def session(server, links, tasks):
+            permits = PermitClient(links, _members(server.address), SHORT_MS)
             late = builders.permit_request("late", wait_ms=0)
             answer = await permits.ask(late)
             lines.append(f"late: {answer.err_value.verdict}")
@@ -121,42 +125,42 @@
                 await permits.ask(builders.permit_request("cancelled"))
             lines.append(f"cancelled: {scope.cancelled_caught}")
             for name in ("cancelled", "late", "good"):
-                desk.open(name)
-            await desk.until(lambda: len(desk.released) == 2)
-            slow = PermitClient(links, _members(desk.address), LONG_MS)
+                server.open(name)
+            await server.until(lambda: len(server.released) == 2)
+            slow = PermitClient(links, _members(server.address), LONG_MS)
             good = await slow.ask(builders.permit_request("good"))
             lines.append(f"good: {good.ok_value.grant.endpoint}")
             lines.append(f"open permits: {len(permits.open_permits)}")
 
-        desk, links = await self._run(session)
-        lines += [f"released: {line}" for line in sorted(desk.released)]
-        lines.append(f"dropped answers: {links.counters.unknown_answers}")
+        server, links = await self._run(session)
+        lines += [f"released: {line}" for line in sorted(server.released)]
+        lines.append(f"dropped answers: {links.counters.unknown_replies}")
         self.assert_gold("late_permits", "\n".join(lines) + "\n")
 
     @asynchronous
     async def test_an_answer_that_meets_a_cancellation_goes_back(self):
-        async def session(desk, links, tasks):
-            permits = PermitClient(links, _members(desk.address), LONG_MS)
+        async def session(server, links, tasks):
+            permits = PermitClient(links, _members(server.address), LONG_MS)
             request = builders.permit_request("r1")
             asking = asyncio.create_task(permits.ask(request))
-            take = links._take
+            deliver = links._deliver_reply
 
-            def take_and_cancel(frames):
-                take(frames)
+            def deliver_and_cancel(frames):
+                deliver(frames)
                 asking.cancel()
 
-            links._take = take_and_cancel
-            desk.open("r1")
-            await desk.until(lambda: desk.released)
+            links._deliver_reply = deliver_and_cancel
+            server.open("r1")
+            await server.until(lambda: server.released)
 
-        desk, _ = await self._run(session)
-        self.assertEqual(desk.released, ["r1 unused"])
+        server, _ = await self._run(session)
+        self.assertEqual(server.released, ["r1 unused"])
 
     @asynchronous
     async def test_garbage_and_other_versions_end_neither_side(self):
-        async def session(desk, links, tasks):
+        async def session(server, links, tasks):
             raw = zmq.asyncio.Context.instance().socket(zmq.DEALER)
-            raw.connect(f"tcp://{desk.address}")
+            raw.connect(f"tcp://{server.address}")
             good = codec.encode(builders.permit_request("x"))
             other = struct.pack("!HQQ", PROTOCOL_VERSION + 1, 1, 1)
             own = struct.pack("!HQQ", PROTOCOL_VERSION, 1, 1)
@@ -169,55 +173,55 @@
                 [own, b"PermitRequest", b"\xc1"],
             ):
                 await raw.send_multipart(frames)
-            await desk.until(lambda: desk.server.counters.refused == 6)
+            await server.until(lambda: server.link_server.counters.refused == 6)
             raw.close(0)
-            desk.open("after")
-            reply = await self._ask(desk, links, "after", LONG_MS)
+            server.open("after")
+            reply = await self._ask(server, links, "after", LONG_MS)
             self.assertEqual(reply.grant.endpoint, "for-after")
 
-        desk, _ = await self._run(session)
-        self.assertEqual(desk.arrived, ["after"])
+        server, _ = await self._run(session)
+        self.assertEqual(server.received, ["after"])
 
     @asynchronous
     async def test_a_handler_that_raises_fails_only_its_own_call(self):
-        async def session(desk, links, tasks):
+        async def session(server, links, tasks):
             with self.assertRaises(PeerFailed):
-                await self._ask(desk, links, "r1", LONG_MS, account="broken")
-            desk.open("r2")
-            await self._ask(desk, links, "r2", LONG_MS)
+                await self._ask(server, links, "r1", LONG_MS, account="broken")
+            server.open("r2")
+            await self._ask(server, links, "r2", LONG_MS)
 
-        desk, _ = await self._run(session)
-        self.assertEqual(desk.server.counters.failed, 1)
+        server, _ = await self._run(session)
+        self.assertEqual(server.link_server.counters.failed, 1)
 
     @asynchronous
     async def test_an_unsent_message_never_arrives_later(self):
         async with anyio.create_task_group() as tasks:
-            desk, links = Desk(), Links(1)
+            server, links = DelayingServer(), Links(1)
             await tasks.start(links.run)
             with self.assertRaises(LinkError) as caught:
-                await self._ask(desk, links, "early", LONG_MS)
+                await self._ask(server, links, "early", LONG_MS)
             self.assertNotIsInstance(caught.exception, LinkTimeout)
-            tasks.start_soon(desk.server.run)
-            desk.open("later")
+            tasks.start_soon(server.link_server.run)
+            server.open("later")
             for _ in range(100):
                 try:
-                    await self._ask(desk, links, "later", LONG_MS)
+                    await self._ask(server, links, "later", LONG_MS)
                     break
                 except LinkError:
                     await anyio.sleep(0.01)
             tasks.cancel_scope.cancel()
-        self.assertEqual(desk.arrived, ["later"])
+        self.assertEqual(server.received, ["later"])
 
     @asynchronous
     async def test_a_forgotten_peer_can_be_called_again(self):
-        async def session(desk, links, tasks):
+        async def session(server, links, tasks):
             for name in ("r1", "r2"):
-                desk.open(name)
-                await self._ask(desk, links, name, LONG_MS)
-                links.forget(desk.address)
+                server.open(name)
+                await self._ask(server, links, name, LONG_MS)
+                links.forget(server.address)
 
-        desk, _ = await self._run(session)
-        self.assertEqual(desk.arrived, ["r1", "r2"])
+        server, _ = await self._run(session)
+        self.assertEqual(server.received, ["r1", "r2"])
 
     @asynchronous
     async def test_garbled_answers_do_not_end_the_receiving_task(self):
