--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -52,7 +52,7 @@
             self._crash(f"r{i}", ["e1"], i)
         self.assertEqual(len(self.ledger._suspects), MAX_SUSPECTS)
 
-    def test_what_differs_in_any_part_is_another_request(self):
+    def test_requests_that_differ_in_any_part_have_other_fingerprints(self):
         parts = [("a", b"/x", b"b"), ("a", b"/", b"xb"), ("ax", b"/", b"b")]
         self.assertEqual(len({fingerprint(*p) for p in parts}), 3)
 
--- a/tests/gateway/test_failurereports.py
+++ b/tests/gateway/test_failurereports.py
@@ -34,28 +34,28 @@
                 return count
         return None
 
-    def test_an_engine_that_resets_what_it_gets_costs_two_gateways(self):
+    def test_reports_of_two_gateways_are_enough(self):
         everyone = [_notice(i) for i in range(1, 34)]
         self.assertEqual(self._note(*everyone), 2)
 
-    def test_the_failures_of_one_gateway_are_its_own(self):
+    def test_failures_at_one_gateway_are_not_enough(self):
         self.assertIsNone(self._note(*[_notice(1)] * 20))
 
-    def test_a_fault_towards_another_data_center_is_not_believed(self):
+    def test_failures_in_another_data_center_are_not_enough(self):
         others = [_notice(i, "dc-b") for i in range(1, 20)]
         self.assertIsNone(self._note(*others))
 
-    def test_a_fault_towards_two_data_centers_is_the_endpoints(self):
+    def test_failures_in_two_other_data_centers_are_enough(self):
         mixed = [_notice(1, "dc-b"), _notice(2, "dc-c")]
         self.assertEqual(self._note(*mixed), 2)
 
-    def test_an_endpoint_that_loses_one_answer_in_twenty_is_kept(self):
+    def test_an_endpoint_that_loses_one_response_in_twenty_is_kept(self):
         # 20 calls in a second, of which one fails in each data centre.
         rare = [_notice(1), _notice(2, "dc-b"), _notice(3, "dc-c")] * 10
         found = self._note(*rare, traffic=PLAIN_CALLS, step_ms=WINDOW_MS // 2)
         self.assertIsNone(found)
 
-    def test_a_plain_endpoint_that_resets_a_third_is_avoided(self):
+    def test_a_plain_endpoint_that_resets_a_third_of_its_calls_is_avoided(self):
         # Seven of 20 calls in a second fail, each at a different gateway.
         third = [_notice(i, f"dc-{'abc'[i % 3]}") for i in range(14)]
         found = self._note(*third, traffic=PLAIN_CALLS, step_ms=WINDOW_MS // 7)
--- a/tests/gateway/test_feed.py
+++ b/tests/gateway/test_feed.py
@@ -103,7 +103,7 @@
             tasks.cancel_scope.cancel()
 
     @asynchronous
-    async def test_changes_are_told_and_shared_once(self):
+    async def test_changes_are_reported_and_broadcast_once(self):
         self._make(
             [Listing([put("a", 2).entry], 3)],
             [ChangeBatch(3, 5, [put("a", 5)]), ChangeBatch(5, 6, [])],
@@ -116,7 +116,7 @@
         )
 
     @asynchronous
-    async def test_dropped_history_is_read_as_a_whole(self):
+    async def test_compacted_history_leads_to_a_full_scan(self):
         self._make(
             [
                 Listing([put("a", 2).entry, put("b", 2).entry], 3),
@@ -143,7 +143,7 @@
         self.assertFalse(self.feed.is_after_outage)
 
     @asynchronous
-    async def test_a_short_failure_makes_no_lease_lapse(self):
+    async def test_a_short_failure_does_not_mark_deletions(self):
         self._make(
             [Listing([put("a", 2).entry], 3)],
             [StoreUnavailable("cut"), ChangeBatch(3, 3, [])],
@@ -153,13 +153,13 @@
         self.assertEqual(self.seen[-1], ([("a", 4)], False))
 
     @asynchronous
-    async def test_a_follower_makes_no_calls_after_its_first_read(self):
+    async def test_a_follower_makes_no_calls_after_its_first_scan(self):
         self._make([Listing([], 3)], [], watches=False)
         await self._run(5_000)
         self.assertEqual(self.store.calls, ["scan"])
 
     @asynchronous
-    async def test_in_an_outage_others_than_watchers_ask_less_and_less(self):
+    async def test_in_an_outage_only_non_watchers_back_off(self):
         down = [StoreUnavailable("down") for _ in range(100)]
         self._make([Listing([], 3)], down)
         await self._run(8_000)
@@ -173,7 +173,7 @@
         )
 
     @asynchronous
-    async def test_an_outage_has_ended_when_peers_have_fresh_answers(self):
+    async def test_an_outage_ends_when_peers_have_fresh_responses(self):
         down = [StoreUnavailable("down") for _ in range(100)]
         self._make([Listing([], 3)], down, watches=False)
         self.is_cut_off = True
@@ -185,7 +185,7 @@
         self.assertTrue(self.feed.is_after_outage)
 
     @asynchronous
-    async def test_a_follower_whose_peers_know_more_asks_the_store(self):
+    async def test_a_follower_that_is_behind_its_peers_polls_the_store(self):
         # The datagram with the last change was lost, so no gap shows its loss.
         self._make(
             [Listing([], 3)], [ChangeBatch(3, 5, [put("a", 5)])], watches=False
@@ -200,7 +200,7 @@
         self.assertEqual(self.store.calls, ["scan", "poll after 3"])
 
     @asynchronous
-    async def test_a_peers_batch_after_a_gap_is_taken_and_the_rest_read(self):
+    async def test_a_batch_after_a_gap_is_applied_and_followed_by_a_scan(self):
         self._make(
             [Listing([], 3), Listing([put("b", 5).entry], 9)],
             [],
@@ -214,7 +214,7 @@
         self.assertEqual(self.store.calls, ["scan", "scan"])
 
     @asynchronous
-    async def test_what_a_peer_tells_again_is_told_once(self):
+    async def test_a_repeated_batch_is_reported_once(self):
         self._make([Listing([], 3)], [], watches=False)
         await self._run(300)
         batch = SharedBatch("p", 3, 8, [SharedChange("a", 8, b"v")])
@@ -223,7 +223,7 @@
         self.assertEqual(self.seen, [([("a", 8)], False)])
 
     @asynchronous
-    async def test_a_large_value_is_fetched_from_the_peer_that_tells_of_it(
+    async def test_a_large_value_is_fetched_from_the_sender_of_its_batch(
         self,
     ):
         self._make([Listing([], 3)], [], watches=False)
@@ -257,7 +257,7 @@
         self.assertEqual(self.links.calls, [("p", "big")])
 
     @asynchronous
-    async def test_a_value_that_a_peer_does_not_hand_over_is_read_anew(self):
+    async def test_a_failed_fetch_of_a_value_leads_to_a_scan(self):
         listing = Listing([put("big", 5).entry], 6)
         self._make([Listing([], 3), listing], [], watches=False)
         await self._run(300)
@@ -274,7 +274,7 @@
 class SplitBatchTest(unittest.TestCase):
     """Splitting batches into parts that fit into a datagram."""
 
-    def test_each_part_fits_and_follows_the_one_before(self):
+    def test_parts_fit_a_datagram_and_are_consecutive(self):
         changes = [put(f"key-{i}", i, b"v" * 300) for i in range(5, 25)]
         changes.append(put("big", 30, b"v" * 50_000))
         parts = split_batch(ChangeBatch(4, 40, changes), changes)
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -28,12 +28,12 @@
         self.assertEqual(self._names(), ["e2"])
         self.assertFalse(self.fleet.put(draining, 6))
 
-    def test_an_entry_that_goes_while_the_store_is_up_ends_the_endpoint(self):
+    def test_a_deletion_without_an_outage_makes_the_endpoint_leave(self):
         self.assertTrue(self.fleet.remove("e1", 5, after_outage=False))
         self.assertEqual(self._names(), ["e2"])
         self.assertFalse(self.fleet.remove("e1", 6, after_outage=False))
 
-    def test_an_entry_that_lapsed_in_an_outage_has_time_to_come_back(self):
+    def test_an_entry_that_expired_in_an_outage_may_be_renewed(self):
         self.assertFalse(self.fleet.remove("e1", 100, after_outage=True))
         self.assertEqual(
             self.fleet.expire(100 + EXPIRED_ENTRY_GRACE_MS - 1), []
@@ -45,25 +45,25 @@
         )
         self.assertEqual(self._names(), ["e1", "e2"])
 
-    def test_an_entry_that_does_not_come_back_ends_the_endpoint(self):
+    def test_an_endpoint_whose_expired_entry_is_not_renewed_leaves(self):
         self.fleet.remove("e1", 100, after_outage=True)
         due = self.fleet.expire(100 + EXPIRED_ENTRY_GRACE_MS)
         self.assertEqual([k.endpoint.id for k in due], ["e1"])
         self.assertEqual(self._names(), ["e2"])
 
-    def test_an_endpoint_that_was_draining_when_its_entry_lapsed_stays_out(
+    def test_a_draining_endpoint_whose_entry_expires_gets_no_new_work(
         self,
     ):
         self.fleet.put(endpoint("e1", state=EndpointState.DRAINING), 50)
         self.fleet.remove("e1", 100, after_outage=True)
         self.assertEqual(self._names(), ["e2"])
 
-    def test_an_id_that_starts_anew_takes_work_again(self):
+    def test_a_restart_under_the_same_id_gets_new_work(self):
         self.fleet.put(endpoint("e1", state=EndpointState.DRAINING), 50)
         self.fleet.put(endpoint("e1", started_ms=2), 60)
         self.assertEqual(self._names(), ["e1", "e2"])
 
-    def test_an_entry_that_cannot_be_read_names_no_endpoint(self):
+    def test_an_endpoint_with_an_unreadable_entry_gets_no_new_work(self):
         self.fleet.mark_unreadable("e1")
         self.assertEqual(self._names(), ["e2"])
         self.fleet.put(endpoint("e1"), 60)
--- a/tests/gateway/test_hops.py
+++ b/tests/gateway/test_hops.py
@@ -18,7 +18,7 @@
     """A request with and without tracing."""
 
     @asynchronous
-    async def test_a_send_is_a_child_of_the_request_and_names_itself(self):
+    async def test_the_span_of_an_attempt_is_a_child_of_the_requests_span(self):
         exporter = InMemorySpanExporter()
         tracing.use(SimpleSpanProcessor(exporter), "g1")
         self.addCleanup(tracing.close)
@@ -35,7 +35,7 @@
         self.assertIn(f"{send.context.span_id:016x}", seen)
 
     @asynchronous
-    async def test_without_traces_the_callers_header_passes_as_it_is(self):
+    async def test_without_tracing_the_callers_traceparent_is_forwarded(self):
         async with world(engines=1) as w:
             await w.call(traceparent=PARENT)
             seen = w.engines[0].arrivals[0].headers["traceparent"]
--- a/tests/gateway/test_loads.py
+++ b/tests/gateway/test_loads.py
@@ -22,19 +22,19 @@
             (total.runs, total.tokens, total.prefill), (4, 16_000, 9_000)
         )
 
-    def test_an_older_heartbeat_does_not_undo_a_newer_one(self):
+    def test_an_older_heartbeat_does_not_replace_a_newer_one(self):
         book = LoadBook()
         book.receive("p", (1, 5), [EndpointLoad("e1", 2, 10)], 0)
         book.receive("p", (1, 4), [], 0)
         self.assertEqual(book.total("e1").runs, 2)
 
-    def test_a_peer_that_starts_again_counts_anew(self):
+    def test_a_restarted_peer_replaces_its_loads(self):
         book = LoadBook()
         book.receive("p", (1, 500), [EndpointLoad("e1", 2, 10)], 0)
         book.receive("p", (2, 1), [], 0)
         self.assertEqual(book.total("e1").runs, 0)
 
-    def test_what_a_silent_peer_has_running_is_counted_for_a_while(self):
+    def test_the_loads_of_a_silent_peer_expire(self):
         book = LoadBook()
         book.receive("p", (1, 1), [EndpointLoad("e1", 2, 10)], 0)
         book.drop_silent_peers(PEER_SILENCE_MS)
@@ -42,14 +42,14 @@
         book.drop_silent_peers(PEER_SILENCE_MS + 1)
         self.assertEqual(book.total("e1").runs, 0)
 
-    def test_what_ends_is_counted_no_more(self):
+    def test_ended_requests_are_subtracted(self):
         book = LoadBook()
         book.add("e1", 100, 50)
         book.end_prefill("e1", 50)
         book.remove("e1", 100)
         self.assertEqual(book.own(), [])
 
-    def test_the_version_changes_with_what_peers_are_told_at_once(self):
+    def test_the_version_changes_with_this_gateways_requests(self):
         book = LoadBook()
         seen = {book.version}
         book.add("e1", 100, 50)
@@ -58,7 +58,7 @@
         seen.add(book.version)
         self.assertEqual(len(seen), 3)
 
-    def test_what_a_peer_tells_is_no_news_to_tell_on(self):
+    def test_received_loads_do_not_change_the_version(self):
         # If received loads changed the version, each change at one of 33
         # gateways would be announced again by all others.
         book = LoadBook()
@@ -69,7 +69,7 @@
         book.drop_silent_peers(PEER_SILENCE_MS + 2)
         self.assertEqual(book.version, before)
 
-    def test_the_sum_of_peers_follows_each_of_them(self):
+    def test_totals_follow_the_loads_of_each_peer(self):
         book = LoadBook()
         book.receive("p", (1, 1), [EndpointLoad("e1", 2, 10, 5)], 0)
         book.receive("q", (1, 1), [EndpointLoad("e1", 1, 7)], 0)
--- a/tests/gateway/test_outage.py
+++ b/tests/gateway/test_outage.py
@@ -63,24 +63,24 @@
             tasks.cancel_scope.cancel()
 
     @asynchronous
-    async def test_no_engine_is_asked_while_the_store_answers(self):
+    async def test_no_engine_is_polled_while_the_store_responds(self):
         await self._run(STALE_MS, 5_000)
         self.assertEqual(self.calls.asked, [])
 
     @asynchronous
-    async def test_an_engine_that_says_it_leaves_is_noticed(self):
+    async def test_an_engine_that_reports_its_shutdown_is_detected(self):
         await self._run(STALE_MS + 1, POLL_INTERVAL_MS - 1)
         self.assertEqual(self.left, ["e2"])
         self.assertEqual(len(self.calls.asked), 3)
 
     @asynchronous
-    async def test_an_engine_whose_entry_has_lapsed_is_asked(self):
+    async def test_an_engine_whose_entry_has_expired_is_polled(self):
         await self._run(0, POLL_INTERVAL_MS - 1, lapsed=2)
         self.assertEqual(self.left, ["e2"])
         self.assertEqual(len(self.calls.asked), 2)
 
     @asynchronous
-    async def test_a_call_that_failed_makes_the_watch_quicker(self):
+    async def test_after_a_failed_call_engines_are_polled_earlier(self):
         await self._run(
             STALE_AND_FAILING_MS + 1, POLL_INTERVAL_MS - 1, is_failing=True
         )
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -61,21 +61,21 @@
     def test_two_gateways_watch_the_store_for_all(self):
         self.assertEqual(len(self._watchers()), 2)
 
-    def test_the_store_is_away_when_it_fails_all_watchers(self):
+    def test_the_store_is_failing_if_it_fails_all_watchers(self):
         watchers = self._watchers()
         failing = {"is_store_failing": True}
         here = "g1" in watchers
         self._hear(2, **dict.fromkeys(watchers, failing))
         self.assertTrue(self.peers.is_store_failing(here))
 
-    def test_the_store_is_not_away_when_it_turns_some_gateways_away(self):
+    def test_the_store_is_not_failing_if_it_rejects_some_gateways(self):
         watchers = self._watchers()
         failing = {"is_store_failing": True}
         others = {f"g{i}" for i in range(2, 7)} - set(watchers)
         self._hear(2, **dict.fromkeys([*others, watchers[0]], failing))
         self.assertFalse(self.peers.is_store_failing(watchers[0] == "g1"))
 
-    def test_a_gateway_that_hears_of_no_other_goes_by_its_own_calls(self):
+    def test_a_gateway_without_live_peers_judges_by_its_own_calls(self):
         self._hear()
         self.clock.set(ALIVE_TIMEOUT_MS + 2)
         self.assertTrue(self.peers.is_store_failing(True))
--- a/tests/gateway/test_replica.py
+++ b/tests/gateway/test_replica.py
@@ -11,7 +11,7 @@
 class ReplicaTest(unittest.TestCase):
     """Merging of batches and listings."""
 
-    def test_the_newest_revision_wins_in_whatever_order_changes_come(self):
+    def test_the_newest_revision_wins_in_any_order_of_changes(self):
         changes = [put("a", 2, b"2"), gone("a", 5), put("b", 3), put("a", 9)]
         for seed in range(20):
             replica = Replica()
@@ -21,32 +21,32 @@
             self.assertEqual(replica.get("a").revision, 9)
             self.assertEqual(replica.get("b").revision, 3)
 
-    def test_an_older_value_does_not_bring_a_deleted_key_back(self):
+    def test_an_older_value_does_not_restore_a_deleted_key(self):
         replica = Replica()
         replica.merge_batch(ChangeBatch(0, 5, [put("a", 2), gone("a", 5)]))
         replica.merge_listing(Listing([put("a", 2).entry], 4))
         self.assertIsNone(replica.get("a"))
 
-    def test_a_listing_deletes_what_is_missing_and_was_older(self):
+    def test_a_listing_deletes_missing_keys_that_are_older(self):
         replica = Replica()
         replica.merge_batch(ChangeBatch(0, 7, [put("a", 2), put("b", 7)]))
         taken = replica.merge_listing(Listing([], 6))
         self.assertEqual([c.key for c in taken], ["a"])
         self.assertIsNotNone(replica.get("b"))
 
-    def test_a_batch_after_a_gap_is_not_taken(self):
+    def test_a_batch_after_a_gap_is_not_merged(self):
         replica = Replica()
         replica.merge_batch(ChangeBatch(0, 3, [put("a", 3)]))
         self.assertIsNone(replica.merge_batch(ChangeBatch(4, 6, [put("b", 6)])))
         self.assertEqual(replica.revision, 3)
 
-    def test_only_changes_are_told(self):
+    def test_only_effective_changes_are_returned(self):
         replica = Replica()
         batch = ChangeBatch(0, 3, [put("a", 3), gone("x", 2)])
         self.assertEqual(len(replica.merge_batch(batch)), 1)
         self.assertEqual(replica.merge_batch(batch), [])
 
-    def test_deletions_are_remembered_up_to_a_bound(self):
+    def test_the_number_of_tombstones_is_bounded(self):
         replica = Replica()
         for i in range(1, MAX_TOMBSTONES + 100):
             key = f"k{i}"
--- a/tests/gateway/test_retrybudget.py
+++ b/tests/gateway/test_retrybudget.py
@@ -32,7 +32,7 @@
             pass
         self.assertTrue(budget.take("b", 1, 0))
 
-    def test_what_is_older_than_the_window_is_free_again(self):
+    def test_retries_older_than_the_window_do_not_count(self):
         budget = RetryBudget(0.0, WINDOW_MS, 10)
         while budget.take("a", 1, 0):
             pass
--- a/tests/gateway/test_suspicion.py
+++ b/tests/gateway/test_suspicion.py
@@ -36,11 +36,11 @@
             )
             self.assertLess(counts["e1"], 60)
 
-    def test_errors_that_all_endpoints_make_suspect_none(self):
+    def test_errors_of_all_endpoints_make_none_avoided(self):
         counts = self._play(Suspicion(), 600, dict.fromkeys(NAMES, 0.14))
         self.assertGreater(min(counts.values()), 100)
 
-    def test_never_are_most_of_a_service_avoided(self):
+    def test_less_than_half_of_a_service_is_avoided(self):
         suspicion = Suspicion()
         for name in NAMES:
             for _ in range(5):
--- a/tests/gateway/test_waiting.py
+++ b/tests/gateway/test_waiting.py
@@ -29,7 +29,7 @@
             self.assertTrue(waiter.turn.is_set())
             self.queue.leave(waiter)
 
-    def test_one_that_leaves_lets_the_next_try(self):
+    def test_a_removed_request_lets_the_next_try(self):
         first = self.queue.join(0, 1_000)
         second = self.queue.join(0, 2_000)
         self.queue.leave(first)
@@ -42,11 +42,11 @@
         self.assertTrue(self.queue.is_hopeless(1, 5_000, 900))
         self.assertFalse(self.queue.is_hopeless(0, -1, 900))
 
-    def test_nothing_is_hopeless_while_nobody_waits(self):
+    def test_no_request_is_refused_while_none_waits(self):
         self._learn_pace(2_000)
         self.assertFalse(self.queue.is_hopeless(1, 5_000, 1))
 
-    def test_the_time_to_come_back_grows_with_those_ahead(self):
+    def test_the_retry_time_grows_with_the_requests_ahead(self):
         self._learn_pace(500)
         times = []
         for i in range(4):
--- a/tests/http/test_httpapi.py
+++ b/tests/http/test_httpapi.py
@@ -63,7 +63,7 @@
                         break
         return answer
 
-    def test_bodies_that_are_no_call_are_refused(self):
+    def test_malformed_bodies_are_refused(self):
         bad = [
             b"",
             b"{",
@@ -130,7 +130,7 @@
         )
         self.assertIn(answer.split(b" ")[1], (b"400", b"431"))
 
-    def test_what_is_not_http_is_refused(self):
+    def test_input_that_is_not_http_is_refused(self):
         answer = self._exchange(b"\xff\x00 nonsense\r\n\r\n")
         self.assertEqual(answer.split(b" ")[1], b"400")
 
@@ -150,7 +150,7 @@
         self.assertEqual(answer.split(b" ")[1], b"408", answer)
         self.assertIn(b"x-verdict: not-run", answer.lower())
 
-    def test_a_vanished_caller_frees_its_engine(self):
+    def test_a_disconnected_caller_frees_its_engine(self):
         body = self._call(prompt="len=4000", stream=True)
         url = f"http://{self.address}{COMPLETIONS}"
         with httpx.stream("POST", url, content=body, headers=AUTHORIZATION):
@@ -199,7 +199,7 @@
         engine = self.fleet.engines[0]
         return httpx.get(f"http://{engine}/load").json()["running"]
 
-    def test_a_caller_that_does_not_read_holds_up_no_other(self):
+    def test_a_caller_that_does_not_read_blocks_no_other(self):
         body = self._call(prompt="len=4000", stream=True)
         url = f"http://{self.address}{COMPLETIONS}"
         with httpx.stream(
@@ -210,7 +210,7 @@
                 self.assertEqual(answer.status_code, 200)
             self.assertEqual(unread.status_code, 200)
 
-    def test_an_unknown_schema_changes_nothing_in_force(self):
+    def test_an_unknown_schema_does_not_change_the_active_configuration(self):
         newer = builders.model(name="later")
         newer = builders.Record("model", "later", 99, newer.spec)
         self.assertEqual(self.fleet.apply([newer]), 3)
--- a/tests/http/test_transport.py
+++ b/tests/http/test_transport.py
@@ -75,7 +75,7 @@
     """Requests, connection reuse, time-outs and malformed responses."""
 
     @asynchronous
-    async def test_whole_answers_share_a_connection(self):
+    async def test_complete_responses_share_a_connection(self):
         async with ScriptedServer(
             [CHUNKED + TWO_CHUNKS], [SIZED], [CHUNKED, TWO_CHUNKS]
         ) as server:
@@ -89,7 +89,7 @@
             server.requests, [f"post / http/1.1 b{i}" for i in range(3)]
         )
 
-    def test_a_body_is_the_same_wherever_reads_cut_it(self):
+    def test_a_body_is_the_same_however_reads_split_it(self):
         head = h11.Response(
             status_code=200, headers=[("transfer-encoding", "chunked")]
         )
@@ -151,14 +151,14 @@
         self.assertEqual(server.connections, 2)
 
     @asynchronous
-    async def test_the_end_of_the_connection_can_end_a_body(self):
+    async def test_the_close_of_the_connection_can_delimit_a_body(self):
         head = b"HTTP/1.1 200 OK\r\n\r\n"
         async with ScriptedServer([head + b"all", b" of it", None]) as server:
             answer = await server.client.get(server.url)
         self.assertEqual(answer.text, "all of it")
 
     @asynchronous
-    async def test_silence_before_or_within_an_answer_is_a_timeout(self):
+    async def test_silence_before_or_within_a_response_is_a_timeout(self):
         never = asyncio.Event()
         for steps in ([never], [CHUNKED + b"5\r\nhello\r\n", never]):
             async with ScriptedServer(steps) as server:
@@ -177,7 +177,7 @@
     async def test_a_cancelled_reader_closes_its_connection(self):
         async with ScriptedServer(
             [CHUNKED + b"5\r\nhello\r\n", asyncio.Event()]
-        ) as (server):
+        ) as server:
             server.answers[0].insert(1, b"1\r\nx\r\n")
             async with server.client.stream("GET", server.url) as answer:
                 async for _ in answer.aiter_raw():
@@ -186,7 +186,7 @@
             self.assertEqual(server.client._transport._idle_count, 0)
 
     @asynchronous
-    async def test_a_slow_reader_holds_the_sender_back(self):
+    async def test_a_slow_reader_slows_the_sender(self):
         size = 64 << 10
         chunk = b"%x\r\n%b\r\n" % (size, b"z" * size)
         count = 1000
@@ -208,7 +208,7 @@
         self.assertLess(largest, MAX_BUFFERED_BYTES + 8 * size)
 
 
-class StaleAnswerTest(unittest.TestCase):
+class StaleResponseTest(unittest.TestCase):
     """Responses to other requests, and bodies that are cut off by a reset."""
 
     def _request(self, server, name):
@@ -224,7 +224,7 @@
         return head.encode() + name.encode()
 
     @asynchronous
-    async def test_answers_to_earlier_requests_are_passed_over(self):
+    async def test_responses_to_earlier_requests_are_skipped(self):
         stale, mine = self._answer("aa"), self._answer("bb")
         async with ScriptedServer([stale, stale + mine], [mine]) as server:
             for _ in range(2):
@@ -234,13 +234,13 @@
         self.assertEqual(server.connections, 1)
 
     @asynchronous
-    async def test_only_answers_to_others_fail_the_request(self):
+    async def test_a_request_that_gets_only_stale_responses_fails(self):
         async with ScriptedServer([self._answer("aa"), None]) as server:
             with self.assertRaises(httpx.TransportError):
                 await server.client.send(self._request(server, "bb"))
 
     @asynchronous
-    async def test_a_body_without_a_length_that_is_reset_is_not_whole(self):
+    async def test_a_body_without_a_length_is_incomplete_after_a_reset(self):
         head = b"HTTP/1.1 200 OK\r\n\r\npart"
 
         async def serve(reader, writer):
@@ -269,7 +269,7 @@
         server.close()
 
     @asynchronous
-    async def test_a_request_may_ask_for_a_fresh_connection(self):
+    async def test_a_request_may_demand_a_new_connection(self):
         async with ScriptedServer([SIZED], [SIZED], [SIZED]) as server:
             await server.client.get(server.url)
             await server.client.get(server.url)
--- a/tests/links/test_links.py
+++ b/tests/links/test_links.py
@@ -90,7 +90,7 @@
         )
 
     @asynchronous
-    async def test_reordered_answers_reach_the_calls_they_are_for(self):
+    async def test_reordered_replies_reach_their_calls(self):
         wrong, names = [], [f"r{i}" for i in range(200)]
 
         async def session(server, links, tasks):
@@ -112,7 +112,7 @@
         self.assertEqual(links.counters.unknown_replies, 0)
 
     @asynchronous
-    async def test_late_answers_are_dropped_and_late_permits_go_back(self):
+    async def test_late_replies_are_dropped_and_late_permits_released(self):
         lines = []
 
         async def session(server, links, tasks):
@@ -138,7 +138,7 @@
         self.assert_gold("late_permits", "\n".join(lines) + "\n")
 
     @asynchronous
-    async def test_an_answer_that_meets_a_cancellation_goes_back(self):
+    async def test_a_permit_that_arrives_during_cancellation_is_released(self):
         async def session(server, links, tasks):
             permits = PermitClient(links, _members(server.address), LONG_MS)
             request = builders.permit_request("r1")
@@ -157,7 +157,9 @@
         self.assertEqual(server.released, ["r1 unused"])
 
     @asynchronous
-    async def test_garbage_and_other_versions_end_neither_side(self):
+    async def test_malformed_messages_and_other_versions_stop_neither_side(
+        self,
+    ):
         async def session(server, links, tasks):
             raw = zmq.asyncio.Context.instance().socket(zmq.DEALER)
             raw.connect(f"tcp://{server.address}")
@@ -224,7 +226,7 @@
         self.assertEqual(server.received, ["r1", "r2"])
 
     @asynchronous
-    async def test_garbled_answers_do_not_end_the_receiving_task(self):
+    async def test_malformed_replies_do_not_stop_the_receiving_task(self):
         address = free_address()
         router = zmq.asyncio.Context.instance().socket(zmq.ROUTER)
         router.bind(f"tcp://{address}")
