--- a/rhubarbwinch/gateway/feed.py
+++ b/rhubarbwinch/gateway/feed.py
@@ -269,25 +269,25 @@
         # A key that changed more than once has an item for each change, but
         # the sender holds only the newest value.
         changes = {c.key: _from_shared(c) for c in batch.changes}
-        newest = {shared.key: shared for shared in omitted}
-        for key, shared in newest.items():
+        newest_by_key = {shared.key: shared for shared in omitted}
+        for key, shared in newest_by_key.items():
             known = self._replica.get(key)
             if known is not None and known.revision >= shared.revision:
                 del changes[key]
                 continue
-            found = await self._fetch_value(batch.sender, shared)
-            if found is None:
+            fetched = await self._fetch_value(batch.sender, shared)
+            if fetched is None:
                 # The next iteration of `run` scans the store.
                 self._is_synced = False
                 return
-            changes[key] = _from_shared(found)
+            changes[key] = _from_shared(fetched)
         self._apply(batch, list(changes.values()))
 
     async def _fetch_value(
         self, sender: str, shared: SharedChange
     ) -> SharedChange | None:
         try:
-            found = await self._links.call(
+            fetched = await self._links.call(
                 sender, ValueCall(shared.key), SharedChange, FETCH_TIMEOUT_MS
             )
         except (LinkError, CodecError) as error:
@@ -295,7 +295,7 @@
                 sender=sender, key=shared.key, error=str(error)
             )
             return None
-        return found if found.revision >= shared.revision else None
+        return fetched if fetched.revision >= shared.revision else None
 
     async def answer_value(self, call: ValueCall) -> SharedChange:
         """Returns the newest value of a key to a peer."""
@@ -362,14 +362,14 @@
             size = 0
         parts[-1].append(change)
         size += change_bytes
-    found = []
+    batches = []
     after = batch.after
     for part in parts:
         is_last = part is parts[-1]
         revision = batch.revision if is_last else part[-1].revision
-        found.append(ChangeBatch(after, revision, part))
+        batches.append(ChangeBatch(after, revision, part))
         after = revision
-    return found
+    return batches
 
 
 def _size(change: Change) -> int:
--- a/rhubarbwinch/http/httpbody.py
+++ b/rhubarbwinch/http/httpbody.py
@@ -34,10 +34,10 @@
         """Returns the bytes of the body in `data`."""
         if self._remaining is None:
             return data
-        found, self.rest = data[: self._remaining], data[self._remaining :]
-        self._remaining -= len(found)
+        content, self.rest = data[: self._remaining], data[self._remaining :]
+        self._remaining -= len(content)
         self.is_complete = self._remaining == 0
-        return found
+        return content
 
 
 class ChunkedBody(Body):
@@ -121,8 +121,8 @@
     """
     if method == b"HEAD" or head.status_code in (204, 304):
         return Body(0)
-    found = dict(head.headers)
-    if found.get(b"transfer-encoding", b"").lower() == b"chunked":
+    fields = dict(head.headers)
+    if fields.get(b"transfer-encoding", b"").lower() == b"chunked":
         return ChunkedBody()
-    length = found.get(b"content-length")
+    length = fields.get(b"content-length")
     return Body(None if length is None else int(length))
--- a/rhubarbwinch/http/transport.py
+++ b/rhubarbwinch/http/transport.py
@@ -254,8 +254,8 @@
         if self._transport.get_write_buffer_size():
             # The endpoint responded before it had read the whole request.
             return False
-        options = dict(head.headers).get(b"connection", b"").lower()
-        if b"close" in options or head.http_version < b"1.1":
+        connection_options = dict(head.headers).get(b"connection", b"").lower()
+        if b"close" in connection_options or head.http_version < b"1.1":
             return False
         self._http = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -69,8 +69,8 @@
                 """Makes the endpoint unreachable during the request."""
                 name = arrival.headers["expect-instance"]
                 known = w.context.fleet.get(name)
-                gone = build.endpoint(name, address="127.0.0.1:1")
-                known.endpoint = gone
+                unreachable = build.endpoint(name, address="127.0.0.1:1")
+                known.endpoint = unreachable
 
             async def is_gone(address):
                 return True
--- a/tests/gateway/test_feed.py
+++ b/tests/gateway/test_feed.py
@@ -46,14 +46,14 @@
         self.calls.append(f"poll after {after}")
         return await self._next(self.polls)
 
-    async def _next(self, answers):
+    async def _next(self, results):
         await anyio.lowlevel.checkpoint()
-        if not answers:
+        if not results:
             await anyio.sleep_forever()
-        answer = answers.pop(0)
-        if isinstance(answer, Exception):
-            raise answer
-        return answer
+        result = results.pop(0)
+        if isinstance(result, Exception):
+            raise result
+        return result
 
 
 class PeerValues:
@@ -63,7 +63,7 @@
         self.values = {}
         self.calls = []
 
-    async def call(self, address, message, answer, timeout_ms):
+    async def call(self, address, message, reply_type, timeout_ms):
         self.calls.append((address, message.key))
         if message.key not in self.values:
             raise LinkTimeout("no answer")
@@ -73,23 +73,23 @@
 class FeedTest(unittest.TestCase):
     """A feed with a scripted store and a manual clock."""
 
-    def _make(self, scans, polls, watches=True):
+    def _make(self, scans, polls, is_watcher=True):
         self.clock = ManualClock()
         self.store = ScriptedStore(scans, polls)
-        self.shared, self.seen = [], []
+        self.broadcast_batches, self.reported = [], []
         self.links = PeerValues()
-        self.watches = watches
+        self.is_watcher = is_watcher
         self.is_cut_off = False
-        self.peers_know = 0
+        self.peer_revision = 0
         self.feed = Feed(
             self.store,
             Replica(),
             self.clock,
-            lambda: self.watches or self.is_cut_off,
-            lambda: self.watches,
-            lambda: self.peers_know,
-            self.shared.append,
-            lambda changes, after: self.seen.append(
+            lambda: self.is_watcher or self.is_cut_off,
+            lambda: self.is_watcher,
+            lambda: self.peer_revision,
+            self.broadcast_batches.append,
+            lambda changes, after: self.reported.append(
                 ([(c.key, c.revision) for c in changes], after)
             ),
             self.links,
@@ -109,8 +109,10 @@
             [ChangeBatch(3, 5, [put("a", 5)]), ChangeBatch(5, 6, [])],
         )
         await self._run(500)
-        self.assertEqual(self.seen, [([("a", 2)], False), ([("a", 5)], False)])
-        self.assertEqual([b.after for b in self.shared], [0, 3])
+        self.assertEqual(
+            self.reported, [([("a", 2)], False), ([("a", 5)], False)]
+        )
+        self.assertEqual([b.after for b in self.broadcast_batches], [0, 3])
         self.assertEqual(
             self.store.calls[:3], ["scan", "poll after 3", "poll after 5"]
         )
@@ -125,7 +127,7 @@
             [StoreCompacted("410")],
         )
         await self._run(500)
-        self.assertEqual(self.seen[-1], ([("a", 9)], False))
+        self.assertEqual(self.reported[-1], ([("a", 9)], False))
 
     @asynchronous
     async def test_deletions_after_an_outage_are_marked(self):
@@ -137,8 +139,8 @@
             ],
         )
         await self._run(2 * MIN_OUTAGE_MS)
-        self.assertEqual(self.seen[-1], ([("a", 4)], True))
-        self.assertTrue(self.shared[-1].after_outage)
+        self.assertEqual(self.reported[-1], ([("a", 4)], True))
+        self.assertTrue(self.broadcast_batches[-1].after_outage)
         await self._run(LEASE_RENEWAL_GRACE_MS)
         self.assertFalse(self.feed.is_after_outage)
 
@@ -150,11 +152,11 @@
         )
         self.store.polls.append(ChangeBatch(3, 4, [gone("a", 4)]))
         await self._run(MIN_OUTAGE_MS)
-        self.assertEqual(self.seen[-1], ([("a", 4)], False))
+        self.assertEqual(self.reported[-1], ([("a", 4)], False))
 
     @asynchronous
     async def test_a_follower_makes_no_calls_after_its_first_scan(self):
-        self._make([Listing([], 3)], [], watches=False)
+        self._make([Listing([], 3)], [], is_watcher=False)
         await self._run(5_000)
         self.assertEqual(self.store.calls, ["scan"])
 
@@ -164,7 +166,7 @@
         self._make([Listing([], 3)], down)
         await self._run(8_000)
         watcher_calls = len(self.store.calls)
-        self._make([Listing([], 3)], down, watches=False)
+        self._make([Listing([], 3)], down, is_watcher=False)
         self.is_cut_off = True
         await self._run(8_000)
         self.assertGreater(watcher_calls, 8_000 // RETRY_MS)
@@ -175,7 +177,7 @@
     @asynchronous
     async def test_an_outage_ends_when_peers_have_fresh_responses(self):
         down = [StoreUnavailable("down") for _ in range(100)]
-        self._make([Listing([], 3)], down, watches=False)
+        self._make([Listing([], 3)], down, is_watcher=False)
         self.is_cut_off = True
         await self._run(2_000)
         self.assertTrue(self.feed.is_failing)
@@ -188,14 +190,16 @@
     async def test_a_follower_that_is_behind_its_peers_polls_the_store(self):
         # The datagram with the last change was lost, so no gap shows its loss.
         self._make(
-            [Listing([], 3)], [ChangeBatch(3, 5, [put("a", 5)])], watches=False
+            [Listing([], 3)],
+            [ChangeBatch(3, 5, [put("a", 5)])],
+            is_watcher=False,
         )
         await self._run(300)
-        self.peers_know = 5
+        self.peer_revision = 5
         await self._run(FOLLOWER_POLL_MS)
-        self.assertEqual(self.seen, [])
+        self.assertEqual(self.reported, [])
         await self._run(LOST_DATAGRAM_MS + FOLLOWER_POLL_MS)
-        self.assertEqual(self.seen, [([("a", 5)], False)])
+        self.assertEqual(self.reported, [([("a", 5)], False)])
         await self._run(2_000)
         self.assertEqual(self.store.calls, ["scan", "poll after 3"])
 
@@ -204,29 +208,29 @@
         self._make(
             [Listing([], 3), Listing([put("b", 5).entry], 9)],
             [],
-            watches=False,
+            is_watcher=False,
         )
         await self._run(300)
         batch = SharedBatch("p", 7, 9, [SharedChange("a", 8, b"v")])
         self.feed.take_batch(batch)
-        self.assertEqual(self.seen[-1], ([("a", 8)], False))
+        self.assertEqual(self.reported[-1], ([("a", 8)], False))
         await self._run(300)
         self.assertEqual(self.store.calls, ["scan", "scan"])
 
     @asynchronous
     async def test_a_repeated_batch_is_reported_once(self):
-        self._make([Listing([], 3)], [], watches=False)
+        self._make([Listing([], 3)], [], is_watcher=False)
         await self._run(300)
         batch = SharedBatch("p", 3, 8, [SharedChange("a", 8, b"v")])
         self.feed.take_batch(batch)
         self.feed.take_batch(batch)
-        self.assertEqual(self.seen, [([("a", 8)], False)])
+        self.assertEqual(self.reported, [([("a", 8)], False)])
 
     @asynchronous
     async def test_a_large_value_is_fetched_from_the_sender_of_its_batch(
         self,
     ):
-        self._make([Listing([], 3)], [], watches=False)
+        self._make([Listing([], 3)], [], is_watcher=False)
         await self._run(300)
         self.links.values["big"] = SharedChange("big", 5, b"x" * 5_000)
         left_out = SharedChange("big", 5, bytes_left_out=5_000)
@@ -235,12 +239,12 @@
             self.feed.take_batch(SharedBatch("p", 3, 5, [left_out]))
             await self.clock.advance(10)
             tasks.cancel_scope.cancel()
-        self.assertEqual(self.seen, [([("big", 5)], False)])
+        self.assertEqual(self.reported, [([("big", 5)], False)])
         self.assertEqual(self.links.calls, [("p", "big")])
 
     @asynchronous
     async def test_a_key_that_changed_twice_is_fetched_once(self):
-        self._make([Listing([], 3)], [], watches=False)
+        self._make([Listing([], 3)], [], is_watcher=False)
         await self._run(300)
         self.links.values["big"] = SharedChange("big", 6, b"x" * 5_000)
         twice = [
@@ -253,13 +257,13 @@
             self.feed.take_batch(SharedBatch("p", 3, 6, twice))
             await self.clock.advance(10)
             tasks.cancel_scope.cancel()
-        self.assertEqual(self.seen, [([("big", 6)], False)])
+        self.assertEqual(self.reported, [([("big", 6)], False)])
         self.assertEqual(self.links.calls, [("p", "big")])
 
     @asynchronous
     async def test_a_failed_fetch_of_a_value_leads_to_a_scan(self):
         listing = Listing([put("big", 5).entry], 6)
-        self._make([Listing([], 3), listing], [], watches=False)
+        self._make([Listing([], 3), listing], [], is_watcher=False)
         await self._run(300)
         left_out = SharedChange("big", 5, bytes_left_out=5_000)
         async with anyio.create_task_group() as tasks:
@@ -268,7 +272,7 @@
             await self.clock.advance(10)
             tasks.cancel_scope.cancel()
         await self._run(300)
-        self.assertEqual(self.seen, [([("big", 5)], False)])
+        self.assertEqual(self.reported, [([("big", 5)], False)])
 
 
 class SplitBatchTest(unittest.TestCase):
--- a/tests/gateway/test_hops.py
+++ b/tests/gateway/test_hops.py
@@ -23,20 +23,20 @@
         tracing.use(SimpleSpanProcessor(exporter), "g1")
         self.addCleanup(tracing.close)
         async with world(engines=1, tracer=tracing) as w:
-            answer = await w.call(traceparent=PARENT)
-            seen = w.engines[0].arrivals[0].headers["traceparent"]
-        self.assertEqual(answer.status, 200)
+            response = await w.call(traceparent=PARENT)
+            forwarded = w.engines[0].arrivals[0].headers["traceparent"]
+        self.assertEqual(response.status, 200)
         spans = {span.name: span for span in exporter.get_finished_spans()}
-        request, send = spans["gateway"], spans["endpoint"]
+        request, attempt = spans["gateway"], spans["endpoint"]
         self.assertEqual(request.parent.span_id, int("34" * 8, 16))
         self.assertEqual(request.attributes["request"], "q1")
-        self.assertEqual(send.parent.span_id, request.context.span_id)
-        self.assertEqual(send.attributes["endpoint"], "e1")
-        self.assertIn(f"{send.context.span_id:016x}", seen)
+        self.assertEqual(attempt.parent.span_id, request.context.span_id)
+        self.assertEqual(attempt.attributes["endpoint"], "e1")
+        self.assertIn(f"{attempt.context.span_id:016x}", forwarded)
 
     @asynchronous
     async def test_without_tracing_the_callers_traceparent_is_forwarded(self):
         async with world(engines=1) as w:
             await w.call(traceparent=PARENT)
-            seen = w.engines[0].arrivals[0].headers["traceparent"]
-        self.assertEqual(seen, PARENT)
+            forwarded = w.engines[0].arrivals[0].headers["traceparent"]
+        self.assertEqual(forwarded, PARENT)
--- a/tests/gateway/test_loads.py
+++ b/tests/gateway/test_loads.py
@@ -5,7 +5,7 @@
 from rhubarbwinch.gateway.loads import PEER_SILENCE_MS, LoadBook
 from rhubarbwinch.gateway.messages import EndpointLoad
 
-ENDS = ("e1", "e2")
+ENDPOINTS = ("e1", "e2")
 
 
 class LoadBookTest(unittest.TestCase):
@@ -74,5 +74,7 @@
         book.receive("p", (1, 1), [EndpointLoad("e1", 2, 10, 5)], 0)
         book.receive("q", (1, 1), [EndpointLoad("e1", 1, 7)], 0)
         book.receive("p", (1, 2), [EndpointLoad("e2", 1, 4)], 0)
-        found = [(x.runs, x.tokens, x.prefill) for x in map(book.total, ENDS)]
-        self.assertEqual(found, [(1, 7, 0), (1, 4, 0)])
+        totals = [
+            (x.runs, x.tokens, x.prefill) for x in map(book.total, ENDPOINTS)
+        ]
+        self.assertEqual(totals, [(1, 7, 0), (1, 4, 0)])
--- a/tests/gateway/test_outage.py
+++ b/tests/gateway/test_outage.py
@@ -22,14 +22,14 @@
 
     def __init__(self, **reports):
         self.reports = reports
-        self.asked = []
+        self.polled = []
 
     async def report(self, address):
-        self.asked.append(address)
-        found = self.reports.get(address)
-        if found is None:
+        self.polled.append(address)
+        engine_report = self.reports.get(address)
+        if engine_report is None:
             raise EndpointError("no answer", sent=True)
-        return found
+        return engine_report
 
 
 def _report(leaves_ms=None, is_leaving=False):
@@ -39,8 +39,8 @@
 class OutageWatchTest(unittest.TestCase):
     """An outage watch on a manual clock."""
 
-    async def _run(self, stale_ms, ms, is_failing=False, lapsed=0):
-        self.left = []
+    async def _run(self, stale_ms, ms, is_failing=False, expired=0):
+        self.leaving = []
         engines = [endpoint(f"e{i}") for i in (1, 2, 3)]
         self.calls = Reports()
         self.calls.reports = {
@@ -54,8 +54,8 @@
             lambda: stale_ms,
             lambda: is_failing,
             lambda: engines,
-            lambda: engines[:lapsed],
-            lambda found: self.left.append(found.id),
+            lambda: engines[:expired],
+            lambda engine: self.leaving.append(engine.id),
         )
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(watch.run)
@@ -65,27 +65,27 @@
     @asynchronous
     async def test_no_engine_is_polled_while_the_store_responds(self):
         await self._run(STALE_MS, 5_000)
-        self.assertEqual(self.calls.asked, [])
+        self.assertEqual(self.calls.polled, [])
 
     @asynchronous
     async def test_an_engine_that_reports_its_shutdown_is_detected(self):
         await self._run(STALE_MS + 1, POLL_INTERVAL_MS - 1)
-        self.assertEqual(self.left, ["e2"])
-        self.assertEqual(len(self.calls.asked), 3)
+        self.assertEqual(self.leaving, ["e2"])
+        self.assertEqual(len(self.calls.polled), 3)
 
     @asynchronous
     async def test_an_engine_whose_entry_has_expired_is_polled(self):
-        await self._run(0, POLL_INTERVAL_MS - 1, lapsed=2)
-        self.assertEqual(self.left, ["e2"])
-        self.assertEqual(len(self.calls.asked), 2)
+        await self._run(0, POLL_INTERVAL_MS - 1, expired=2)
+        self.assertEqual(self.leaving, ["e2"])
+        self.assertEqual(len(self.calls.polled), 2)
 
     @asynchronous
     async def test_after_a_failed_call_engines_are_polled_earlier(self):
         await self._run(
             STALE_AND_FAILING_MS + 1, POLL_INTERVAL_MS - 1, is_failing=True
         )
-        self.assertEqual(self.left, ["e2"])
+        self.assertEqual(self.leaving, ["e2"])
         await self._run(
             STALE_AND_FAILING_MS, POLL_INTERVAL_MS - 1, is_failing=True
         )
-        self.assertEqual(self.left, [])
+        self.assertEqual(self.leaving, [])
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -10,7 +10,7 @@
 from rhubarbwinch.shared.clock import ManualClock
 
 
-class Silence:
+class RecordingBroadcast:
     """A broadcast that records what is sent and delivers nothing."""
 
     def __init__(self):
@@ -26,9 +26,9 @@
 
 def _heartbeat(number, sequence=1, **fields):
     name = f"g{number}"
-    here = f"127.0.0.{number}"
+    host = f"127.0.0.{number}"
     base = Heartbeat(
-        name, 1, sequence, f"{here}:1", f"{here}:2", f"{here}:3", "dc-a"
+        name, 1, sequence, f"{host}:1", f"{host}:2", f"{host}:3", "dc-a"
     )
     return attrs.evolve(base, is_serving=True, **fields)
 
@@ -38,7 +38,7 @@
 
     def setUp(self):
         self.clock = ManualClock(1)
-        self.broadcast = Silence()
+        self.broadcast = RecordingBroadcast()
         self.peers = Peers(
             _heartbeat(1),
             self.broadcast,
@@ -48,14 +48,14 @@
             lambda heartbeat: heartbeat,
         )
 
-    def _hear(self, sequence=1, **by_name):
+    def _receive(self, sequence=1, **by_name):
         """Delivers heartbeats of g2 to g6; `by_name` overrides fields."""
         for number in range(2, 7):
             fields = by_name.get(f"g{number}", {})
             self.peers.receive(_heartbeat(number, sequence, **fields))
 
     def _watchers(self):
-        self._hear()
+        self._receive()
         return self.peers._watchers()
 
     def test_two_gateways_watch_the_store_for_all(self):
@@ -64,23 +64,23 @@
     def test_the_store_is_failing_if_it_fails_all_watchers(self):
         watchers = self._watchers()
         failing = {"is_store_failing": True}
-        here = "g1" in watchers
-        self._hear(2, **dict.fromkeys(watchers, failing))
-        self.assertTrue(self.peers.is_store_failing(here))
+        is_failing_here = "g1" in watchers
+        self._receive(2, **dict.fromkeys(watchers, failing))
+        self.assertTrue(self.peers.is_store_failing(is_failing_here))
 
     def test_the_store_is_not_failing_if_it_rejects_some_gateways(self):
         watchers = self._watchers()
         failing = {"is_store_failing": True}
         others = {f"g{i}" for i in range(2, 7)} - set(watchers)
-        self._hear(2, **dict.fromkeys([*others, watchers[0]], failing))
+        self._receive(2, **dict.fromkeys([*others, watchers[0]], failing))
         self.assertFalse(self.peers.is_store_failing(watchers[0] == "g1"))
 
     def test_a_gateway_without_live_peers_judges_by_its_own_calls(self):
-        self._hear()
+        self._receive()
         self.clock.set(ALIVE_TIMEOUT_MS + 2)
         self.assertTrue(self.peers.is_store_failing(True))
         self.assertFalse(self.peers.is_store_failing(False))
 
     def test_gateways_of_the_own_data_center_are_counted(self):
-        self._hear(g2={"data_center": "dc-b"}, g3={"data_center": "dc-b"})
+        self._receive(g2={"data_center": "dc-b"}, g3={"data_center": "dc-b"})
         self.assertEqual((self.peers.count, self.peers.near_count), (5, 3))
--- a/tests/gateway/test_placing.py
+++ b/tests/gateway/test_placing.py
@@ -128,5 +128,5 @@
         self.assertNotEqual(self._choose(crowded, *idle), "e1")
 
     def test_after_the_loss_of_engines_there_is_no_standby(self):
-        left = [candidate(f"e{i}", 4, 16_000) for i in (1, 2)]
-        self.assertIsNone(self._choose(*left))
+        remaining = [candidate(f"e{i}", 4, 16_000) for i in (1, 2)]
+        self.assertIsNone(self._choose(*remaining))
--- a/tests/gateway/test_replica.py
+++ b/tests/gateway/test_replica.py
@@ -30,8 +30,8 @@
     def test_a_listing_deletes_missing_keys_that_are_older(self):
         replica = Replica()
         replica.merge_batch(ChangeBatch(0, 7, [put("a", 2), put("b", 7)]))
-        taken = replica.merge_listing(Listing([], 6))
-        self.assertEqual([c.key for c in taken], ["a"])
+        changed = replica.merge_listing(Listing([], 6))
+        self.assertEqual([c.key for c in changed], ["a"])
         self.assertIsNotNone(replica.get("b"))
 
     def test_a_batch_after_a_gap_is_not_merged(self):
--- a/tests/gateway/test_retrybudget.py
+++ b/tests/gateway/test_retrybudget.py
@@ -13,18 +13,18 @@
     def test_all_gateways_together_stay_within_the_allowance(self):
         gateways = 4
         budgets = [RetryBudget(RATIO, WINDOW_MS, EXTRA) for _ in range(4)]
-        sends, requests = [], []
+        retries, requests = [], []
         for now in range(0, 40_000, 25):
             budget = budgets[now // 25 % gateways]
             budget.add_request("svc", now)
             requests.append(now)
             while budget.take("svc", gateways, now):
-                sends.append(now)
+                retries.append(now)
         for start in range(0, 30_000, 500):
             end = start + WINDOW_MS
-            used = sum(start <= t < end for t in sends)
-            asked = sum(start <= t < end for t in requests)
-            self.assertLessEqual(used, RATIO * asked + EXTRA)
+            retried = sum(start <= t < end for t in retries)
+            requested = sum(start <= t < end for t in requests)
+            self.assertLessEqual(retried, RATIO * requested + EXTRA)
 
     def test_a_service_does_not_use_the_budget_of_another(self):
         budget = RetryBudget(0.0, WINDOW_MS, 10)
--- a/tests/gateway/test_routes.py
+++ b/tests/gateway/test_routes.py
@@ -16,8 +16,8 @@
         )
 
     def _prefix(self, host, path):
-        found = self.table.find(host, path)
-        return found and found.prefix
+        matched = self.table.find(host, path)
+        return matched and matched.prefix
 
     def test_the_longest_prefix_is_taken(self):
         self.assertEqual(self._prefix("h.example", "/a/b/c"), "/a/b/")
--- a/tests/http/test_httpapi.py
+++ b/tests/http/test_httpapi.py
@@ -53,15 +53,15 @@
         host, port = self.address.split(":")
         with socket.create_connection((host, int(port)), 20) as raw:
             raw.sendall(data)
-            answer = b""
+            response = b""
             while part := raw.recv(65_536):
-                answer += part
-                if b"\r\n\r\n" in answer and b"content-length" in answer:
-                    head, _, body = answer.partition(b"\r\n\r\n")
+                response += part
+                if b"\r\n\r\n" in response and b"content-length" in response:
+                    head, _, body = response.partition(b"\r\n\r\n")
                     length = head.lower().partition(b"content-length: ")[2]
                     if len(body) >= int(length.split(b"\r\n")[0]):
                         break
-        return answer
+        return response
 
     def test_malformed_bodies_are_refused(self):
         bad = [
@@ -92,75 +92,75 @@
             {"top_p": 1e300},
         ]
         for fields in bad:
-            answer = self._post(self._call(**fields))
-            self._assert_problem(answer, 400, "bad-request")
-            self.assertIn(next(iter(fields)), answer.json()["detail"])
+            response = self._post(self._call(**fields))
+            self._assert_problem(response, 400, "bad-request")
+            self.assertIn(next(iter(fields)), response.json()["detail"])
 
     def test_a_body_over_the_limit_is_refused(self):
-        answer = self._post(self._call(prompt="x" * 4096))
-        self._assert_problem(answer, 413, "too-large")
+        response = self._post(self._call(prompt="x" * 4096))
+        self._assert_problem(response, 413, "too-large")
 
     def test_unknown_names_are_refused(self):
-        answer = self._post(self._call(model="no" * 900))
-        self._assert_problem(answer, 404, "not-found")
-        answer = self._post(b"", "/services/none/x")
-        self._assert_problem(answer, 404, "not-found")
-        answer = self._post(b"", "/nowhere")
-        self._assert_problem(answer, 404, "not-found")
+        response = self._post(self._call(model="no" * 900))
+        self._assert_problem(response, 404, "not-found")
+        response = self._post(b"", "/services/none/x")
+        self._assert_problem(response, 404, "not-found")
+        response = self._post(b"", "/nowhere")
+        self._assert_problem(response, 404, "not-found")
 
     def test_wrong_keys_are_refused(self):
         for key in ("", "Bearer", "Bearer acme.wrong", "Basic acme.secret"):
             headers = {"authorization": key} if key else {}
-            answer = self._post(self._call(), headers=headers)
-            self._assert_problem(answer, 401, "unauthenticated")
+            response = self._post(self._call(), headers=headers)
+            self._assert_problem(response, 401, "unauthenticated")
 
     def test_a_bad_last_event_id_is_refused(self):
         for last in ("x", "a~b:-1", "a~b:", "~:1x"):
             headers = AUTHORIZATION | {"last-event-id": last}
-            answer = self._post(self._call(), headers=headers)
-            self._assert_problem(answer, 400, "bad-request")
+            response = self._post(self._call(), headers=headers)
+            self._assert_problem(response, 400, "bad-request")
         headers = AUTHORIZATION | {"last-event-id": "1-2-3~engine-0:1"}
-        answer = self._post(self._call(), headers=headers)
-        self._assert_problem(answer, 403, "forbidden")
+        response = self._post(self._call(), headers=headers)
+        self._assert_problem(response, 403, "forbidden")
 
     def test_headers_too_large_are_refused(self):
         padding = b"x: " + b"y" * 100_000
-        answer = self._exchange(
+        response = self._exchange(
             b"POST /v1/completions HTTP/1.1\r\nhost: a\r\n" + padding
         )
-        self.assertIn(answer.split(b" ")[1], (b"400", b"431"))
+        self.assertIn(response.split(b" ")[1], (b"400", b"431"))
 
     def test_input_that_is_not_http_is_refused(self):
-        answer = self._exchange(b"\xff\x00 nonsense\r\n\r\n")
-        self.assertEqual(answer.split(b" ")[1], b"400")
+        response = self._exchange(b"\xff\x00 nonsense\r\n\r\n")
+        self.assertEqual(response.split(b" ")[1], b"400")
 
     def test_a_path_that_is_not_utf8_is_refused(self):
         key = AUTHORIZATION["authorization"].encode()
-        answer = self._exchange(
+        response = self._exchange(
             b"GET /services/%ff%fe/x HTTP/1.1\r\nhost: a\r\n"
             b"authorization: " + key + b"\r\n\r\n"
         )
-        self.assertEqual(answer.split(b" ")[1], b"404", answer)
+        self.assertEqual(response.split(b" ")[1], b"404", response)
 
     def test_a_caller_that_stops_sending_is_refused(self):
-        answer = self._exchange(
+        response = self._exchange(
             b"POST /v1/completions HTTP/1.1\r\nhost: a\r\n"
             b"content-length: 100\r\n\r\n{"
         )
-        self.assertEqual(answer.split(b" ")[1], b"408", answer)
-        self.assertIn(b"x-verdict: not-run", answer.lower())
+        self.assertEqual(response.split(b" ")[1], b"408", response)
+        self.assertIn(b"x-verdict: not-run", response.lower())
 
     def test_a_disconnected_caller_frees_its_engine(self):
         body = self._call(prompt="len=4000", stream=True)
         url = f"http://{self.address}{COMPLETIONS}"
         with httpx.stream("POST", url, content=body, headers=AUTHORIZATION):
-            wait_until(lambda: self._running() == 1, "the start")
-        wait_until(lambda: self._running() == 0, "the end")
+            wait_until(lambda: self._running_count() == 1, "the start")
+        wait_until(lambda: self._running_count() == 0, "the end")
 
     def test_a_session_of_bad_input_reaches_no_endpoint(self):
         key = AUTHORIZATION
         good = self._call()
-        before = self._reached()
+        before = self._request_count()
         session = [
             ("no JSON", self._post(b"{")),
             ("invalid UTF-8", self._post(b'{"model": "\xff"}')),
@@ -181,21 +181,21 @@
             ),
         ]
         lines = []
-        for title, answer in session:
-            data = answer.json()
+        for title, response in session:
+            data = response.json()
             kind = data["type"].rpartition(":")[2]
             lines.append(f"# {title}")
-            lines.append(f"{answer.status_code} {kind} {data['verdict']}")
+            lines.append(f"{response.status_code} {kind} {data['verdict']}")
         lines.append(
-            f"calls that reached an engine: {self._reached() - before}"
+            f"calls that reached an engine: {self._request_count() - before}"
         )
         self.assert_gold("bad-input", "\n".join(lines) + "\n")
 
-    def _reached(self):
+    def _request_count(self):
         engine = self.fleet.engines[0]
         return len(httpx.get(f"http://{engine}/log").json())
 
-    def _running(self):
+    def _running_count(self):
         engine = self.fleet.engines[0]
         return httpx.get(f"http://{engine}/load").json()["running"]
 
@@ -206,8 +206,8 @@
             "POST", url, content=body, headers=AUTHORIZATION
         ) as unread:
             for _ in range(3):
-                answer = self._post(self._call(prompt="len=5"))
-                self.assertEqual(answer.status_code, 200)
+                response = self._post(self._call(prompt="len=5"))
+                self.assertEqual(response.status_code, 200)
             self.assertEqual(unread.status_code, 200)
 
     def test_an_unknown_schema_does_not_change_the_active_configuration(self):
@@ -220,10 +220,10 @@
             method = operation.method.replace("ANY", "PUT")
             path = operation.path.replace("<service>/<path>", "booking/slots")
             url = f"http://{self.address}{path}"
-            answer = httpx.request(method, url, headers=AUTHORIZATION)
-            self.assertNotEqual(answer.status_code, 404, operation)
+            response = httpx.request(method, url, headers=AUTHORIZATION)
+            self.assertNotEqual(response.status_code, 404, operation)
 
     def test_probes_answer(self):
         for path in ("/healthz", "/readyz"):
-            answer = httpx.get(f"http://{self.address}{path}")
-            self.assertEqual(answer.status_code, 200)
+            response = httpx.get(f"http://{self.address}{path}")
+            self.assertEqual(response.status_code, 200)
--- a/tests/http/test_transport.py
+++ b/tests/http/test_transport.py
@@ -23,8 +23,8 @@
     A part is bytes to send or an event to wait for; None closes the connection.
     """
 
-    def __init__(self, *answers):
-        self.answers = list(answers)
+    def __init__(self, *responses):
+        self.responses = list(responses)
         self.connections = 0
         self.requests = []
         self.sent = 0
@@ -51,7 +51,7 @@
                 size = int(sizes[0].split(":")[1]) if sizes else 0
                 body = await reader.readexactly(size)
                 self.requests.append(f"{lines[0]} {body.decode()}".strip())
-                for part in self.answers.pop(0):
+                for part in self.responses.pop(0):
                     if part is None:
                         return
                     if isinstance(part, asyncio.Event):
@@ -81,8 +81,8 @@
         ) as server:
             texts = []
             for i in range(3):
-                answer = await server.client.post(server.url, content=f"b{i}")
-                texts.append(answer.text)
+                response = await server.client.post(server.url, content=f"b{i}")
+                texts.append(response.text)
         self.assertEqual(texts, ["hello world", "ok", "hello world"])
         self.assertEqual(server.connections, 1)
         self.assertEqual(
@@ -154,8 +154,8 @@
     async def test_the_close_of_the_connection_can_delimit_a_body(self):
         head = b"HTTP/1.1 200 OK\r\n\r\n"
         async with ScriptedServer([head + b"all", b" of it", None]) as server:
-            answer = await server.client.get(server.url)
-        self.assertEqual(answer.text, "all of it")
+            response = await server.client.get(server.url)
+        self.assertEqual(response.text, "all of it")
 
     @asynchronous
     async def test_silence_before_or_within_a_response_is_a_timeout(self):
@@ -178,9 +178,9 @@
         async with ScriptedServer(
             [CHUNKED + b"5\r\nhello\r\n", asyncio.Event()]
         ) as server:
-            server.answers[0].insert(1, b"1\r\nx\r\n")
-            async with server.client.stream("GET", server.url) as answer:
-                async for _ in answer.aiter_raw():
+            server.responses[0].insert(1, b"1\r\nx\r\n")
+            async with server.client.stream("GET", server.url) as response:
+                async for _ in response.aiter_raw():
                     break
             # The connection was closed, since its body had not ended.
             self.assertEqual(server.client._transport._idle_count, 0)
@@ -192,8 +192,8 @@
         count = 1000
         steps = [CHUNKED, *[chunk] * count, b"0\r\n\r\n"]
         async with ScriptedServer(steps) as server:
-            async with server.client.stream("GET", server.url) as answer:
-                body = answer.stream.__aiter__()
+            async with server.client.stream("GET", server.url) as response:
+                body = response.stream.__aiter__()
                 total = len(await anext(body))
                 before = -1
                 while server.sent != before:
@@ -219,14 +219,16 @@
             "GET", server.url, extensions={"is_answer": is_mine}
         )
 
-    def _answer(self, name):
+    def _response(self, name):
         head = f"HTTP/1.1 200 OK\r\nx-id: {name}\r\ncontent-length: 2\r\n\r\n"
         return head.encode() + name.encode()
 
     @asynchronous
     async def test_responses_to_earlier_requests_are_skipped(self):
-        stale, mine = self._answer("aa"), self._answer("bb")
-        async with ScriptedServer([stale, stale + mine], [mine]) as server:
+        stale, expected = self._response("aa"), self._response("bb")
+        async with ScriptedServer(
+            [stale, stale + expected], [expected]
+        ) as server:
             for _ in range(2):
                 request = self._request(server, "bb")
                 found = await server.client.send(request)
@@ -235,7 +237,7 @@
 
     @asynchronous
     async def test_a_request_that_gets_only_stale_responses_fails(self):
-        async with ScriptedServer([self._answer("aa"), None]) as server:
+        async with ScriptedServer([self._response("aa"), None]) as server:
             with self.assertRaises(httpx.TransportError):
                 await server.client.send(self._request(server, "bb"))
 
@@ -273,8 +275,8 @@
         async with ScriptedServer([SIZED], [SIZED], [SIZED]) as server:
             await server.client.get(server.url)
             await server.client.get(server.url)
-            fresh = server.client.build_request(
+            fresh_request = server.client.build_request(
                 "GET", server.url, extensions={"max_idle_s": 0}
             )
-            await server.client.send(fresh)
+            await server.client.send(fresh_request)
         self.assertEqual(server.connections, 2)
--- a/tests/links/test_links.py
+++ b/tests/links/test_links.py
@@ -33,7 +33,7 @@
     def __init__(self):
         self.address = free_address()
         self.link_server = LinkServer(self.address)
-        self.link_server.on(PermitRequest, self._answer)
+        self.link_server.on(PermitRequest, self._reply)
         self.link_server.on(PermitRelease, self._release)
         self.received = []
         self.released = []
@@ -46,7 +46,7 @@
         while not check():
             await anyio.sleep(0.001)
 
-    async def _answer(self, request):
+    async def _reply(self, request):
         self.received.append(request.request_id)
         if request.account == "broken":
             raise RuntimeError("cannot")
@@ -118,8 +118,8 @@
         async def session(server, links, tasks):
             permits = PermitClient(links, _members(server.address), SHORT_MS)
             late = builders.permit_request("late", wait_ms=0)
-            answer = await permits.ask(late)
-            lines.append(f"late: {answer.err_value.verdict}")
+            reply = await permits.ask(late)
+            lines.append(f"late: {reply.err_value.verdict}")
             with anyio.CancelScope() as scope:
                 scope.deadline = anyio.current_time() + SHORT_MS / 1000
                 await permits.ask(builders.permit_request("cancelled"))
@@ -142,12 +142,12 @@
         async def session(server, links, tasks):
             permits = PermitClient(links, _members(server.address), LONG_MS)
             request = builders.permit_request("r1")
-            asking = asyncio.create_task(permits.ask(request))
+            asking_task = asyncio.create_task(permits.ask(request))
             deliver = links._deliver_reply
 
             def deliver_and_cancel(frames):
                 deliver(frames)
-                asking.cancel()
+                asking_task.cancel()
 
             links._deliver_reply = deliver_and_cancel
             server.open("r1")
