--- a/rhubarbwinch/gateway/beliefs.py
+++ b/rhubarbwinch/gateway/beliefs.py
@@ -84,7 +84,7 @@
     def _apply_config(self, change: Change) -> None:
         if change.entry is None:
             events.TABLE_UNREADABLE.log(
-                revision=change.revision, error="it was deleted"
+                revision=change.revision, error="the configuration was deleted"
             )
             return
         context = self._context
--- a/rhubarbwinch/gateway/crashes.py
+++ b/rhubarbwinch/gateway/crashes.py
@@ -80,7 +80,7 @@
         self._has_unchecked = anyio.Event()
 
     def suspect(self, broken: Break) -> None:
-        """Schedules a check whether the endpoint has crashed."""
+        """Schedules a check whether the endpoint has crashed; does not wait."""
         self._unchecked.append(broken)
         self._has_unchecked.set()
 
--- a/rhubarbwinch/gateway/retrybudget.py
+++ b/rhubarbwinch/gateway/retrybudget.py
@@ -41,7 +41,7 @@
         self._drop_expired(self._requests[service], now_ms)
 
     def take(self, service: str, gateways: int, now_ms: int) -> bool:
-        """Takes a retry from the budget; False if the budget is spent.
+        """Takes a retry from the budget; returns False if the budget is spent.
 
         Args:
             service: The service to be called again.
--- a/rhubarbwinch/gateway/suspicion.py
+++ b/rhubarbwinch/gateway/suspicion.py
@@ -24,7 +24,10 @@
 
 
 class Outcome(enum.Enum):
-    """How a call to an endpoint ended, with its weight as a failure."""
+    """How a call to an endpoint ended, with its weight as a failure.
+
+    The lower-case names of the members are label values of a metric.
+    """
 
     GOOD = 0.0
     # The endpoint responded with an error, as single requests sometimes cause.
