--- a/rhubarbwinch/gateway/beliefs.py
+++ b/rhubarbwinch/gateway/beliefs.py
@@ -1,4 +1,4 @@
-"""Puts in force what the feed tells: configuration, endpoints, gateways."""
+"""Applies store changes to the configuration, endpoints and gateways."""
 
 from collections.abc import Callable
 
@@ -14,13 +14,13 @@
 
 
 class Beliefs:
-    """What a gateway believes of the platform.
+    """A gateway's view of the platform, updated from the store.
 
     Args:
-        context: Takes the configuration and the endpoints.
-        streams: Told of endpoints that leave.
-        transport: Its idle connections to those are closed.
-        on_table: Takes a configuration that is now in force.
+        context: Holds the configuration and the endpoints.
+        streams: Notified of endpoints that leave.
+        transport: Its idle connections to leaving endpoints are closed.
+        on_table: Called with a configuration that is now active.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         self._on_table = on_table
 
     def apply(self, changes: list[Change], after_outage: bool) -> None:
-        """Takes changes of the store."""
+        """Applies changes of the store."""
         platform = self._context.platform
         for change in changes:
             if change.key == platform.config_key:
@@ -44,32 +44,34 @@
             elif change.key.startswith(platform.endpoint_prefix):
                 self._apply_endpoint(change, after_outage)
             elif change.key.startswith(platform.member_prefix):
-                self._apply_member(change)
+                self._apply_peer_registration(change)
         self._streams.note_change()
 
     def take_leaving(self, notice: LeavingNotice) -> None:
-        """Takes an engine's own word that it leaves."""
+        """Applies an engine's own notice that it leaves."""
         if self._context.fleet.mark_leaving(
             notice.endpoint, notice.started_ms, self._context.clock.now()
         ):
-            self._note_endpoint(notice.endpoint, "says it leaves", 0, True)
-            self._note_leaving(notice.endpoint)
+            self._log_endpoint_change(
+                notice.endpoint, "says it leaves", 0, True
+            )
+            self._handle_leaving(notice.endpoint)
 
     def leaving_notices(self) -> list[LeavingNotice]:
-        """Returns what a gateway that starts has to know of engines."""
+        """Returns the known leaving endpoints, for a gateway that starts."""
         return [
             LeavingNotice(known.endpoint.id, known.endpoint.started_ms)
             for known in self._context.fleet.all_leaving()
         ]
 
     def expire(self) -> None:
-        """Gives up endpoints whose lapsed entries did not come back."""
+        """Gives up endpoints whose expired entries were not renewed."""
         for known in self._context.fleet.expire(self._context.clock.now()):
-            self._note_endpoint(known.endpoint.id, "lapsed", 0, True)
-            self._note_leaving(known.endpoint.id)
+            self._log_endpoint_change(known.endpoint.id, "lapsed", 0, True)
+            self._handle_leaving(known.endpoint.id)
 
-    def _apply_member(self, change: Change) -> None:
-        """Takes another gateway's registration."""
+    def _apply_peer_registration(self, change: Change) -> None:
+        """Applies another gateway's registration."""
         if change.entry is None:
             return
         try:
@@ -82,7 +84,7 @@
     def _apply_config(self, change: Change) -> None:
         if change.entry is None:
             events.TABLE_UNREADABLE.log(
-                revision=change.revision, error="it was deleted"
+                revision=change.revision, error="the configuration was deleted"
             )
             return
         context = self._context
@@ -114,7 +116,7 @@
         endpoint_id = change.key.removeprefix(context.platform.endpoint_prefix)
         if change.entry is None:
             leaves = context.fleet.remove(endpoint_id, now, after_outage)
-            self._note_endpoint(
+            self._log_endpoint_change(
                 endpoint_id, "removed", change.revision, after_outage
             )
         else:
@@ -128,18 +130,18 @@
                     revision=change.revision,
                     error=str(error),
                 )
-                context.fleet.note_unreadable(endpoint_id)
+                context.fleet.mark_unreadable(endpoint_id)
                 return
             known = context.fleet.get(endpoint_id)
             if known is None or known.endpoint.state is not endpoint.state:
-                self._note_endpoint(
+                self._log_endpoint_change(
                     endpoint_id, endpoint.state, change.revision, after_outage
                 )
             leaves = context.fleet.put(endpoint, now)
         if leaves:
-            self._note_leaving(endpoint_id)
+            self._handle_leaving(endpoint_id)
 
-    def _note_endpoint(
+    def _log_endpoint_change(
         self, endpoint_id: str, state: str, revision: int, after_outage: bool
     ) -> None:
         events.ENDPOINT_CHANGED.log(
@@ -149,7 +151,7 @@
             after_outage=after_outage,
         )
 
-    def _note_leaving(self, endpoint_id: str) -> None:
+    def _handle_leaving(self, endpoint_id: str) -> None:
         known = self._context.fleet.get(endpoint_id)
         if known is None:
             return
--- a/rhubarbwinch/gateway/crashes.py
+++ b/rhubarbwinch/gateway/crashes.py
@@ -1,8 +1,8 @@
-"""Requests under which endpoints crash, and when they are refused.
+"""Refuses requests that have crashed several endpoints.
 
-It answers a request that ends each endpoint that begins to run it, and that its
-caller sends again, to any gateway. Requests that only shared an endpoint with
-it clear themselves by succeeding.
+Such a request crashes every endpoint that starts to run it, and its caller
+retries it at any gateway. Requests that only shared an endpoint with it are
+cleared when they succeed.
 """
 
 import hashlib
@@ -15,16 +15,16 @@
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.clock import Clock
 
-# Endpoints that may crash under a request before it is refused.
+# Number of endpoints that may crash before the request is refused.
 MAX_CRASHES = 3
-# A request that crashes endpoints comes again within seconds; one that was
-# unlucky may run again after this time.
-KEEP_MS = 60_000
+# A request that crashes endpoints is retried within seconds. A request that was
+# suspected by chance may run again after this time.
+SUSPECT_RETENTION_MS = 60_000
 MAX_SUSPECTS = 2_000
 
 
 def fingerprint(account: str | None, target: bytes, body: bytes) -> str:
-    """Returns what a request is recognised by when it comes again."""
+    """Returns a digest that identifies a request when it is retried."""
     digest = hashlib.blake2b(digest_size=12)
     for part in ((account or "").encode(), target, body):
         digest.update(len(part).to_bytes(8, "big"))
@@ -34,7 +34,7 @@
 
 @attrs.define
 class _Suspect:
-    """The endpoints that crashed under a request."""
+    """The endpoints that crashed while serving a request."""
 
     endpoints: set[str] = attrs.field(factory=set)
     last_ms: int = 0
@@ -42,11 +42,11 @@
 
 @attrs.frozen
 class Break:
-    """An answer that an endpoint broke off.
+    """A response that an endpoint broke off.
 
     Attributes:
         request_id: The caller's id of the request.
-        fingerprint: What the request is recognised by.
+        fingerprint: The digest that identifies the request.
         endpoint: The endpoint's id.
         address: The endpoint's address.
     """
@@ -58,46 +58,46 @@
 
 
 class CrashLedger:
-    """Counts the endpoints that crashed under each request.
+    """Counts the endpoints that crashed while serving each request.
 
     Args:
-        is_gone: Tells whether an endpoint at an address accepts no connection.
+        is_gone: Returns whether an endpoint address accepts no connections.
         clock: The source of time.
-        tell: Tells all gateways of a crash.
+        broadcast: Broadcasts a crash to all gateways.
     """
 
     def __init__(
         self,
         is_gone: Callable[[str], Awaitable[bool]],
         clock: Clock,
-        tell: Callable[[CrashNotice], None],
+        broadcast: Callable[[CrashNotice], None],
     ) -> None:
         self._is_gone = is_gone
         self._clock = clock
-        self._tell = tell
+        self._broadcast = broadcast
         self._suspects: dict[str, _Suspect] = {}
-        self._breaks: list[Break] = []
-        self._has_breaks = anyio.Event()
+        self._unchecked: list[Break] = []
+        self._has_unchecked = anyio.Event()
 
-    def suspect(self, found: Break) -> None:
-        """Has it found out whether the endpoint is gone; nobody waits."""
-        self._breaks.append(found)
-        self._has_breaks.set()
+    def suspect(self, broken: Break) -> None:
+        """Schedules a check whether the endpoint has crashed; does not wait."""
+        self._unchecked.append(broken)
+        self._has_unchecked.set()
 
     async def run(self) -> None:
-        """Looks after endpoints that broke off answers, until cancelled."""
+        """Checks endpoints that broke off responses, until cancelled."""
         while True:
-            await self._has_breaks.wait()
-            self._has_breaks = anyio.Event()
-            breaks, self._breaks = self._breaks, []
+            await self._has_unchecked.wait()
+            self._has_unchecked = anyio.Event()
+            unchecked, self._unchecked = self._unchecked, []
             async with anyio.create_task_group() as tasks:
-                for found in breaks:
-                    tasks.start_soon(self._look, found)
+                for broken in unchecked:
+                    tasks.start_soon(self._check, broken)
 
     def note(self, request: str, endpoint: str, now_ms: int) -> int:
-        """Notes a crash; returns how many the request has to its name."""
+        """Records a crash; returns the request's number of crashes."""
         suspect = self._suspects.setdefault(request, _Suspect())
-        if now_ms - suspect.last_ms > KEEP_MS:
+        if now_ms - suspect.last_ms > SUSPECT_RETENTION_MS:
             suspect.endpoints.clear()
         suspect.endpoints.add(endpoint)
         suspect.last_ms = now_ms
@@ -107,24 +107,26 @@
         return len(suspect.endpoints)
 
     def clear(self, request: str) -> None:
-        """Notes that a request has succeeded."""
+        """Clears a request that has succeeded."""
         self._suspects.pop(request, None)
 
     def is_refused(self, request: str, now_ms: int) -> bool:
-        """Tells whether a request is refused."""
+        """Returns whether a request is refused."""
         suspect = self._suspects.get(request)
-        if suspect is None or now_ms - suspect.last_ms > KEEP_MS:
+        if suspect is None or now_ms - suspect.last_ms > SUSPECT_RETENTION_MS:
             return False
         return len(suspect.endpoints) >= MAX_CRASHES
 
-    async def _look(self, found: Break) -> None:
-        if not await self._is_gone(found.address):
+    async def _check(self, broken: Break) -> None:
+        if not await self._is_gone(broken.address):
             return
-        count = self.note(found.fingerprint, found.endpoint, self._clock.now())
+        count = self.note(
+            broken.fingerprint, broken.endpoint, self._clock.now()
+        )
         events.CRASHED_UNDER.log(
-            request=found.request_id,
-            endpoint=found.endpoint,
-            fingerprint=found.fingerprint,
+            request=broken.request_id,
+            endpoint=broken.endpoint,
+            fingerprint=broken.fingerprint,
             crashes=count,
         )
-        self._tell(CrashNotice(found.fingerprint, found.endpoint))
+        self._broadcast(CrashNotice(broken.fingerprint, broken.endpoint))
--- a/rhubarbwinch/gateway/outage.py
+++ b/rhubarbwinch/gateway/outage.py
@@ -1,8 +1,9 @@
-"""What a gateway does while the store can't tell which engines leave.
+"""Polls engines for shutdown notices while the store is unavailable.
 
-It answers outages in which engines go on leaving: their notices do not reach
-the store. Each engine is asked by one gateway, which tells the others. After
-the outage those are asked whose entries have lapsed: some of them leave.
+During a store outage the notices of leaving engines do not reach the store.
+Each engine is polled by one gateway, which broadcasts a notice to the others.
+After the outage, engines whose entries have expired are polled, since some of
+them are leaving.
 """
 
 from collections.abc import Callable
@@ -15,27 +16,28 @@
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import EndpointError
 
-# Longer than the usual time between two answers of the store, when nothing is
-# known to fail, and when a gateway's call has failed.
+# The store counts as unavailable if its newest response is older than this: the
+# first bound holds if no call has failed, the second if a gateway's call has
+# failed. Both exceed the usual time between two responses.
 STALE_MS = 1_700
 STALE_AND_FAILING_MS = 750
-# Engines report with a lag of some hundred milliseconds and leave two seconds
-# after they know; asking costs the engine a little.
-ASK_MS = 300
-CHECK_MS = 200
+# An engine's report lags by some hundred milliseconds, and the engine shuts
+# down two seconds after its notice. Polling puts a small load on the engine.
+POLL_INTERVAL_MS = 300
+CHECK_INTERVAL_MS = 200
 
 
 class OutageWatch:
-    """Asks engines whether they leave while the store can't tell.
+    """Detects store outages and polls engines for shutdown notices.
 
     Args:
         clock: The source of time.
         calls: Calls engines.
-        stale_ms: Returns how old the newest answer of the store is.
-        is_failing: Tells whether the store fails any gateway's calls.
-        engines: Returns the engines that this gateway asks in an outage.
-        lapsed: Returns those of them whose entries have lapsed.
-        on_leaving: Takes an engine that leaves.
+        stale_ms: Returns the age of the newest response from the store.
+        is_failing: Returns whether the store fails the calls of all watchers.
+        engines: Returns the engines that this gateway polls in an outage.
+        expired: Returns those of the engines whose entries have expired.
+        on_leaving: Called with an engine that leaves.
     """
 
     def __init__(
@@ -45,7 +47,7 @@
         stale_ms: Callable[[], int],
         is_failing: Callable[[], bool],
         engines: Callable[[], list[Endpoint]],
-        lapsed: Callable[[], list[Endpoint]],
+        expired: Callable[[], list[Endpoint]],
         on_leaving: Callable[[Endpoint], None],
     ) -> None:
         self._clock = clock
@@ -53,12 +55,12 @@
         self._stale_ms = stale_ms
         self._is_failing = is_failing
         self._engines = engines
-        self._lapsed = lapsed
+        self._expired = expired
         self._on_leaving = on_leaving
         self._is_outage = False
 
     async def run(self) -> None:
-        """Watches until cancelled."""
+        """Checks for outages and polls engines until cancelled."""
         while True:
             stale_ms = self._stale_ms()
             limit = STALE_AND_FAILING_MS if self._is_failing() else STALE_MS
@@ -66,13 +68,15 @@
             if is_outage != self._is_outage:
                 self._is_outage = is_outage
                 events.OUTAGE_CHANGED.log(outage=is_outage, stale_ms=stale_ms)
-            doubtful = self._engines() if is_outage else self._lapsed()
+            polled = self._engines() if is_outage else self._expired()
             async with anyio.create_task_group() as tasks:
-                for endpoint in doubtful:
-                    tasks.start_soon(self._ask, endpoint)
-            await self._clock.sleep(ASK_MS if doubtful else CHECK_MS)
+                for endpoint in polled:
+                    tasks.start_soon(self._poll, endpoint)
+            await self._clock.sleep(
+                POLL_INTERVAL_MS if polled else CHECK_INTERVAL_MS
+            )
 
-    async def _ask(self, endpoint: Endpoint) -> None:
+    async def _poll(self, endpoint: Endpoint) -> None:
         try:
             report = await self._calls.report(endpoint.address)
         except EndpointError as error:
--- a/rhubarbwinch/gateway/peers.py
+++ b/rhubarbwinch/gateway/peers.py
@@ -1,11 +1,11 @@
-"""The other gateways: who they are, who serves, and what each has running."""
+"""Tracks the other gateways and their state by heartbeats."""
 
 from collections.abc import Callable
 
 import anyio
 import attrs
 
-from rhubarbwinch.gateway.feed import FRESH_MS
+from rhubarbwinch.gateway.feed import MAX_FRESH_AGE_MS
 from rhubarbwinch.gateway.loads import LoadBook
 from rhubarbwinch.gateway.messages import (
     FailureNotice,
@@ -21,20 +21,21 @@
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import CodecError, LinkError
 
-# All gateways hear all heartbeats, so their number grows with the square of
-# the fleet. A change of load or of state is told at once, by a heartbeat.
+# Every gateway receives the heartbeats of all others, so the number of messages
+# grows with the square of the number of gateways. A change of load or state is
+# announced at once by an extra heartbeat.
 HEARTBEAT_MS = 700
-# Three heartbeats, of which one may be lost.
-ALIVE_MS = 2_200
-# A peer that is silent for so long is no longer called; its registration in
-# the store or a heartbeat of it brings it back.
-FORGET_MS = 30_000
-# Changes of load that come together share a heartbeat.
+# Three heartbeat intervals, so that a lost heartbeat makes no peer look dead.
+ALIVE_TIMEOUT_MS = 2_200
+# A peer that is silent for this time is forgotten. Its registration in the
+# store or a new heartbeat adds it again.
+FORGET_AFTER_MS = 30_000
+# Load changes within this time share a heartbeat.
 COALESCE_MS = 3
-# Gateways that watch the store for the others; one more than is needed.
-WATCHERS = 2
+# Number of gateways that watch the store for the others; one is a spare.
+WATCHER_COUNT = 2
 SNAPSHOT_TIMEOUT_MS = 1_000
-# Longer than any process lives, in milliseconds.
+# Longer than the lifetime of any process.
 NEVER_MS = 1 << 40
 
 
@@ -43,52 +44,53 @@
     """Another gateway.
 
     Attributes:
-        address: Where it is reached.
+        address: The addresses of its links and broadcasts.
         added_ms: When its address became known.
-        last: Its last heartbeat, or None.
-        heard_ms: When that came.
+        last_heartbeat: Its last heartbeat, or None.
+        last_arrival_ms: When the last heartbeat arrived.
         was_alive: Whether it was alive at the last check.
     """
 
     address: PeerAddress
     added_ms: int
-    last: Heartbeat | None = None
-    heard_ms: int = 0
+    last_heartbeat: Heartbeat | None = None
+    last_arrival_ms: int = 0
     was_alive: bool = False
 
 
 class Peers:
-    """Sends heartbeats to all other gateways and keeps what they tell.
+    """Sends heartbeats to all other gateways and keeps their last ones.
 
     Args:
-        me: The first heartbeat of this gateway; later ones repeat its names.
+        own: A heartbeat with the name and addresses of this gateway, the
+            template for all that it sends.
         broadcast: Sends to all peers.
         links: Calls single peers.
         clock: The source of time.
-        loads: Takes what peers have running.
-        describe: Completes a heartbeat by what changes.
+        loads: Provides the loads of this gateway and takes those of peers.
+        add_state: Returns a heartbeat with the current state filled in.
     """
 
     def __init__(
         self,
-        me: Heartbeat,
+        own: Heartbeat,
         broadcast: Broadcast,
         links: Caller,
         clock: Clock,
         loads: LoadBook,
-        describe: Callable[[Heartbeat], Heartbeat],
+        add_state: Callable[[Heartbeat], Heartbeat],
     ) -> None:
-        self._me = me
+        self._own = own
         self._broadcast = broadcast
         self._links = links
         self._clock = clock
         self._loads = loads
-        self._describe = describe
+        self._add_state = add_state
         self._sequence = 0
         self._peers: dict[str, Peer] = {}
         self._wakeup = anyio.Event()
-        self._told_version = -1
-        broadcast.on(Heartbeat, self.take)
+        self._announced_version = -1
+        broadcast.on(Heartbeat, self.receive)
 
     async def run(self) -> None:
         """Sends heartbeats until cancelled."""
@@ -97,62 +99,65 @@
                 await self._wakeup.wait()
             await self._clock.sleep(COALESCE_MS)
             self._wakeup = anyio.Event()
-            self._told_version = self._loads.version
+            self._announced_version = self._loads.version
             self._sequence += 1
             self._broadcast.send(
-                self._describe(
+                self._add_state(
                     attrs.evolve(
-                        self._me,
+                        self._own,
                         sequence=self._sequence,
                         loads=self._loads.own(),
                     )
                 )
             )
-            self._check()
+            self._check_liveness()
 
     def add(self, address: PeerAddress) -> None:
         """Adds a peer by its address."""
-        if address == self._me.address or address.link in self._peers:
+        if address == self._own.address or address.link in self._peers:
             return
         self._peers[address.link] = Peer(address, self._clock.now())
         self._broadcast.add(address.broadcast)
 
     def tell_loads(self) -> None:
-        """Sends a heartbeat soon, if what runs here has changed."""
-        if self._loads.version != self._told_version:
+        """Schedules a heartbeat if the loads have changed since the last."""
+        if self._loads.version != self._announced_version:
             self.tell()
 
     def tell(self) -> None:
-        """Sends a heartbeat soon."""
+        """Schedules a heartbeat within a few milliseconds."""
         self._wakeup.set()
 
     def share(self, batch: SharedBatch) -> None:
-        """Tells all peers of changes in the store."""
+        """Broadcasts changes of the store to all peers."""
         self._broadcast.send(batch)
 
     def report_failure(self, endpoint: str) -> FailureNotice:
-        """Tells all peers of a failed request; returns what it tells."""
-        me = self._me
-        notice = FailureNotice(me.name, me.data_center, endpoint)
+        """Broadcasts a failed request to all peers; returns the notice."""
+        own = self._own
+        notice = FailureNotice(own.name, own.data_center, endpoint)
         self._broadcast.send(notice)
         return notice
 
-    def take(self, heartbeat: Heartbeat) -> None:
-        """Takes a peer's heartbeat."""
-        if heartbeat.link == self._me.link:
+    def receive(self, heartbeat: Heartbeat) -> None:
+        """Handles a peer's heartbeat."""
+        if heartbeat.link == self._own.link:
             return
         self.add(heartbeat.address)
         peer = self._peers[heartbeat.link]
-        was = peer.last if self._is_alive(peer) else None
-        order = (heartbeat.incarnation, heartbeat.sequence)
-        if peer.last is not None and peer.last.incarnation == order[0]:
-            if peer.last.sequence >= heartbeat.sequence:
+        previous = peer.last_heartbeat if self._is_alive(peer) else None
+        position = (heartbeat.incarnation, heartbeat.sequence)
+        if (
+            peer.last_heartbeat is not None
+            and peer.last_heartbeat.incarnation == position[0]
+        ):
+            if peer.last_heartbeat.sequence >= heartbeat.sequence:
                 return
         now = self._clock.now()
-        peer.last = heartbeat
-        peer.heard_ms = now
-        self._loads.take(heartbeat.name, order, heartbeat.loads, now)
-        if was is None or was.is_serving != heartbeat.is_serving:
+        peer.last_heartbeat = heartbeat
+        peer.last_arrival_ms = now
+        self._loads.receive(heartbeat.name, position, heartbeat.loads, now)
+        if previous is None or previous.is_serving != heartbeat.is_serving:
             peer.was_alive = True
             events.GATEWAY_CHANGED.log(
                 peer=heartbeat.name,
@@ -160,120 +165,135 @@
                 leaving=heartbeat.is_leaving,
             )
 
-    def fronts(self) -> list[str]:
-        """Returns the addresses of the other gateways that take callers."""
+    def front_addresses(self) -> list[str]:
+        """Returns the caller-facing addresses of the serving peers."""
         return sorted(
             heartbeat.front
-            for heartbeat in self._alive()
+            for heartbeat in self._live_heartbeats()
             if heartbeat.is_serving
         )
 
     @property
     def count(self) -> int:
-        """How many other gateways there are, leaving ones included."""
-        return len(self._alive())
+        """The number of live peers, leaving ones included."""
+        return len(self._live_heartbeats())
 
     @property
     def near_count(self) -> int:
-        """How many other gateways there are in this data centre."""
-        here = self._me.data_center
-        return sum(h.data_center == here for h in self._alive())
+        """The number of live peers in this data centre."""
+        own_data_center = self._own.data_center
+        return sum(
+            h.data_center == own_data_center for h in self._live_heartbeats()
+        )
 
     def is_watcher(self) -> bool:
-        """Tells whether this gateway watches the store for all.
+        """Returns whether this gateway watches the store for all others.
 
-        The first of the gateways by a hash of their names do.
+        Rendezvous hashing of the names selects the watchers among the live
+        gateways that are not leaving.
         """
-        return self._me.name in self._watchers()
+        return self._own.name in self._watchers()
 
     def _watchers(self) -> list[str]:
-        names = [h.name for h in self._alive() if not h.is_leaving]
-        return rendezvous.ranking("feed", [*names, self._me.name])[:WATCHERS]
+        names = [h.name for h in self._live_heartbeats() if not h.is_leaving]
+        return rendezvous.ranking("feed", [*names, self._own.name])[
+            :WATCHER_COUNT
+        ]
 
     def should_watch(self) -> bool:
-        """Tells whether this gateway watches the store itself.
+        """Returns whether this gateway has to watch the store itself.
 
-        Watchers do, and each whose peers have no fresh answer of the store.
+        Watchers do, and so does a gateway none of whose peers has a fresh
+        response from the store.
         """
-        return self.is_watcher() or self.confirmed_ms > FRESH_MS
+        return self.is_watcher() or self.confirmed_ms > MAX_FRESH_AGE_MS
 
     @property
     def confirmed_ms(self) -> int:
-        """How long ago the store confirmed what any peer knows of it."""
+        """Milliseconds since the store last confirmed any peer's replica."""
         now = self._clock.now()
         return min(
             (
-                now - peer.heard_ms + peer.last.confirmed_ms
+                now - peer.last_arrival_ms + peer.last_heartbeat.confirmed_ms
                 for peer in self._peers.values()
-                if peer.last is not None
+                if peer.last_heartbeat is not None
             ),
             default=NEVER_MS,
         )
 
     @property
     def revision(self) -> int:
-        """The highest revision of the store that a living peer knows."""
-        return max((h.revision for h in self._alive()), default=0)
+        """The highest store revision that a live peer has reached."""
+        return max((h.revision for h in self._live_heartbeats()), default=0)
 
-    def is_store_failing(self, fails_here: bool) -> bool:
-        """Tells whether the store fails the calls of all watchers.
+    def is_store_failing(self, is_failing_here: bool) -> bool:
+        """Returns whether the store fails the calls of all watchers.
 
-        It may turn single gateways away and serve the others.
+        The failure of some watchers is no outage: the store may reject single
+        gateways and serve the others.
 
         Args:
-            fails_here: Whether it fails the calls of this gateway.
+            is_failing_here: Whether the store fails the calls of this gateway.
         """
-        failing = {h.name: h.is_store_failing for h in self._alive()}
-        failing[self._me.name] = fails_here
+        failing = {h.name: h.is_store_failing for h in self._live_heartbeats()}
+        failing[self._own.name] = is_failing_here
         return all(failing.get(name, False) for name in self._watchers())
 
     def owns(self, key: str) -> bool:
-        """Tells whether a task that one gateway does for all falls to this."""
-        names = [h.name for h in self._alive() if not h.is_leaving]
-        return rendezvous.owner(key, [*names, self._me.name]) == self._me.name
+        """Returns whether this gateway owns a task done once for all.
+
+        Args:
+            key: Identifies the task; rendezvous hashing selects its owner.
+        """
+        names = [h.name for h in self._live_heartbeats() if not h.is_leaving]
+        return rendezvous.owner(key, [*names, self._own.name]) == self._own.name
 
     async def fetch_snapshot(self) -> Snapshot | None:
-        """Asks each peer in turn for all that it knows of the store."""
+        """Requests a snapshot of the store from one peer after another.
+
+        Returns:
+            The first that is not empty; None if no peer has one.
+        """
         for link in list(self._peers):
             try:
-                found = await self._links.call(
+                snapshot = await self._links.call(
                     link,
-                    SnapshotCall(self._me.name),
+                    SnapshotCall(self._own.name),
                     Snapshot,
                     SNAPSHOT_TIMEOUT_MS,
                 )
             except (LinkError, CodecError) as error:
                 events.SNAPSHOT_MISSED.log(peer=link, error=str(error))
                 continue
-            if found.revision:
-                return found
+            if snapshot.revision:
+                return snapshot
         return None
 
-    def _alive(self) -> list[Heartbeat]:
-        """Returns the last heartbeats of the peers that live."""
+    def _live_heartbeats(self) -> list[Heartbeat]:
+        """Returns the last heartbeats of the live peers."""
         return [
-            peer.last
+            peer.last_heartbeat
             for peer in self._peers.values()
-            if peer.last is not None and self._is_alive(peer)
+            if peer.last_heartbeat is not None and self._is_alive(peer)
         ]
 
     def _is_alive(self, peer: Peer) -> bool:
-        if peer.last is None:
+        if peer.last_heartbeat is None:
             return False
-        return self._clock.now() - peer.heard_ms <= ALIVE_MS
+        return self._clock.now() - peer.last_arrival_ms <= ALIVE_TIMEOUT_MS
 
-    def _check(self) -> None:
-        """Notes peers that fell silent, and drops those silent for long."""
+    def _check_liveness(self) -> None:
+        """Logs peers that fell silent and forgets those silent for long."""
         now = self._clock.now()
-        self._loads.forget_silent(now)
+        self._loads.drop_silent_peers(now)
         for link, peer in list(self._peers.items()):
             is_alive = self._is_alive(peer)
             if peer.was_alive and not is_alive:
                 events.GATEWAY_LOST.log(
-                    peer=link, silent_ms=now - peer.heard_ms
+                    peer=link, silent_ms=now - peer.last_arrival_ms
                 )
             peer.was_alive = is_alive
-            if now - max(peer.heard_ms, peer.added_ms) > FORGET_MS:
+            if now - max(peer.last_arrival_ms, peer.added_ms) > FORGET_AFTER_MS:
                 del self._peers[link]
                 self._broadcast.forget(peer.address.broadcast)
                 self._links.forget(link)
--- a/rhubarbwinch/gateway/replica.py
+++ b/rhubarbwinch/gateway/replica.py
@@ -1,20 +1,21 @@
-"""What a gateway knows of the store, merged from the store and from peers.
+"""A gateway's replica of the store, merged from the store and from peers.
 
-Pure code: every key keeps the newest revision that was told, deletions too,
-so it does not matter in which order, how often or from whom changes come.
+Pure code. Each key keeps the state with the highest revision received,
+deletions included, so the order, repetition and source of changes do not
+matter.
 """
 
 import attrs
 
 from rhubarbwinch.stores.store import Change, ChangeBatch, Entry, Listing
 
-# Deletions are remembered for so many keys, the newest.
+# Tombstones are kept for the most recently deleted keys, at most this many.
 MAX_TOMBSTONES = 2_000
 
 
 @attrs.define
 class _Cell:
-    """A key's newest state; no entry means that it was deleted."""
+    """A key's newest state; without an entry the cell is a tombstone."""
 
     revision: int
     entry: Entry | None
@@ -24,7 +25,8 @@
     """The newest known state of each key.
 
     Attributes:
-        revision: Up to here every change is known; 0 before the first scan.
+        revision: The revision up to which all changes are known; 0 before the
+            first scan.
     """
 
     def __init__(self) -> None:
@@ -41,25 +43,29 @@
         return [c.entry for c in self._cells.values() if c.entry is not None]
 
     def merge_listing(self, listing: Listing) -> list[Change]:
-        """Takes a whole listing; returns what it changes.
+        """Merges a complete listing; returns the effective changes.
 
-        A key that is missing there and was older is deleted.
+        A key that is missing in the listing is deleted if its known state is
+        not newer than the listing.
         """
-        found = {entry.key for entry in listing.entries}
-        gone = [
+        listed_keys = {entry.key for entry in listing.entries}
+        deleted = [
             Change(key, listing.revision, None)
             for key, cell in self._cells.items()
-            if key not in found
+            if key not in listed_keys
             and cell.entry is not None
             and cell.revision <= listing.revision
         ]
-        fresh = [Change(e.key, e.revision, e) for e in listing.entries]
-        changes = self._apply(gone + fresh)
+        updated = [Change(e.key, e.revision, e) for e in listing.entries]
+        changes = self._apply(deleted + updated)
         self.revision = max(self.revision, listing.revision)
         return changes
 
     def merge_batch(self, batch: ChangeBatch) -> list[Change] | None:
-        """Takes a batch; returns what it changes, None after a gap."""
+        """Merges a batch; returns the effective changes, None on a gap.
+
+        There is a gap if the batch starts after the replica's revision.
+        """
         if batch.after > self.revision:
             return None
         changes = self._apply(batch.changes)
@@ -67,7 +73,7 @@
         return changes
 
     def _apply(self, changes: list[Change]) -> list[Change]:
-        taken = []
+        effective = []
         for change in changes:
             cell = self._cells.get(change.key)
             if cell is not None and cell.revision >= change.revision:
@@ -75,15 +81,15 @@
             self._cells[change.key] = _Cell(change.revision, change.entry)
             if cell is None and change.entry is None:
                 continue
-            taken.append(change)
-        self._forget()
-        return taken
-
-    def _forget(self) -> None:
-        """Drops the oldest deletions when there are too many."""
-        gone = [k for k, c in self._cells.items() if c.entry is None]
-        if len(gone) <= MAX_TOMBSTONES:
+            effective.append(change)
+        self._drop_old_tombstones()
+        return effective
+
+    def _drop_old_tombstones(self) -> None:
+        """Drops the oldest tombstones when there are too many."""
+        deleted = [k for k, c in self._cells.items() if c.entry is None]
+        if len(deleted) <= MAX_TOMBSTONES:
             return
-        gone.sort(key=lambda key: self._cells[key].revision)
-        for key in gone[: len(gone) - MAX_TOMBSTONES]:
+        deleted.sort(key=lambda key: self._cells[key].revision)
+        for key in deleted[: len(deleted) - MAX_TOMBSTONES]:
             del self._cells[key]
--- a/rhubarbwinch/gateway/selfservice.py
+++ b/rhubarbwinch/gateway/selfservice.py
@@ -1,4 +1,4 @@
-"""Answers of a gateway about itself: directory, readiness and metrics."""
+"""Serves a gateway's directory, readiness check and metrics."""
 
 from collections.abc import Callable
 
@@ -8,19 +8,19 @@
 from rhubarbwinch.gateway.settings import GatewaySettings
 from rhubarbwinch.gateway.wire import Platform
 
-# Callers keep an answer of the directory for so long; shorter costs them
-# lookups, longer keeps them at VMs that have left.
+# How long callers cache a directory response. A shorter time costs lookups, a
+# longer one leaves callers at VMs that are gone.
 DIRECTORY_TTL_MS = 2_000
 
 
 class SelfService:
-    """Answers requests that are not for endpoints.
+    """Handles requests to the gateway itself.
 
     Args:
-        platform: Translates the answers.
+        platform: Parses and formats the platform's requests and responses.
         peers: The other gateways.
-        settings: What the gateway was told.
-        is_ready: Tells whether new callers are welcome.
+        settings: The gateway's settings.
+        is_ready: Returns whether the gateway accepts new callers.
     """
 
     def __init__(
@@ -38,22 +38,22 @@
     async def answer(
         self, request: EdgeRequest, responder: EdgeResponder
     ) -> None:
-        """Answers the directory, the readiness check and the metrics."""
+        """Handles a directory, readiness or metrics request."""
         platform = self._platform
         if platform.is_readiness(request.target):
             await responder.send(200 if self._is_ready() else 503, [], b"")
             return
         if platform.directory_name(request.target) is not None:
-            await self._answer_lookup(responder)
+            await self._send_directory(responder)
             return
         if request.target.startswith(b"/metrics"):
-            kind = (b"Content-Type", b"text/plain; version=0.0.4")
-            await responder.send(200, [kind], statistics.render())
+            content_type = (b"Content-Type", b"text/plain; version=0.0.4")
+            await responder.send(200, [content_type], statistics.render())
             return
         await responder.send(404, [], b"")
 
-    async def _answer_lookup(self, responder: EdgeResponder) -> None:
-        addresses = self._peers.fronts()
+    async def _send_directory(self, responder: EdgeResponder) -> None:
+        addresses = self._peers.front_addresses()
         if self._is_ready():
             addresses.append(self._settings.front)
         if not addresses:
@@ -61,5 +61,5 @@
             return
         ttl = min(DIRECTORY_TTL_MS, self._settings.directory_ttl_max_ms)
         body = self._platform.directory_answer(addresses, ttl)
-        kind = (b"Content-Type", b"application/json")
-        await responder.send(200, [kind], body)
+        content_type = (b"Content-Type", b"application/json")
+        await responder.send(200, [content_type], body)
--- a/rhubarbwinch/gateway/suspicion.py
+++ b/rhubarbwinch/gateway/suspicion.py
@@ -1,8 +1,8 @@
-"""Which endpoints are avoided, judged from the outcomes of calls.
+"""Decides from call outcomes which endpoints are avoided.
 
-Pure code. It answers endpoints that fail a part of their requests while their
-health answers are good, that hang, or that fail the callers of one data centre
-only: each gateway judges by what it has seen itself.
+Pure code. It handles endpoints that pass health checks but fail a share of
+their requests, endpoints that hang, and endpoints that fail the callers of one
+data centre only. Each gateway judges by the outcomes of its own calls.
 """
 
 import enum
@@ -10,51 +10,54 @@
 
 import attrs
 
-# Outcomes lose half of their weight in this time.
+# Half-life of the weight of an outcome.
 HALF_LIFE_MS = 4_000
-# So much weight of failures is needed before an endpoint is avoided.
+# Failure weight that is needed before an endpoint is avoided.
 MIN_FAILURES = 2.0
-# An endpoint that fails a larger share than this, and twice the share of its
-# service, is avoided.
+# An endpoint is avoided if its failure share is larger than this and larger
+# than twice the share of the service's other endpoints.
 MIN_SHARE = 0.3
-FIRST_PAUSE_MS = 1_000
+INITIAL_PAUSE_MS = 1_000
 MAX_PAUSE_MS = 8_000
-# After this time without a failure the pauses are short again.
-FORGIVE_MS = 15_000
+# After this time without a pause, the next one is short again.
+PAUSE_RESET_MS = 15_000
 
 
 class Outcome(enum.Enum):
-    """How a call to an endpoint ended, with its weight as a failure."""
+    """How a call to an endpoint ended, with its weight as a failure.
+
+    The lower-case names of the members are label values of a metric.
+    """
 
     GOOD = 0.0
-    # The endpoint answered by an error of its own, as requests at times do.
+    # The endpoint responded with an error, as single requests sometimes cause.
     ERROR = 0.7
-    # It refused as full.
+    # The endpoint refused the request because it was full.
     REFUSED = 0.3
-    # No whole answer came, or one that is not the endpoint's.
+    # The response was missing or incomplete, or came from another endpoint.
     BROKEN = 1.0
-    # No connection was made.
+    # No connection could be made.
     UNREACHABLE = 2.0
 
 
 @attrs.define
 class _Record:
-    """The outcomes of one endpoint."""
+    """The decayed outcomes of one endpoint and its pauses."""
 
     service: str
     failures: float = 0.0
     calls: float = 0.0
-    at_ms: int = 0
+    updated_ms: int = 0
     avoided_until_ms: int = 0
-    pause_ms: int = FIRST_PAUSE_MS
+    pause_ms: int = INITIAL_PAUSE_MS
     is_on_trial: bool = False
 
-    def fade(self, now_ms: int) -> None:
-        """Lowers the weight of what is old."""
-        share = 0.5 ** ((now_ms - self.at_ms) / HALF_LIFE_MS)
+    def decay(self, now_ms: int) -> None:
+        """Decays the weight of earlier outcomes."""
+        share = 0.5 ** ((now_ms - self.updated_ms) / HALF_LIFE_MS)
         self.failures *= share
         self.calls *= share
-        self.at_ms = now_ms
+        self.updated_ms = now_ms
 
 
 class Suspicion:
@@ -66,84 +69,90 @@
     def note(
         self, service: str, endpoint: str, outcome: Outcome, now_ms: int
     ) -> bool:
-        """Notes an outcome; returns whether the endpoint is avoided anew."""
+        """Records an outcome; returns whether a new pause begins with it."""
         record = self._records.get(endpoint)
         if record is None:
-            record = self._records[endpoint] = _Record(service, at_ms=now_ms)
-        record.fade(now_ms)
+            record = self._records[endpoint] = _Record(
+                service, updated_ms=now_ms
+            )
+        record.decay(now_ms)
         record.calls += 1
         record.failures += outcome.value
         if outcome is Outcome.GOOD and record.is_on_trial:
-            # The trial passed: what it did before counts no more.
+            # The trial call succeeded, so earlier failures no longer count.
             record.is_on_trial = False
             record.failures = 0.0
             return False
-        if now_ms - record.avoided_until_ms > FORGIVE_MS:
-            record.pause_ms = FIRST_PAUSE_MS
+        if now_ms - record.avoided_until_ms > PAUSE_RESET_MS:
+            record.pause_ms = INITIAL_PAUSE_MS
         if not self._is_bad(record, outcome, now_ms):
             return False
-        self._avoid(record, now_ms)
+        self._start_pause(record, now_ms)
         return True
 
     def avoid(self, service: str, endpoint: str, now_ms: int) -> int | None:
-        """Avoids an endpoint that several gateways have found failing.
+        """Avoids an endpoint that several gateways have reported.
 
         Returns:
-            Until when; None if it is avoided already.
+            The end of the pause; None if the endpoint is avoided already.
         """
         record = self._records.get(endpoint)
         if record is None:
-            record = self._records[endpoint] = _Record(service, at_ms=now_ms)
+            record = self._records[endpoint] = _Record(
+                service, updated_ms=now_ms
+            )
         if now_ms < record.avoided_until_ms:
             return None
-        self._avoid(record, now_ms)
+        self._start_pause(record, now_ms)
         return record.avoided_until_ms
 
-    def _avoid(self, record: _Record, now_ms: int) -> None:
+    def _start_pause(self, record: _Record, now_ms: int) -> None:
         record.avoided_until_ms = now_ms + record.pause_ms
         record.pause_ms = min(MAX_PAUSE_MS, record.pause_ms * 2)
         record.is_on_trial = True
 
     def is_avoided(self, endpoint: str, now_ms: int) -> bool:
-        """Tells whether an endpoint gets no new requests for now."""
+        """Returns whether an endpoint gets no new requests at present."""
         record = self._records.get(endpoint)
         return record is not None and now_ms < record.avoided_until_ms
 
     def failure_share(self, endpoint: str) -> float:
-        """Returns the share of calls that failed lately, 0 to about 1."""
+        """Returns the share of recent calls that failed, 0 to about 1."""
         record = self._records.get(endpoint)
         if record is None or record.calls < 1:
             return 0.0
         return record.failures / (record.calls + 1)
 
     def calls_each(self, service: str, window_ms: int) -> float:
-        """Returns how many calls an endpoint of a service gets in a window."""
-        found = [
+        """Returns the mean number of calls to an endpoint in a window."""
+        call_counts = [
             r.calls for r in self._records.values() if r.service == service
         ]
-        if not found:
+        if not call_counts:
             return 0.0
-        weight_ms = HALF_LIFE_MS / math.log(2)
-        return sum(found) / len(found) * window_ms / weight_ms
+        mean_lifetime_ms = HALF_LIFE_MS / math.log(2)
+        return (
+            sum(call_counts) / len(call_counts) * window_ms / mean_lifetime_ms
+        )
 
     def forget(self, endpoint: str) -> None:
-        """Drops an endpoint that is gone."""
+        """Drops the record of an endpoint that is gone."""
         self._records.pop(endpoint, None)
 
     def usable(self, endpoints: list[str], now_ms: int) -> list[str]:
-        """Returns the endpoints that are not avoided.
+        """Returns the endpoints that may get new requests.
 
-        When most of a service would be avoided the fault is likely not
-        theirs, and avoiding them would end the service: then those whose
-        pause ends first are used too, up to half of all.
+        If most endpoints of a service would be avoided, the fault is probably
+        not theirs, and avoiding them would stop the service. In that case
+        those whose pause ends first are used too, up to half of all.
         """
         good = [e for e in endpoints if not self.is_avoided(e, now_ms)]
-        least = (len(endpoints) + 1) // 2
-        if len(good) >= least:
+        min_count = (len(endpoints) + 1) // 2
+        if len(good) >= min_count:
             return good
         avoided = [e for e in endpoints if self.is_avoided(e, now_ms)]
         avoided.sort(key=lambda e: self._records[e].avoided_until_ms)
-        return good + avoided[: least - len(good)]
+        return good + avoided[: min_count - len(good)]
 
     def _is_bad(self, record: _Record, outcome: Outcome, now_ms: int) -> bool:
         if outcome is Outcome.GOOD or now_ms < record.avoided_until_ms:
@@ -153,10 +162,12 @@
         if record.failures < MIN_FAILURES:
             return False
         share = record.failures / max(1.0, record.calls)
-        return share > MIN_SHARE and share > 2 * self._usual(record)
+        return share > MIN_SHARE and share > 2 * self._others_failure_share(
+            record
+        )
 
-    def _usual(self, record: _Record) -> float:
-        """Returns the share that fails at the other endpoints."""
+    def _others_failure_share(self, record: _Record) -> float:
+        """Returns the failure share of the service's other endpoints."""
         others = [
             r
             for r in self._records.values()
--- a/rhubarbwinch/http/httpbody.py
+++ b/rhubarbwinch/http/httpbody.py
@@ -1,94 +1,100 @@
-"""Bodies of HTTP/1.1 answers, cut out of the bytes of a connection."""
+"""Reads the bodies of HTTP/1.1 responses from received bytes."""
 
 import re
 
 import h11
 
 MAX_LINE_BYTES = 4096
-# At most 6 digits, so a chunk has less than 16 MiB.
+# At most 6 digits, so a chunk is smaller than 16 MiB.
 _SIZE = re.compile(rb"([0-9A-Fa-f]{1,6})[ \t]*(?:;|$)")
 
 
 class Body:
-    """A body whose end is known by its length or by the connection's end.
+    """A body that is delimited by its length or by the connection's close.
 
     Args:
-        length: The number of bytes; None if the connection's end ends it.
+        length: The number of bytes; None if the close delimits the body.
+
+    Attributes:
+        is_complete: Whether the whole body has been received.
+        rest: Received bytes that `feed` has not used.
     """
 
     def __init__(self, length: int | None) -> None:
-        self._left = length
+        self._remaining = length
         self.is_complete = length == 0
         self.rest = b""
 
     @property
     def ends_with_connection(self) -> bool:
-        """Whether the end of the connection is the end of the body."""
-        return self._left is None
+        """Whether the body is delimited by the connection's close."""
+        return self._remaining is None
 
     def feed(self, data: bytes) -> bytes:
         """Returns the bytes of the body in `data`."""
-        if self._left is None:
+        if self._remaining is None:
             return data
-        found, self.rest = data[: self._left], data[self._left :]
-        self._left -= len(found)
-        self.is_complete = self._left == 0
-        return found
+        content, self.rest = data[: self._remaining], data[self._remaining :]
+        self._remaining -= len(content)
+        self.is_complete = self._remaining == 0
+        return content
 
 
 class ChunkedBody(Body):
-    """A body in chunks, each led by its length."""
+    """A body with chunked transfer encoding."""
 
     def __init__(self) -> None:
         super().__init__(-1)
-        # Bytes left of the chunk, its line end included; 0 between chunks.
-        self._chunk = 0
+        # Remaining bytes of the chunk with its line end; 0 between chunks.
+        self._chunk_remaining = 0
         self._in_trailer = False
 
     def feed(self, data: bytes) -> bytes:
         """Returns the bytes of the body in `data`.
 
         Raises:
-            ValueError: The chunks are not well formed.
+            ValueError: The chunks are malformed.
         """
         data = self.rest + data if self.rest else data
         parts: list[bytes] = []
-        at = 0
-        while at < len(data) and not self.is_complete:
-            if self._chunk:
-                end = at + self._chunk
+        position = 0
+        while position < len(data) and not self.is_complete:
+            if self._chunk_remaining:
+                end = position + self._chunk_remaining
                 if end > len(data):
-                    at = self._take_part(data, at, parts)
+                    position = self._append_part(data, position, parts)
                     break
-                parts.append(self._take_chunk(data, at, end))
-                at = end
+                parts.append(self._finish_chunk(data, position, end))
+                position = end
                 continue
-            end = data.find(b"\r\n", at)
+            end = data.find(b"\r\n", position)
             if end < 0:
-                _check_line(len(data) - at)
+                _check_line_length(len(data) - position)
                 break
-            self._read_line(data[at:end])
-            at = end + 2
-        self.rest = data[at:]
+            self._parse_line(data[position:end])
+            position = end + 2
+        self.rest = data[position:]
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
-    def _take_chunk(self, data: bytes, at: int, end: int) -> bytes:
-        """Returns what is left of a chunk that ends in `data`."""
+    def _finish_chunk(self, data: bytes, position: int, end: int) -> bytes:
+        """Returns the rest of a chunk that ends within `data`."""
         if data[end - 2 : end] != b"\r\n":
             raise ValueError("a chunk without its line end")
-        self._chunk = 0
-        return data[at : end - 2]
+        self._chunk_remaining = 0
+        return data[position : end - 2]
 
-    def _take_part(self, data: bytes, at: int, parts: list[bytes]) -> int:
-        """Takes the start of a chunk; returns where its rest begins."""
+    def _append_part(
+        self, data: bytes, position: int, parts: list[bytes]
+    ) -> int:
+        """Adds the received part of a chunk; returns the end of the part."""
         # The last two bytes of a chunk are its line end, not content.
-        end = min(len(data), at + self._chunk - 2)
-        parts.append(data[at:end])
-        self._chunk -= end - at
+        end = min(len(data), position + self._chunk_remaining - 2)
+        parts.append(data[position:end])
+        self._chunk_remaining -= end - position
         return end
 
-    def _read_line(self, line: bytes) -> None:
-        """Reads the length of a chunk, or a line of the trailer."""
+    def _parse_line(self, line: bytes) -> None:
+        """Parses the length of a chunk, or a line of the trailer."""
         if self._in_trailer:
             self.is_complete = not line
             return
@@ -99,24 +105,24 @@
         if size == 0:
             self._in_trailer = True
         else:
-            self._chunk = size + 2
+            self._chunk_remaining = size + 2
 
 
-def _check_line(length: int) -> None:
+def _check_line_length(length: int) -> None:
     if length > MAX_LINE_BYTES:
         raise ValueError("a chunk's first line is too long")
 
 
 def make_body(method: bytes, head: h11.Response) -> Body:
-    """Returns the reader for the body that an answer's head announces.
+    """Returns a reader for the body that a response head describes.
 
     Raises:
-        ValueError: The head is contradictory.
+        ValueError: The content length is not a number.
     """
     if method == b"HEAD" or head.status_code in (204, 304):
         return Body(0)
-    found = dict(head.headers)
-    if found.get(b"transfer-encoding", b"").lower() == b"chunked":
+    fields = dict(head.headers)
+    if fields.get(b"transfer-encoding", b"").lower() == b"chunked":
         return ChunkedBody()
-    length = found.get(b"content-length")
+    length = fields.get(b"content-length")
     return Body(None if length is None else int(length))
--- a/rhubarbwinch/http/httpserver.py
+++ b/rhubarbwinch/http/httpserver.py
@@ -1,8 +1,9 @@
-"""Serves HTTP, and ends without cutting off a request.
+"""Serves HTTP and shuts down without dropping a request.
 
 hypercorn's own server closes idle connections first and its listeners after
-them, so a connection that was accepted just then is closed with its request
-unread. Here the listeners go first, and what they have accepted is answered.
+them, so a connection accepted in between is closed with its request unread.
+This server closes the listeners first and serves the connections that they have
+accepted.
 """
 
 import asyncio
@@ -14,8 +15,8 @@
 from hypercorn.typing import ASGIFramework
 from hypercorn.utils import wrap_app
 
-LINGER_S = 0.5
-CLOSE_S = 2.0
+ACCEPT_LINGER_S = 0.5
+FINISH_TIMEOUT_S = 2.0
 
 
 class HttpServer:
@@ -33,9 +34,13 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, closing: anyio.Event) -> None:
-        """Serves until `closing` is set and open requests are answered."""
+        """Serves until `closing` is set, then finishes the open requests.
+
+        Connections accepted last have `ACCEPT_LINGER_S` to send their requests.
+        Open requests have `FINISH_TIMEOUT_S` to finish.
+        """
         sockets = self._config.create_sockets()
-        secure = self._config.create_ssl_context()
+        ssl_context = self._config.create_ssl_context()
         servers = [
             await asyncio.start_server(
                 self._serve, sock=sock, backlog=self._config.backlog
@@ -47,7 +52,7 @@
                 self._serve,
                 sock=sock,
                 backlog=self._config.backlog,
-                ssl=secure,
+                ssl=ssl_context,
                 ssl_handshake_timeout=self._config.ssl_handshake_timeout,
             )
             for sock in sockets.secure_sockets
@@ -57,10 +62,10 @@
         finally:
             for server in servers:
                 server.close()
-        await anyio.sleep(LINGER_S)
+        await anyio.sleep(ACCEPT_LINGER_S)
         await self._context.terminated.set()
         if self._tasks:
-            await asyncio.wait(self._tasks, timeout=CLOSE_S)
+            await asyncio.wait(self._tasks, timeout=FINISH_TIMEOUT_S)
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
--- a/rhubarbwinch/http/transport.py
+++ b/rhubarbwinch/http/transport.py
@@ -1,8 +1,8 @@
-"""An httpx transport whose cost for each read of a long stream is small.
+"""An httpx transport with a low cost per read of a long stream.
 
-The heads of requests and answers are left to `h11`. What comes many times a
-stream, the chunks of its body, is cut by scanning, without a timer, a lock or
-an event object for each read. It speaks HTTP/1.1 over TCP without TLS.
+`h11` handles the heads of requests and responses. The body's chunks, of which a
+stream has many, are split by scanning, without a timer, a lock or an event
+object per read. The transport supports HTTP/1.1 over TCP without TLS.
 """
 
 import asyncio
@@ -18,43 +18,46 @@
 from rhubarbwinch.http.httpbody import Body, make_body
 
 MAX_HEAD_BYTES = 64 << 10
-# Reading stops while so much waits for the caller, and goes on below.
-MAX_WAITING_BYTES = 256 << 10
+# Reading is paused when more bytes than this wait for the caller, and resumed
+# when the caller has taken them.
+MAX_BUFFERED_BYTES = 256 << 10
 MAX_IDLE_CONNECTIONS = 1024
-IDLE_S = 20.0
-# An endpoint closes an idle connection at the time that it announces; a
-# request sent shortly before could cross the close.
+DEFAULT_IDLE_S = 20.0
+# An endpoint closes an idle connection at the time that it announces. A request
+# sent shortly before could cross the close, so the connection is not used then.
 KEEP_ALIVE_MARGIN_S = 0.5
-# Answers to earlier requests that may stand before the expected one.
-MAX_STALE_ANSWERS = 4
-# Some round trips; a lost packet makes a live endpoint look gone.
-PROBE_S = 0.4
+# Number of responses to earlier requests that may precede the expected one.
+MAX_STALE_RESPONSES = 4
+# Several round-trip times, since with a shorter time-out a lost packet makes a
+# live endpoint look unreachable.
+PROBE_TIMEOUT_S = 0.4
 _KEEP_ALIVE = re.compile(rb"timeout=(\d{1,6})")
 
-# Tells whether the head of an answer belongs to the request that was sent.
-AnswerCheck = Callable[[h11.Response], bool]
+# Returns whether a response head belongs to the request that was sent.
+ResponseCheck = Callable[[h11.Response], bool]
 
 
 @attrs.frozen
 class TransportOptions:
-    """How connections are kept.
+    """How connections are kept open.
 
     Attributes:
-        idle_s: How long an idle connection is kept when the endpoint does not
-            announce a time.
-        dead_peer_ms: A connection whose peer acknowledges nothing for so
-            long, sent bytes or probes, is closed; 0 leaves it to the system.
+        idle_s: How long an idle connection is kept if the endpoint announces no
+            time.
+        dead_peer_ms: A connection is closed if its peer acknowledges neither
+            sent bytes nor probes for this time; 0 leaves it to the system.
     """
 
-    idle_s: float = IDLE_S
+    idle_s: float = DEFAULT_IDLE_S
     dead_peer_ms: int = 0
 
 
 class _Timer:
-    """Fails a wait for bytes; made again only when it has fired early.
+    """Fails a wait for bytes at its deadline.
 
-    Moving a deadline costs a comparison, where a new timer for each read
-    costs more than the read.
+    A new event loop timer for each read would cost more than the read. A wait
+    therefore only sets a new deadline, and a timer that fires before the
+    deadline is scheduled again.
     """
 
     def __init__(self, connection: "Connection") -> None:
@@ -64,7 +67,7 @@
         self._deadline = 0.0
 
     def start(self, seconds: float | None) -> None:
-        """Sets the deadline of the wait that begins."""
+        """Sets the deadline of a new wait."""
         if seconds is None:
             self._deadline = 0.0
             return
@@ -73,11 +76,11 @@
             self._handle = self._loop.call_at(self._deadline, self._fire)
 
     def stop(self) -> None:
-        """Ends the wait."""
+        """Clears the deadline."""
         self._deadline = 0.0
 
     def close(self) -> None:
-        """Drops the timer."""
+        """Cancels the timer."""
         if self._handle is not None:
             self._handle.cancel()
             self._handle = None
@@ -93,7 +96,7 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection to an endpoint, for one request at a time."""
+    """A connection to an endpoint, for one request at a time."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -104,15 +107,15 @@
         self._method = b""
         self._head: h11.Response | None = None
         self._body: Body | None = None
-        self._arrived: deque[bytes] = deque()
-        self._waiting_bytes = 0
+        self._received: deque[bytes] = deque()
+        self._buffered_bytes = 0
         self._is_paused = False
         self._error: httpx.TransportError | None = None
         self._wakeup: asyncio.Future[None] | None = None
         self._can_write: asyncio.Future[None] | None = None
         self._timer = _Timer(self)
-        self._check: AnswerCheck | None = None
-        self._stale_answers = 0
+        self._is_expected: ResponseCheck | None = None
+        self._stale_responses = 0
         self.is_open = False
         self.is_used = False
         self.has_sent = False
@@ -130,14 +133,15 @@
         self.is_open = True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Ends a body that has no length; fails what is waited for."""
+        """Completes a body without a length; otherwise fails the request."""
         self.is_open = False
         self._timer.close()
         has_no_length = self._body is not None and (
             self._body.ends_with_connection
         )
         if has_no_length and exc is None and self._error is None:
-            # After a reset the rest of such a body is missing.
+            # Only a clean close completes such a body. After a reset, the rest
+            # is missing.
             assert self._body is not None
             self._body.is_complete = True
             self._wake()
@@ -147,32 +151,32 @@
             self._can_write.set_result(None)
 
     def pause_writing(self) -> None:
-        """Makes the sender wait."""
+        """Blocks senders until the write buffer has drained."""
         self._can_write = self._loop.create_future()
 
     def resume_writing(self) -> None:
-        """Lets the sender go on."""
+        """Unblocks the sender."""
         if self._can_write is not None and not self._can_write.done():
             self._can_write.set_result(None)
         self._can_write = None
 
     def data_received(self, data: bytes) -> None:
-        """Takes bytes of the answer."""
+        """Parses received bytes of the response."""
         try:
             if not self.is_used:
-                # An endpoint has nothing to say before it is asked.
+                # Bytes without a request belong to no response.
                 self.abort()
                 return
             if self._head is None:
                 data = self._read_head(data)
             if self._body is not None and data:
-                self._take(self._body.feed(data))
+                self._buffer(self._body.feed(data))
         except (h11.RemoteProtocolError, ValueError) as error:
             self.fail(httpx.RemoteProtocolError(str(error)))
         self._wake()
 
     def fail(self, error: httpx.TransportError) -> None:
-        """Ends the request with an error; the connection is of no more use."""
+        """Fails the request and closes the connection."""
         if self._error is None:
             self._error = error
         self._wake()
@@ -187,24 +191,25 @@
     async def exchange(
         self, request: httpx.Request, timeout_s: float | None
     ) -> h11.Response:
-        """Sends a request and returns the head of its answer.
+        """Sends a request and returns its response head.
 
-        The extension `target` of the request replaces the path of its URL, and
-        `is_answer` passes over answers to earlier requests.
+        The request extension `target` replaces the path of the URL. The
+        extension `is_answer` is a predicate of response heads; responses that
+        do not satisfy it belong to earlier requests and are skipped.
 
         Raises:
-            httpx.TransportError: It failed; bytes may have been sent.
+            httpx.TransportError: The request failed; bytes may have been sent.
         """
         self.is_used = True
         self._error = None
-        self._check = request.extensions.get("is_answer")
-        self._stale_answers = 0
+        self._is_expected = request.extensions.get("is_answer")
+        self._stale_responses = 0
         target = request.extensions.get("target", request.url.raw_path)
         method = self._method = request.method.encode()
         head = h11.Request(
             method=method, target=target, headers=request.headers.raw
         )
-        # The first bytes go out with the head, in one packet.
+        # The start of the body is sent with the head, in one packet.
         data = self._http.send(head) or b""
         assert isinstance(request.stream, httpx.AsyncByteStream)
         async for part in request.stream:
@@ -219,35 +224,38 @@
         return self._head
 
     async def body(self, timeout_s: float | None) -> AsyncIterator[bytes]:
-        """Yields the body as it comes; all that has come in one piece.
+        """Yields the body as it arrives, all available bytes at once.
 
         Raises:
-            httpx.TransportError: The body was cut, garbled or silent.
+            httpx.TransportError: The body was cut off, was malformed or timed
+                out.
         """
         body = self._body
         assert body is not None
         while True:
-            if self._arrived:
-                yield self._pop()
+            if self._received:
+                yield self._take_buffered()
             elif body.is_complete:
                 return
             else:
                 await self._wait(timeout_s)
 
     def reset(self) -> bool:
-        """Prepares for the next request; False if there can't be one."""
+        """Prepares for another request; returns False if that is impossible."""
         body, self._body = self._body, None
         head, self._head = self._head, None
-        is_whole = body is not None and body.is_complete and not self._arrived
-        if not self.is_open or not is_whole or head is None:
+        is_received = (
+            body is not None and body.is_complete and not self._received
+        )
+        if not self.is_open or not is_received or head is None:
             return False
         if body is not None and (body.rest or body.ends_with_connection):
             return False
         if self._transport.get_write_buffer_size():
-            # The endpoint answered before it had read the whole request.
+            # The endpoint responded before it had read the whole request.
             return False
-        options = dict(head.headers).get(b"connection", b"").lower()
-        if b"close" in options or head.http_version < b"1.1":
+        connection_options = dict(head.headers).get(b"connection", b"").lower()
+        if b"close" in connection_options or head.http_version < b"1.1":
             return False
         self._http = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
@@ -270,7 +278,7 @@
             raise self._error
 
     def _read_head(self, data: bytes) -> bytes:
-        """Reads the answer's head; returns the bytes of the body."""
+        """Parses the response head; returns the received bytes of the body."""
         while True:
             self._http.receive_data(data)
             event = self._http.next_event()
@@ -280,26 +288,28 @@
                 return b""
             data = self._http.trailing_data[0]
             body = make_body(self._method, event)
-            if self._check is None or self._check(event):
+            if self._is_expected is None or self._is_expected(event):
                 self._head, self._body = event, body
                 return data
-            data = self._pass_over(body, data)
+            data = self._skip_response(body, data)
 
-    def _pass_over(self, body: Body, data: bytes) -> bytes:
-        """Skips an answer to an earlier request; returns what follows it.
+    def _skip_response(self, body: Body, data: bytes) -> bytes:
+        """Skips a response to an earlier request; returns the bytes after it.
 
         Raises:
-            ValueError: Its end can't be known, or there are too many.
+            ValueError: The end of the response is unknown, or there are too
+                many such responses.
         """
-        self._stale_answers += 1
+        self._stale_responses += 1
         body.feed(data)
-        too_many = self._stale_answers > MAX_STALE_ANSWERS
+        too_many = self._stale_responses > MAX_STALE_RESPONSES
         if body.ends_with_connection or not body.is_complete or too_many:
             raise ValueError("an answer to another request")
         self._http = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
         )
-        # An answer is read only by a connection that has sent a request.
+        # h11 parses a response only after a request, so a dummy request is
+        # passed to it, whose bytes are not sent.
         self._http.send(
             h11.Request(
                 method=self._method, target=b"/", headers=[(b"host", b"-")]
@@ -308,21 +318,21 @@
         self._http.send(h11.EndOfMessage())
         return body.rest
 
-    def _take(self, data: bytes) -> None:
+    def _buffer(self, data: bytes) -> None:
         if not data:
             return
-        self._arrived.append(data)
-        self._waiting_bytes += len(data)
-        if self._waiting_bytes > MAX_WAITING_BYTES and not self._is_paused:
+        self._received.append(data)
+        self._buffered_bytes += len(data)
+        if self._buffered_bytes > MAX_BUFFERED_BYTES and not self._is_paused:
             self._is_paused = True
             self._transport.pause_reading()
 
-    def _pop(self) -> bytes:
-        """Returns all bytes that wait."""
-        arrived = self._arrived
-        data = arrived[0] if len(arrived) == 1 else b"".join(arrived)
-        arrived.clear()
-        self._waiting_bytes = 0
+    def _take_buffered(self) -> bytes:
+        """Returns all received bytes of the body that wait."""
+        received = self._received
+        data = received[0] if len(received) == 1 else b"".join(received)
+        received.clear()
+        self._buffered_bytes = 0
         if self._is_paused and self.is_open:
             self._is_paused = False
             self._transport.resume_reading()
@@ -345,7 +355,7 @@
 
 
 class _Stream(httpx.AsyncByteStream):
-    """The body of an answer; returns its connection when it is closed."""
+    """The body of a response; releases its connection when closed."""
 
     def __init__(
         self,
@@ -363,15 +373,18 @@
         return self._connection.body(self._timeout_s)
 
     async def aclose(self) -> None:
-        """Returns the connection, or closes it in the middle of a body."""
-        self._transport.give_back(self._key, self._connection)
+        """Releases the connection, or closes it within an unfinished body."""
+        self._transport.release(self._key, self._connection)
 
 
 class Transport(httpx.AsyncBaseTransport):
-    """Keeps connections to endpoints and sends requests over them.
+    """Sends requests to endpoints over a pool of connections.
 
     Args:
-        options: How connections are kept.
+        options: How connections are kept open.
+
+    Attributes:
+        new_connections: The number of connections opened.
     """
 
     def __init__(self, options: TransportOptions | None = None) -> None:
@@ -383,15 +396,17 @@
     async def handle_async_request(
         self, request: httpx.Request
     ) -> httpx.Response:
-        """Sends a request; the body of the answer is read as it comes.
+        """Sends a request; the response body is streamed.
 
-        The extension `max_idle_s` of the request bounds how long the
-        connection may have been idle; 0 asks for a new one.
+        The request extension `max_idle_s` limits how long the connection may
+        have been idle; 0 demands a new one.
 
         Raises:
-            httpx.ConnectError: There is no connection; nothing was sent.
-            httpx.ConnectTimeout: None came in time; nothing was sent.
-            httpx.TransportError: It failed later; bytes may have been sent.
+            httpx.ConnectError: No connection was made; nothing was sent.
+            httpx.ConnectTimeout: No connection was made in time; nothing was
+                sent.
+            httpx.TransportError: The request failed later; bytes may have been
+                sent.
         """
         if request.url.scheme != "http":
             raise httpx.UnsupportedProtocol("only http:// is supported")
@@ -400,7 +415,7 @@
         host, port = request.url.host, request.url.port or 80
         key = f"{host}:{port}"
         idle_s = request.extensions.get("max_idle_s", self._options.idle_s)
-        connection = self._take_idle(key, idle_s)
+        connection = self._acquire_idle(key, idle_s)
         if connection is None:
             self.new_connections += 1
             connection = await _connect(
@@ -425,8 +440,11 @@
         self._idle.clear()
         self._idle_count = 0
 
-    def give_back(self, key: str, connection: Connection) -> None:
-        """Takes a connection back whose answer has been read or given up."""
+    def release(self, key: str, connection: Connection) -> None:
+        """Returns a connection to the pool, or closes it.
+
+        It is closed if it can't be reused or the pool is full.
+        """
         if self._idle_count >= MAX_IDLE_CONNECTIONS or not connection.reset():
             connection.abort()
             return
@@ -434,10 +452,12 @@
         self._idle_count += 1
 
     async def is_unreachable(self, key: str) -> bool:
-        """Tells whether an endpoint accepts no new connection."""
+        """Returns whether an endpoint accepts no new connections."""
         host, _, port = key.rpartition(":")
         try:
-            connection = await _connect(host, int(port), PROBE_S, self._options)
+            connection = await _connect(
+                host, int(port), PROBE_TIMEOUT_S, self._options
+            )
         except (httpx.ConnectError, httpx.ConnectTimeout):
             return True
         connection.abort()
@@ -449,8 +469,8 @@
             self._idle_count -= 1
             connection.abort()
 
-    def _take_idle(self, key: str, max_idle_s: float) -> Connection | None:
-        """Returns the connection used last that is still good."""
+    def _acquire_idle(self, key: str, max_idle_s: float) -> Connection | None:
+        """Returns the usable idle connection that was used last, or None."""
         connections = self._idle.get(key)
         now = asyncio.get_running_loop().time()
         while connections:
@@ -460,7 +480,8 @@
             if connection.keep_alive_s is not None:
                 limit_s = connection.keep_alive_s - KEEP_ALIVE_MARGIN_S
             if connection.is_open and max_idle_s <= idle_s < limit_s:
-                # It is good for a request that may be repeated.
+                # The connection stays in the pool for requests that may be
+                # retried, which accept a longer idle time.
                 return None
             connections.pop()
             self._idle_count -= 1
@@ -477,7 +498,7 @@
 
     Raises:
         httpx.ConnectError: The endpoint can't be reached.
-        httpx.ConnectTimeout: It was not reached in time.
+        httpx.ConnectTimeout: The endpoint was not reached in time.
     """
     loop = asyncio.get_running_loop()
     try:
@@ -492,17 +513,17 @@
     return connection
 
 
-def probe_dead_peer(link: socket.socket, limit_ms: int) -> None:
-    """Makes the system close a connection whose peer is silent.
+def probe_dead_peer(sock: socket.socket, limit_ms: int) -> None:
+    """Makes the operating system close a connection to a silent peer.
 
     Args:
-        link: The connection's socket.
+        sock: The socket of the connection.
         limit_ms: How long sent bytes or probes may stay unacknowledged.
     """
-    link.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, limit_ms)
-    link.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    # The system counts in whole seconds.
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, limit_ms)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    # These options are in whole seconds.
     seconds = max(1, limit_ms // 2000)
-    link.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, seconds)
-    link.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, seconds)
-    link.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, seconds)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, seconds)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2)
--- a/rhubarbwinch/links/links.py
+++ b/rhubarbwinch/links/links.py
@@ -1,7 +1,9 @@
-"""Links between processes: typed calls over ZeroMQ, one peer a socket.
+"""Links between processes: typed calls over ZeroMQ, one socket per peer.
 
-Each frame list is (protocol version, kind, sender's incarnation, sequence
-number, body). An answer repeats the incarnation and number of its call.
+A message has three frames: a header of protocol version, incarnation of the
+calling process and sequence number; the name of the message class; the body. A
+reply repeats the incarnation and sequence number of its call. The number 0
+marks a message without a reply.
 """
 
 import asyncio
@@ -32,10 +34,10 @@
 _ZAP_ADDRESS = "inproc://zeromq.zap.01"
 _MAX_QUEUED = 10_000
 _MAX_MESSAGE_BYTES = 4 << 20
-_MAX_HANDLING = 20_000
-# How long a message waits for a connection that is being made.
-_CONNECT_MS = 250
-# The kind of an answer to a call whose handler failed.
+_MAX_OPEN_CALLS = 20_000
+# How long a message waits while a connection is being established.
+_CONNECT_TIMEOUT_MS = 250
+# The kind of a reply to a call whose handler failed.
 _FAILED = "!failed"
 
 
@@ -49,9 +51,9 @@
 
 @attrs.define
 class LinkCounters:
-    """What links dropped; for metrics and tests."""
+    """Counts of dropped and failed messages, for metrics and tests."""
 
-    unknown_answers: int = 0
+    unknown_replies: int = 0
     refused: int = 0
     failed: int = 0
     overloaded: int = 0
@@ -59,7 +61,7 @@
 
 @attrs.frozen
 class _Handler:
-    """A message's class and the function that answers it."""
+    """A message class and its handler."""
 
     kind: type
     answer: Callable[[Any], Awaitable[Any]]
@@ -71,11 +73,12 @@
 
 
 class LinkServer:
-    """Answers calls of peers.
+    """Handles calls from peers.
 
     Args:
         address: `a.b.c.d:port` to listen on.
-        keys: Encrypts and authenticates peers; None leaves links open.
+        keys: The key pair for encryption and authentication; with None, links
+            are neither encrypted nor authenticated.
     """
 
     def __init__(self, address: str, keys: LinkKeys | None = None) -> None:
@@ -83,78 +86,80 @@
         self._address = address
         self._keys = keys
         self._handlers: dict[str, _Handler] = {}
-        self._handling = 0
+        self._open_calls = 0
 
-    def on(self, kind: type[T], answer: Callable[[T], Awaitable[Any]]) -> None:
-        """Sets the function that answers messages of a class."""
-        self._handlers[kind.__name__] = _Handler(kind, answer)
+    def on(self, kind: type[T], handle: Callable[[T], Awaitable[Any]]) -> None:
+        """Sets the handler for messages of a class; it returns the reply."""
+        self._handlers[kind.__name__] = _Handler(kind, handle)
 
     async def run(self) -> None:
-        """Serves until cancelled; each call runs in a task of its own."""
+        """Serves until cancelled; each call is handled in its own task."""
         context = zmq.asyncio.Context.instance()
         socket = context.socket(zmq.ROUTER)
         socket.setsockopt(zmq.LINGER, 0)
         socket.setsockopt(zmq.MAXMSGSIZE, _MAX_MESSAGE_BYTES)
-        authenticator = _serve_keys(socket, self._keys)
+        authenticator = _configure_curve(socket, self._keys)
         try:
             socket.bind(f"tcp://{self._address}")
             async with anyio.create_task_group() as tasks:
                 while True:
                     frames = await socket.recv_multipart()
-                    if self._handling >= _MAX_HANDLING:
+                    if self._open_calls >= _MAX_OPEN_CALLS:
                         self.counters.overloaded += 1
-                        events.LINK_OVERLOADED.log(handling=self._handling)
+                        events.LINK_OVERLOADED.log(handling=self._open_calls)
                         continue
-                    self._handling += 1
-                    tasks.start_soon(self._answer, socket, frames)
+                    self._open_calls += 1
+                    tasks.start_soon(self._serve_call, socket, frames)
         finally:
             socket.close()
             if authenticator is not None:
-                # A closed socket frees its address late; a restart needs it.
+                # Unbinding frees the address at once, which a restart in this
+                # process needs; closing the socket frees it later.
                 authenticator.zap_socket.unbind(_ZAP_ADDRESS)
                 authenticator.stop()
 
-    async def _answer(
+    async def _serve_call(
         self, socket: zmq.asyncio.Socket, frames: list[bytes]
     ) -> None:
         try:
-            await self._answer_checked(socket, frames)
+            await self._serve_checked(socket, frames)
         except (ValueError, struct.error, CodecError) as error:
             self.counters.refused += 1
             events.PEER_REFUSED.log(error=str(error))
         finally:
-            self._handling -= 1
+            self._open_calls -= 1
 
-    async def _answer_checked(
+    async def _serve_checked(
         self, socket: zmq.asyncio.Socket, frames: list[bytes]
     ) -> None:
-        """Answers a message.
+        """Handles a message and sends its reply.
 
         Raises:
             ValueError: The frames are not a message.
             struct.error: The header is too short or too long.
-            CodecError: It is of another version or of an unknown kind.
+            CodecError: The message has another protocol version or an unknown
+                kind, or its body can't be decoded.
         """
         peer, header, kind, body = frames
         version, incarnation, number = _HEADER.unpack(header)
         if version != PROTOCOL_VERSION:
-            raise CodecError(f"protocol version {version}")
+            raise CodecError(f"unsupported protocol version {version}")
         handler = self._handlers.get(kind.decode())
         if handler is None:
             raise CodecError(f"unknown message {kind!r}")
         message: Any = codec.decode(body, handler.kind)
-        reply = await self._handle(handler, message, incarnation, number)
+        reply = await self._make_reply(handler, message, incarnation, number)
         if reply and number:
             await socket.send_multipart([peer, *reply])
 
-    async def _handle(
+    async def _make_reply(
         self, handler: _Handler, message: Any, incarnation: int, number: int
     ) -> list[bytes]:
-        """Returns the answer's frames; none if there is no answer."""
+        """Returns the frames of the reply; none if there is no reply."""
         try:
             answer = await handler.answer(message)
         except Exception as error:
-            # One message that can't be handled must not end the others.
+            # A failed handler must not stop the handling of other messages.
             self.counters.failed += 1
             events.HANDLER_FAILED.log(
                 message=handler.kind.__name__, error=repr(error)
@@ -166,15 +171,15 @@
         return _pack(type(answer).__name__, incarnation, number, body)
 
 
-def _serve_keys(socket: zmq.asyncio.Socket, keys: LinkKeys | None) -> Any:
-    """Makes a socket accept only peers that hold the same key pair."""
+def _configure_curve(socket: zmq.asyncio.Socket, keys: LinkKeys | None) -> Any:
+    """Makes a socket accept only peers that have the same key pair."""
     if keys is None:
         return None
     from zmq.auth.asyncio import AsyncioAuthenticator  # noqa: PLC0415
 
     authenticator = AsyncioAuthenticator(zmq.asyncio.Context.instance())
     authenticator.start()
-    provider = _OneKey(keys.public)
+    provider = _SingleKeyProvider(keys.public)
     authenticator.configure_curve_callback("*", credentials_provider=provider)
     socket.curve_server = True
     socket.curve_publickey = keys.public.encode()
@@ -182,22 +187,22 @@
     return authenticator
 
 
-class _OneKey:
+class _SingleKeyProvider:
     """Accepts one public key."""
 
     def __init__(self, public: str) -> None:
         self._public = public.encode()
 
     def callback(self, domain: str, key: bytes) -> bool:
-        """Tells whether a peer's public key, in Z85, may connect."""
-        known = hmac.compare_digest(key, self._public)
-        if not known:
+        """Returns whether a peer with this public key, in Z85, may connect."""
+        is_known = hmac.compare_digest(key, self._public)
+        if not is_known:
             events.PEER_REFUSED.log(error="a peer with another key")
-        return known
+        return is_known
 
 
 class Links:
-    """Calls peers, over one socket and one receiving task for each.
+    """Calls peers, with one socket and one receiving task per peer.
 
     Args:
         incarnation: This process's number, new at each start.
@@ -210,14 +215,14 @@
         self._keys = keys
         self._numbers = itertools.count(1)
         self._peers: dict[str, _Peer] = {}
-        self._waiting: dict[int, _Waiting] = {}
-        self._late: dict[str, _Handler] = {}
+        self._pending: dict[int, _PendingCall] = {}
+        self._late_handlers: dict[str, _Handler] = {}
         self._tasks: anyio.abc.TaskGroup | None = None
 
     async def run(
         self, *, task_status: Any = anyio.TASK_STATUS_IGNORED
     ) -> None:
-        """Keeps the receiving tasks until cancelled."""
+        """Runs the receiving tasks until cancelled."""
         try:
             async with anyio.create_task_group() as tasks:
                 self._tasks = tasks
@@ -228,52 +233,52 @@
             self._peers.clear()
 
     async def call(
-        self, address: str, message: Any, answer: type[T], timeout_ms: int
+        self, address: str, message: Any, reply_type: type[T], timeout_ms: int
     ) -> T:
-        """Sends a message and returns the peer's answer.
+        """Sends a message and returns the peer's reply.
 
         Raises:
             LinkError: The message was not sent.
-            LinkTimeout: No answer came in time, or the peer failed; it may
-                have acted.
-            CodecError: The answer is of another kind; the peer has acted.
+            LinkTimeout: No reply arrived in time, or the peer's handler failed;
+                the peer may have acted.
+            CodecError: The reply is of another kind; the peer has acted.
         """
         number = next(self._numbers)
-        waiting = _Waiting()
-        self._waiting[number] = waiting
-        is_over = False
+        pending = _PendingCall()
+        self._pending[number] = pending
+        has_ended = False
         try:
-            wait_ms = min(timeout_ms, _CONNECT_MS)
+            wait_ms = min(timeout_ms, _CONNECT_TIMEOUT_MS)
             await self._send(address, number, message, wait_ms)
             with anyio.move_on_after(timeout_ms / 1000):
-                await waiting.done.wait()
-            is_over = True
+                await pending.done.wait()
+            has_ended = True
         finally:
-            del self._waiting[number]
-            if waiting.kind and not is_over:
-                # The answer came while the caller was being cancelled.
-                self._handle_late(waiting.kind, waiting.body)
-        if not waiting.kind:
+            del self._pending[number]
+            if pending.kind and not has_ended:
+                # The reply arrived while the call was being cancelled.
+                self._handle_late_reply(pending.kind, pending.body)
+        if not pending.kind:
             raise LinkTimeout(f"{address} gave no answer in {timeout_ms} ms")
-        if waiting.kind == _FAILED:
+        if pending.kind == _FAILED:
             raise PeerFailed(f"{address} failed to handle the message")
-        if waiting.kind != answer.__name__:
-            raise CodecError(f"{address} answered by {waiting.kind}")
-        return codec.decode(waiting.body, answer)
+        if pending.kind != reply_type.__name__:
+            raise CodecError(f"{address} answered by {pending.kind}")
+        return codec.decode(pending.body, reply_type)
 
     async def send(self, address: str, message: Any) -> None:
-        """Sends a message that has no answer.
+        """Sends a message that has no reply.
 
         Raises:
             LinkError: The message was not sent.
         """
-        await self._send(address, 0, message, _CONNECT_MS)
+        await self._send(address, 0, message, _CONNECT_TIMEOUT_MS)
 
     def on_late(
         self, kind: type[T], handle: Callable[[T], Awaitable[None]]
     ) -> None:
-        """Sets what is done with answers whose call has been given up."""
-        self._late[kind.__name__] = _Handler(kind, handle)
+        """Sets the handler for replies that arrive after their call ended."""
+        self._late_handlers[kind.__name__] = _Handler(kind, handle)
 
     def forget(self, address: str) -> None:
         """Closes the socket of a peer that is gone."""
@@ -291,13 +296,13 @@
             number,
             codec.encode(message),
         )
-        # Always a future; its type says only that it can be awaited.
+        # pyzmq returns a future, but declares only an awaitable.
         sending = asyncio.ensure_future(peer.socket.send_multipart(frames))
         try:
             if not sending.done():
                 await asyncio.wait({sending}, timeout=wait_ms / 1000)
         finally:
-            # What has not been taken yet must not go out later.
+            # A message that is not sent by now must not be sent later.
             sending.cancel()
         if sending.cancelled():
             raise LinkError(f"{address}: no connection in {wait_ms} ms")
@@ -311,12 +316,13 @@
         socket = zmq.asyncio.Context.instance().socket(zmq.DEALER)
         socket.setsockopt(zmq.LINGER, 0)
         socket.setsockopt(zmq.SNDHWM, _MAX_QUEUED)
-        # Without a connection nothing is queued: a message to a peer that is
-        # gone fails, and does not reach the peer after its sender gave up.
+        # Without a connection nothing is queued. A message to an unreachable
+        # peer fails and cannot arrive after its sender has given up.
         socket.setsockopt(zmq.IMMEDIATE, 1)
         socket.setsockopt(zmq.RECONNECT_IVL, 50)
         socket.setsockopt(zmq.RECONNECT_IVL_MAX, 1000)
-        # A stalled connection is given up, so that a new one can be made.
+        # Heartbeats close a stalled connection, so that a new one is
+        # established.
         socket.setsockopt(zmq.HEARTBEAT_IVL, 1000)
         socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, 3000)
         if self._keys is not None:
@@ -330,7 +336,7 @@
         return peer
 
     async def _receive(self, peer: "_Peer") -> None:
-        """Takes answers until the peer is forgotten; owns the socket."""
+        """Receives replies until the peer is forgotten; owns the socket."""
         try:
             with peer.scope:
                 while True:
@@ -340,41 +346,44 @@
 
     async def _receive_one(self, socket: zmq.asyncio.Socket) -> None:
         try:
-            self._take(await socket.recv_multipart())
+            self._deliver_reply(await socket.recv_multipart())
         except (ValueError, struct.error, CodecError) as error:
             self.counters.refused += 1
             events.PEER_REFUSED.log(error=str(error))
 
-    def _take(self, frames: list[bytes]) -> None:
-        """Hands an answer to its call.
+    def _deliver_reply(self, frames: list[bytes]) -> None:
+        """Passes a reply to its waiting call.
 
         Raises:
             ValueError: The frames are not a message.
             struct.error: The header is too short or too long.
-            CodecError: It is of another version or another process.
+            CodecError: The reply has another protocol version, or belongs to a
+                call of another process.
         """
         header, kind, body = frames
         version, incarnation, number = _HEADER.unpack(header)
         if version != PROTOCOL_VERSION or incarnation != self._incarnation:
-            raise CodecError(f"version {version}, incarnation {incarnation}")
-        waiting = self._waiting.get(number)
-        if waiting is None or waiting.kind:
-            self._handle_late(kind.decode(), body)
+            raise CodecError(
+                f"reply with version {version}, incarnation {incarnation}"
+            )
+        pending = self._pending.get(number)
+        if pending is None or pending.kind:
+            self._handle_late_reply(kind.decode(), body)
             return
-        waiting.kind = kind.decode()
-        waiting.body = body
-        waiting.done.set()
+        pending.kind = kind.decode()
+        pending.body = body
+        pending.done.set()
 
-    def _handle_late(self, kind: str, body: bytes) -> None:
-        """Counts an answer that nobody waits for, and has it undone."""
-        self.counters.unknown_answers += 1
+    def _handle_late_reply(self, kind: str, body: bytes) -> None:
+        """Counts a reply without a waiting call; starts its late handler."""
+        self.counters.unknown_replies += 1
         events.ANSWER_DROPPED.log(kind=kind)
-        handler = self._late.get(kind)
+        handler = self._late_handlers.get(kind)
         if handler is not None and self._tasks is not None:
             message: Any = codec.decode(body, handler.kind)
-            self._tasks.start_soon(self._undo, handler, message)
+            self._tasks.start_soon(self._run_late_handler, handler, message)
 
-    async def _undo(self, handler: _Handler, message: Any) -> None:
+    async def _run_late_handler(self, handler: _Handler, message: Any) -> None:
         try:
             await handler.answer(message)
         except Exception as error:
@@ -386,15 +395,15 @@
 
 @attrs.frozen(eq=False)
 class _Peer:
-    """The socket to a peer and what ends its receiving task."""
+    """The socket to a peer and the cancel scope of its receiving task."""
 
     socket: zmq.asyncio.Socket
     scope: anyio.CancelScope = attrs.field(factory=anyio.CancelScope)
 
 
 @attrs.define
-class _Waiting:
-    """A call whose answer has not come."""
+class _PendingCall:
+    """A call that waits for its reply."""
 
     done: anyio.Event = attrs.field(factory=anyio.Event)
     kind: str = ""
--- a/rhubarbwinch/links/memlinks.py
+++ b/rhubarbwinch/links/memlinks.py
@@ -1,4 +1,4 @@
-"""Links in memory, for tests and for programs that embed the parts."""
+"""Links in memory, for tests and for programs that embed components."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any, TypeVar
@@ -11,13 +11,13 @@
 
 T = TypeVar("T")
 
-# What the frames of a message and its kind add to the body.
+# Size of the message header.
 _HEADER_BYTES = 18
 
 
 @attrs.define
 class Traffic:
-    """What a node has sent and received, without the transport's headers."""
+    """The traffic of a node, without the transport's headers."""
 
     messages: int = 0
     octets: int = 0
@@ -30,18 +30,21 @@
 
 @attrs.frozen
 class _Handler:
-    """A message's class and the function that answers it."""
+    """A message class and its handler."""
 
     kind: type
     answer: Callable[[Any], Awaitable[Any]]
 
 
 class MemoryNetwork:
-    """Carries messages between the nodes of one process.
+    """Delivers messages between the nodes of one process.
 
     Args:
-        clock: The time that messages take.
-        latency_ms: The time in one direction.
+        clock: The source of time.
+        latency_ms: The delay of a message in one direction.
+
+    Attributes:
+        cut: The addresses of nodes that are disconnected.
     """
 
     def __init__(self, clock: Clock, latency_ms: int = 1) -> None:
@@ -51,34 +54,34 @@
         self._nodes: dict[str, MemoryLinks] = {}
 
     def node(self, address: str) -> "MemoryLinks":
-        """Adds a node; one that had the address before is replaced."""
+        """Adds a node; an earlier node at the address is replaced."""
         self._nodes[address] = MemoryLinks(self, address)
         return self._nodes[address]
 
-    async def carry(
+    async def deliver(
         self, source: str, address: str, message: Any, timeout_ms: int
     ) -> Any:
-        """Carries a message and its answer.
+        """Delivers a message and returns its reply.
 
         Raises:
-            LinkTimeout: One of the two nodes is cut off.
+            LinkTimeout: One of the two nodes is missing or disconnected.
         """
         if address not in self._nodes or self.cut & {source, address}:
             await self._clock.sleep(timeout_ms)
             raise LinkTimeout(f"{address} gave no answer in {timeout_ms} ms")
         await self._clock.sleep(self._latency_ms)
-        answer = await self._nodes[address].receive(message)
+        reply = await self._nodes[address].receive(message)
         await self._clock.sleep(self._latency_ms)
         if self.cut & {source, address}:
             raise LinkTimeout(f"{address} was cut off")
-        return answer
+        return reply
 
 
 class MemoryLinks:
-    """One node: calls others and answers them.
+    """One node, which calls others and handles their calls.
 
     Args:
-        network: Carries its messages.
+        network: Delivers its messages.
         address: Its own address.
     """
 
@@ -88,54 +91,55 @@
         self._address = address
         self._handlers: dict[str, _Handler] = {}
 
-    def on(self, kind: type[T], answer: Callable[[T], Awaitable[Any]]) -> None:
-        """Sets the function that answers messages of a class."""
-        self._handlers[kind.__name__] = _Handler(kind, answer)
+    def on(self, kind: type[T], handle: Callable[[T], Awaitable[Any]]) -> None:
+        """Sets the handler for messages of a class; it returns the reply."""
+        self._handlers[kind.__name__] = _Handler(kind, handle)
 
     async def call(
-        self, address: str, message: Any, answer: type[T], timeout_ms: int
+        self, address: str, message: Any, reply_type: type[T], timeout_ms: int
     ) -> T:
-        """Sends a message and returns the peer's answer.
+        """Sends a message and returns the peer's reply.
 
         Raises:
-            LinkTimeout: No answer came.
+            LinkError: The peer gave no reply, or handles no such messages.
+            LinkTimeout: One of the two nodes is missing or disconnected.
         """
-        sent = self._pass(message)
-        found = await self._network.carry(
-            self._address, address, sent, timeout_ms
+        copy = self._copy(message)
+        reply = await self._network.deliver(
+            self._address, address, copy, timeout_ms
         )
-        if found is None:
+        if reply is None:
             raise LinkError(f"{address} refused {type(message).__name__}")
-        return self._pass(found)
+        return self._copy(reply)
 
     async def send(self, address: str, message: Any) -> None:
-        """Sends a message that has no answer."""
+        """Sends a message that has no reply."""
         try:
-            await self._network.carry(
-                self._address, address, self._pass(message), 0
+            await self._network.deliver(
+                self._address, address, self._copy(message), 0
             )
         except LinkTimeout:
-            # Nobody tells the sender of a message whether it arrived.
+            # A sender does not learn whether such a message has arrived.
             return
 
     def on_late(
         self, kind: type[T], handle: Callable[[T], Awaitable[None]]
     ) -> None:
-        """Does nothing; an answer comes before its call is given up."""
+        """Does nothing; replies in memory are never late."""
 
     async def receive(self, message: Any) -> Any:
-        """Answers a message; None if its class is not known."""
+        """Handles a message; returns its reply, None for unknown classes."""
         handler = self._handlers.get(type(message).__name__)
         if handler is None:
             return None
-        answer = await handler.answer(self._pass(message))
-        return self._pass(answer) if answer is not None else None
+        answer = await handler.answer(self._copy(message))
+        return self._copy(answer) if answer is not None else None
 
     def forget(self, address: str) -> None:
         """Does nothing; there are no connections."""
 
-    def _pass(self, message: T) -> T:
-        """Returns a copy that shares nothing, and counts its bytes."""
+    def _copy(self, message: T) -> T:
+        """Counts a message; returns a copy without shared objects."""
         data = codec.encode(message)
         name = type(message).__name__
         self.traffic.count(len(data) + len(name) + _HEADER_BYTES)
--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -1,13 +1,13 @@
-"""Requests under which endpoints crash."""
+"""Requests that crash endpoints."""
 
 import unittest
 
 import anyio
 
 from rhubarbwinch.gateway.crashes import (
-    KEEP_MS,
     MAX_CRASHES,
     MAX_SUSPECTS,
+    SUSPECT_RETENTION_MS,
     CrashLedger,
     fingerprint,
 )
@@ -19,7 +19,7 @@
 
 
 class CrashLedgerTest(unittest.TestCase):
-    """Crashes in, refusals out."""
+    """When a request is refused after recorded crashes."""
 
     def setUp(self):
         self.ledger = CrashLedger(None, ManualClock(), None)
@@ -43,22 +43,22 @@
 
     def test_crashes_of_long_ago_do_not_count(self):
         self._crash("r", ["e1", "e2", "e3"])
-        self.assertFalse(self.ledger.is_refused("r", KEEP_MS + 1))
-        self._crash("r", ["e4"], KEEP_MS + 2)
-        self.assertFalse(self.ledger.is_refused("r", KEEP_MS + 2))
+        self.assertFalse(self.ledger.is_refused("r", SUSPECT_RETENTION_MS + 1))
+        self._crash("r", ["e4"], SUSPECT_RETENTION_MS + 2)
+        self.assertFalse(self.ledger.is_refused("r", SUSPECT_RETENTION_MS + 2))
 
     def test_the_number_of_suspects_is_bounded(self):
         for i in range(MAX_SUSPECTS + 50):
             self._crash(f"r{i}", ["e1"], i)
         self.assertEqual(len(self.ledger._suspects), MAX_SUSPECTS)
 
-    def test_what_differs_in_any_part_is_another_request(self):
+    def test_requests_that_differ_in_any_part_have_other_fingerprints(self):
         parts = [("a", b"/x", b"b"), ("a", b"/", b"xb"), ("ax", b"/", b"b")]
         self.assertEqual(len({fingerprint(*p) for p in parts}), 3)
 
 
 class CrashingRequestTest(unittest.TestCase):
-    """A request before endpoints that it ends."""
+    """A request that crashes every endpoint it reaches."""
 
     @asynchronous
     async def test_it_reaches_no_endpoint_after_the_third_crash(self):
@@ -66,11 +66,11 @@
         async with world(engines=6, table=table) as w:
 
             async def crash(arrival, responder):
-                """Ends the endpoint in the middle of the request."""
+                """Makes the endpoint unreachable during the request."""
                 name = arrival.headers["expect-instance"]
                 known = w.context.fleet.get(name)
-                gone = build.endpoint(name, address="127.0.0.1:1")
-                known.endpoint = gone
+                unreachable = build.endpoint(name, address="127.0.0.1:1")
+                known.endpoint = unreachable
 
             async def is_gone(address):
                 return True
@@ -81,7 +81,7 @@
             statuses = []
             for i in range(6):
                 statuses.append((await w.call(f"q{i}")).status)
-                # The crash is found out after the caller has its answer.
+                # The crash is detected after the caller has its response.
                 while len(w.told) < min(i + 1, MAX_CRASHES):
                     await anyio.sleep(0)
         self.assertEqual(len(w.arrivals), MAX_CRASHES)
--- a/tests/gateway/test_feed.py
+++ b/tests/gateway/test_feed.py
@@ -1,4 +1,4 @@
-"""Following the store: outages, gaps in the history, and peers' news."""
+"""The store feed: outages, gaps in the history and updates from peers."""
 
 import itertools
 import unittest
@@ -6,14 +6,14 @@
 import anyio
 
 from rhubarbwinch.gateway.feed import (
-    BEHIND_MS,
     FOLLOWER_POLL_MS,
-    LAPSE_GRACE_MS,
+    LEASE_RENEWAL_GRACE_MS,
+    LOST_DATAGRAM_MS,
     MAX_RETRY_MS,
     MIN_OUTAGE_MS,
     RETRY_MS,
     Feed,
-    _shared,
+    _to_shared,
     split_batch,
 )
 from rhubarbwinch.gateway.messages import SharedBatch, SharedChange
@@ -32,7 +32,7 @@
 
 
 class ScriptedStore:
-    """Answers scans and polls from lists; then it waits for ever."""
+    """Returns scripted results for scans and polls, then blocks for ever."""
 
     def __init__(self, scans, polls):
         self.scans, self.polls = list(scans), list(polls)
@@ -46,24 +46,24 @@
         self.calls.append(f"poll after {after}")
         return await self._next(self.polls)
 
-    async def _next(self, answers):
+    async def _next(self, results):
         await anyio.lowlevel.checkpoint()
-        if not answers:
+        if not results:
             await anyio.sleep_forever()
-        answer = answers.pop(0)
-        if isinstance(answer, Exception):
-            raise answer
-        return answer
+        result = results.pop(0)
+        if isinstance(result, Exception):
+            raise result
+        return result
 
 
 class PeerValues:
-    """Answers calls for values, or fails them."""
+    """Replies to value calls from a dict; unknown keys time out."""
 
     def __init__(self):
         self.values = {}
         self.calls = []
 
-    async def call(self, address, message, answer, timeout_ms):
+    async def call(self, address, message, reply_type, timeout_ms):
         self.calls.append((address, message.key))
         if message.key not in self.values:
             raise LinkTimeout("no answer")
@@ -71,25 +71,25 @@
 
 
 class FeedTest(unittest.TestCase):
-    """A feed on a manual clock."""
+    """A feed with a scripted store and a manual clock."""
 
-    def _make(self, scans, polls, watches=True):
+    def _make(self, scans, polls, is_watcher=True):
         self.clock = ManualClock()
         self.store = ScriptedStore(scans, polls)
-        self.shared, self.seen = [], []
+        self.broadcast_batches, self.reported = [], []
         self.links = PeerValues()
-        self.watches = watches
+        self.is_watcher = is_watcher
         self.is_cut_off = False
-        self.peers_know = 0
+        self.peer_revision = 0
         self.feed = Feed(
             self.store,
             Replica(),
             self.clock,
-            lambda: self.watches or self.is_cut_off,
-            lambda: self.watches,
-            lambda: self.peers_know,
-            self.shared.append,
-            lambda changes, after: self.seen.append(
+            lambda: self.is_watcher or self.is_cut_off,
+            lambda: self.is_watcher,
+            lambda: self.peer_revision,
+            self.broadcast_batches.append,
+            lambda changes, after: self.reported.append(
                 ([(c.key, c.revision) for c in changes], after)
             ),
             self.links,
@@ -103,20 +103,22 @@
             tasks.cancel_scope.cancel()
 
     @asynchronous
-    async def test_changes_are_told_and_shared_once(self):
+    async def test_changes_are_reported_and_broadcast_once(self):
         self._make(
             [Listing([put("a", 2).entry], 3)],
             [ChangeBatch(3, 5, [put("a", 5)]), ChangeBatch(5, 6, [])],
         )
         await self._run(500)
-        self.assertEqual(self.seen, [([("a", 2)], False), ([("a", 5)], False)])
-        self.assertEqual([b.after for b in self.shared], [0, 3])
+        self.assertEqual(
+            self.reported, [([("a", 2)], False), ([("a", 5)], False)]
+        )
+        self.assertEqual([b.after for b in self.broadcast_batches], [0, 3])
         self.assertEqual(
             self.store.calls[:3], ["scan", "poll after 3", "poll after 5"]
         )
 
     @asynchronous
-    async def test_dropped_history_is_read_as_a_whole(self):
+    async def test_compacted_history_leads_to_a_full_scan(self):
         self._make(
             [
                 Listing([put("a", 2).entry, put("b", 2).entry], 3),
@@ -125,7 +127,7 @@
             [StoreCompacted("410")],
         )
         await self._run(500)
-        self.assertEqual(self.seen[-1], ([("a", 9)], False))
+        self.assertEqual(self.reported[-1], ([("a", 9)], False))
 
     @asynchronous
     async def test_deletions_after_an_outage_are_marked(self):
@@ -137,34 +139,34 @@
             ],
         )
         await self._run(2 * MIN_OUTAGE_MS)
-        self.assertEqual(self.seen[-1], ([("a", 4)], True))
-        self.assertTrue(self.shared[-1].after_outage)
-        await self._run(LAPSE_GRACE_MS)
+        self.assertEqual(self.reported[-1], ([("a", 4)], True))
+        self.assertTrue(self.broadcast_batches[-1].after_outage)
+        await self._run(LEASE_RENEWAL_GRACE_MS)
         self.assertFalse(self.feed.is_after_outage)
 
     @asynchronous
-    async def test_a_short_failure_makes_no_lease_lapse(self):
+    async def test_a_short_failure_does_not_mark_deletions(self):
         self._make(
             [Listing([put("a", 2).entry], 3)],
             [StoreUnavailable("cut"), ChangeBatch(3, 3, [])],
         )
         self.store.polls.append(ChangeBatch(3, 4, [gone("a", 4)]))
         await self._run(MIN_OUTAGE_MS)
-        self.assertEqual(self.seen[-1], ([("a", 4)], False))
+        self.assertEqual(self.reported[-1], ([("a", 4)], False))
 
     @asynchronous
-    async def test_a_follower_makes_no_calls_after_its_first_read(self):
-        self._make([Listing([], 3)], [], watches=False)
+    async def test_a_follower_makes_no_calls_after_its_first_scan(self):
+        self._make([Listing([], 3)], [], is_watcher=False)
         await self._run(5_000)
         self.assertEqual(self.store.calls, ["scan"])
 
     @asynchronous
-    async def test_in_an_outage_others_than_watchers_ask_less_and_less(self):
+    async def test_in_an_outage_only_non_watchers_back_off(self):
         down = [StoreUnavailable("down") for _ in range(100)]
         self._make([Listing([], 3)], down)
         await self._run(8_000)
         watcher_calls = len(self.store.calls)
-        self._make([Listing([], 3)], down, watches=False)
+        self._make([Listing([], 3)], down, is_watcher=False)
         self.is_cut_off = True
         await self._run(8_000)
         self.assertGreater(watcher_calls, 8_000 // RETRY_MS)
@@ -173,9 +175,9 @@
         )
 
     @asynchronous
-    async def test_an_outage_has_ended_when_peers_have_fresh_answers(self):
+    async def test_an_outage_ends_when_peers_have_fresh_responses(self):
         down = [StoreUnavailable("down") for _ in range(100)]
-        self._make([Listing([], 3)], down, watches=False)
+        self._make([Listing([], 3)], down, is_watcher=False)
         self.is_cut_off = True
         await self._run(2_000)
         self.assertTrue(self.feed.is_failing)
@@ -185,48 +187,50 @@
         self.assertTrue(self.feed.is_after_outage)
 
     @asynchronous
-    async def test_a_follower_whose_peers_know_more_asks_the_store(self):
-        # The datagram with the change was lost, and none came after it.
+    async def test_a_follower_that_is_behind_its_peers_polls_the_store(self):
+        # The datagram with the last change was lost, so no gap shows its loss.
         self._make(
-            [Listing([], 3)], [ChangeBatch(3, 5, [put("a", 5)])], watches=False
+            [Listing([], 3)],
+            [ChangeBatch(3, 5, [put("a", 5)])],
+            is_watcher=False,
         )
         await self._run(300)
-        self.peers_know = 5
+        self.peer_revision = 5
         await self._run(FOLLOWER_POLL_MS)
-        self.assertEqual(self.seen, [])
-        await self._run(BEHIND_MS + FOLLOWER_POLL_MS)
-        self.assertEqual(self.seen, [([("a", 5)], False)])
+        self.assertEqual(self.reported, [])
+        await self._run(LOST_DATAGRAM_MS + FOLLOWER_POLL_MS)
+        self.assertEqual(self.reported, [([("a", 5)], False)])
         await self._run(2_000)
         self.assertEqual(self.store.calls, ["scan", "poll after 3"])
 
     @asynchronous
-    async def test_a_peers_batch_after_a_gap_is_taken_and_the_rest_read(self):
+    async def test_a_batch_after_a_gap_is_applied_and_followed_by_a_scan(self):
         self._make(
             [Listing([], 3), Listing([put("b", 5).entry], 9)],
             [],
-            watches=False,
+            is_watcher=False,
         )
         await self._run(300)
         batch = SharedBatch("p", 7, 9, [SharedChange("a", 8, b"v")])
         self.feed.take_batch(batch)
-        self.assertEqual(self.seen[-1], ([("a", 8)], False))
+        self.assertEqual(self.reported[-1], ([("a", 8)], False))
         await self._run(300)
         self.assertEqual(self.store.calls, ["scan", "scan"])
 
     @asynchronous
-    async def test_what_a_peer_tells_again_is_told_once(self):
-        self._make([Listing([], 3)], [], watches=False)
+    async def test_a_repeated_batch_is_reported_once(self):
+        self._make([Listing([], 3)], [], is_watcher=False)
         await self._run(300)
         batch = SharedBatch("p", 3, 8, [SharedChange("a", 8, b"v")])
         self.feed.take_batch(batch)
         self.feed.take_batch(batch)
-        self.assertEqual(self.seen, [([("a", 8)], False)])
+        self.assertEqual(self.reported, [([("a", 8)], False)])
 
     @asynchronous
-    async def test_a_large_value_is_fetched_from_the_peer_that_tells_of_it(
+    async def test_a_large_value_is_fetched_from_the_sender_of_its_batch(
         self,
     ):
-        self._make([Listing([], 3)], [], watches=False)
+        self._make([Listing([], 3)], [], is_watcher=False)
         await self._run(300)
         self.links.values["big"] = SharedChange("big", 5, b"x" * 5_000)
         left_out = SharedChange("big", 5, bytes_left_out=5_000)
@@ -235,12 +239,12 @@
             self.feed.take_batch(SharedBatch("p", 3, 5, [left_out]))
             await self.clock.advance(10)
             tasks.cancel_scope.cancel()
-        self.assertEqual(self.seen, [([("big", 5)], False)])
+        self.assertEqual(self.reported, [([("big", 5)], False)])
         self.assertEqual(self.links.calls, [("p", "big")])
 
     @asynchronous
     async def test_a_key_that_changed_twice_is_fetched_once(self):
-        self._make([Listing([], 3)], [], watches=False)
+        self._make([Listing([], 3)], [], is_watcher=False)
         await self._run(300)
         self.links.values["big"] = SharedChange("big", 6, b"x" * 5_000)
         twice = [
@@ -253,13 +257,13 @@
             self.feed.take_batch(SharedBatch("p", 3, 6, twice))
             await self.clock.advance(10)
             tasks.cancel_scope.cancel()
-        self.assertEqual(self.seen, [([("big", 6)], False)])
+        self.assertEqual(self.reported, [([("big", 6)], False)])
         self.assertEqual(self.links.calls, [("p", "big")])
 
     @asynchronous
-    async def test_a_value_that_a_peer_does_not_hand_over_is_read_anew(self):
+    async def test_a_failed_fetch_of_a_value_leads_to_a_scan(self):
         listing = Listing([put("big", 5).entry], 6)
-        self._make([Listing([], 3), listing], [], watches=False)
+        self._make([Listing([], 3), listing], [], is_watcher=False)
         await self._run(300)
         left_out = SharedChange("big", 5, bytes_left_out=5_000)
         async with anyio.create_task_group() as tasks:
@@ -268,13 +272,13 @@
             await self.clock.advance(10)
             tasks.cancel_scope.cancel()
         await self._run(300)
-        self.assertEqual(self.seen, [([("big", 5)], False)])
+        self.assertEqual(self.reported, [([("big", 5)], False)])
 
 
 class SplitBatchTest(unittest.TestCase):
-    """Batches in parts that fit a datagram."""
+    """Splitting batches into parts that fit into a datagram."""
 
-    def test_each_part_fits_and_follows_the_one_before(self):
+    def test_parts_fit_a_datagram_and_are_consecutive(self):
         changes = [put(f"key-{i}", i, b"v" * 300) for i in range(5, 25)]
         changes.append(put("big", 30, b"v" * 50_000))
         parts = split_batch(ChangeBatch(4, 40, changes), changes)
@@ -283,7 +287,7 @@
         for before, after in itertools.pairwise(parts):
             self.assertEqual(before.revision, after.after)
         for part in parts:
-            shared = [_shared(change) for change in part.changes]
+            shared = [_to_shared(change) for change in part.changes]
             message = SharedBatch("10.0.0.1:1234", 1 << 40, 1 << 40, shared)
             self.assertLess(len(codec.encode(message)), MAX_MESSAGE_BYTES)
         self.assertEqual(sum(len(p.changes) for p in parts), 21)
--- a/tests/gateway/test_retrybudget.py
+++ b/tests/gateway/test_retrybudget.py
@@ -1,4 +1,4 @@
-"""The budget of further sends, shared by all gateways without agreement."""
+"""The retry budget, which gateways share without coordination."""
 
 import unittest
 
@@ -8,23 +8,23 @@
 
 
 class RetryBudgetTest(unittest.TestCase):
-    """Further sends within any window."""
+    """The number of retries within any window."""
 
     def test_all_gateways_together_stay_within_the_allowance(self):
         gateways = 4
         budgets = [RetryBudget(RATIO, WINDOW_MS, EXTRA) for _ in range(4)]
-        sends, requests = [], []
+        retries, requests = [], []
         for now in range(0, 40_000, 25):
             budget = budgets[now // 25 % gateways]
             budget.add_request("svc", now)
             requests.append(now)
             while budget.take("svc", gateways, now):
-                sends.append(now)
+                retries.append(now)
         for start in range(0, 30_000, 500):
             end = start + WINDOW_MS
-            used = sum(start <= t < end for t in sends)
-            asked = sum(start <= t < end for t in requests)
-            self.assertLessEqual(used, RATIO * asked + EXTRA)
+            retried = sum(start <= t < end for t in retries)
+            requested = sum(start <= t < end for t in requests)
+            self.assertLessEqual(retried, RATIO * requested + EXTRA)
 
     def test_a_service_does_not_use_the_budget_of_another(self):
         budget = RetryBudget(0.0, WINDOW_MS, 10)
@@ -32,7 +32,7 @@
             pass
         self.assertTrue(budget.take("b", 1, 0))
 
-    def test_what_is_older_than_the_window_is_free_again(self):
+    def test_retries_older_than_the_window_do_not_count(self):
         budget = RetryBudget(0.0, WINDOW_MS, 10)
         while budget.take("a", 1, 0):
             pass
--- a/tests/gateway/test_routes.py
+++ b/tests/gateway/test_routes.py
@@ -1,4 +1,4 @@
-"""Which route a request takes."""
+"""The choice of the route for a request."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 class RoutingTableTest(unittest.TestCase):
-    """The longest prefix of the host's routes."""
+    """Matching by host and longest prefix."""
 
     def setUp(self):
         self.table = table(
@@ -16,8 +16,8 @@
         )
 
     def _prefix(self, host, path):
-        found = self.table.find(host, path)
-        return found and found.prefix
+        matched = self.table.find(host, path)
+        return matched and matched.prefix
 
     def test_the_longest_prefix_is_taken(self):
         self.assertEqual(self._prefix("h.example", "/a/b/c"), "/a/b/")
--- a/tests/gateway/test_suspicion.py
+++ b/tests/gateway/test_suspicion.py
@@ -1,10 +1,10 @@
-"""Which endpoints are avoided: replays of the faults that it answers."""
+"""Which endpoints are avoided, for several kinds of faults."""
 
 import random
 import unittest
 
 from rhubarbwinch.gateway.suspicion import (
-    FIRST_PAUSE_MS,
+    INITIAL_PAUSE_MS,
     MAX_PAUSE_MS,
     Outcome,
     Suspicion,
@@ -14,10 +14,10 @@
 
 
 class SuspicionTest(unittest.TestCase):
-    """Outcomes in, avoided endpoints out."""
+    """Which endpoints are usable after a series of outcomes."""
 
     def _play(self, suspicion, calls, shares, seed=1):
-        """Spreads calls over the usable endpoints; returns those of each."""
+        """Spreads calls over the usable endpoints; returns counts by name."""
         rng = random.Random(seed)
         counts = dict.fromkeys(NAMES, 0)
         for i in range(calls):
@@ -36,11 +36,11 @@
             )
             self.assertLess(counts["e1"], 60)
 
-    def test_errors_that_all_endpoints_make_suspect_none(self):
+    def test_errors_of_all_endpoints_make_none_avoided(self):
         counts = self._play(Suspicion(), 600, dict.fromkeys(NAMES, 0.14))
         self.assertGreater(min(counts.values()), 100)
 
-    def test_never_are_most_of_a_service_avoided(self):
+    def test_less_than_half_of_a_service_is_avoided(self):
         suspicion = Suspicion()
         for name in NAMES:
             for _ in range(5):
@@ -50,8 +50,8 @@
     def test_after_its_pause_one_good_call_clears_an_endpoint(self):
         suspicion = Suspicion()
         suspicion.note("svc", "e1", Outcome.UNREACHABLE, 0)
-        self.assertTrue(suspicion.is_avoided("e1", FIRST_PAUSE_MS - 1))
-        later = FIRST_PAUSE_MS + 1
+        self.assertTrue(suspicion.is_avoided("e1", INITIAL_PAUSE_MS - 1))
+        later = INITIAL_PAUSE_MS + 1
         self.assertFalse(suspicion.is_avoided("e1", later))
         suspicion.note("svc", "e1", Outcome.GOOD, later)
         suspicion.note("svc", "e1", Outcome.BROKEN, later)
--- a/tests/http/test_transport.py
+++ b/tests/http/test_transport.py
@@ -1,4 +1,4 @@
-"""The transport against a server that plays scripted bytes."""
+"""The transport against a server that sends scripted bytes."""
 
 import asyncio
 import socket
@@ -9,7 +9,7 @@
 import httpx
 
 from rhubarbwinch.http.httpbody import make_body
-from rhubarbwinch.http.transport import MAX_WAITING_BYTES, Transport
+from rhubarbwinch.http.transport import MAX_BUFFERED_BYTES, Transport
 from tests.helpers import asynchronous, free_address
 
 CHUNKED = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
@@ -17,14 +17,14 @@
 SIZED = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
 
 
-class Script:
-    """A server that answers the n-th request by the n-th list of parts.
+class ScriptedServer:
+    """A server that responds to the n-th request with the n-th list of parts.
 
-    A part is bytes, or an event to wait for; None closes the connection.
+    A part is bytes to send or an event to wait for; None closes the connection.
     """
 
-    def __init__(self, *answers):
-        self.answers = list(answers)
+    def __init__(self, *responses):
+        self.responses = list(responses)
         self.connections = 0
         self.requests = []
         self.sent = 0
@@ -51,7 +51,7 @@
                 size = int(sizes[0].split(":")[1]) if sizes else 0
                 body = await reader.readexactly(size)
                 self.requests.append(f"{lines[0]} {body.decode()}".strip())
-                for part in self.answers.pop(0):
+                for part in self.responses.pop(0):
                     if part is None:
                         return
                     if isinstance(part, asyncio.Event):
@@ -65,31 +65,31 @@
             asyncio.CancelledError,
             ConnectionError,
         ):
-            # The client or the test is done.
+            # The client has disconnected or the test has ended.
             return
         finally:
             writer.close()
 
 
 class TransportTest(unittest.TestCase):
-    """What callers of httpx expect of a transport."""
+    """Requests, connection reuse, time-outs and malformed responses."""
 
     @asynchronous
-    async def test_whole_answers_share_a_connection(self):
-        async with Script(
+    async def test_complete_responses_share_a_connection(self):
+        async with ScriptedServer(
             [CHUNKED + TWO_CHUNKS], [SIZED], [CHUNKED, TWO_CHUNKS]
         ) as server:
             texts = []
             for i in range(3):
-                answer = await server.client.post(server.url, content=f"b{i}")
-                texts.append(answer.text)
+                response = await server.client.post(server.url, content=f"b{i}")
+                texts.append(response.text)
         self.assertEqual(texts, ["hello world", "ok", "hello world"])
         self.assertEqual(server.connections, 1)
         self.assertEqual(
             server.requests, [f"post / http/1.1 b{i}" for i in range(3)]
         )
 
-    def test_a_body_is_the_same_wherever_reads_cut_it(self):
+    def test_a_body_is_the_same_however_reads_split_it(self):
         head = h11.Response(
             status_code=200, headers=[("transfer-encoding", "chunked")]
         )
@@ -130,7 +130,7 @@
             [None],
         ]
         for steps in cases:
-            async with Script(steps, [SIZED]) as server:
+            async with ScriptedServer(steps, [SIZED]) as server:
                 with self.assertRaises(
                     httpx.TransportError, msg=steps
                 ) as caught:
@@ -143,7 +143,7 @@
 
     @asynchronous
     async def test_more_bytes_than_announced_end_the_connection(self):
-        async with Script([SIZED + b"extra"], [SIZED]) as server:
+        async with ScriptedServer([SIZED + b"extra"], [SIZED]) as server:
             for _ in range(2):
                 self.assertEqual(
                     (await server.client.get(server.url)).text, "ok"
@@ -151,17 +151,17 @@
         self.assertEqual(server.connections, 2)
 
     @asynchronous
-    async def test_the_end_of_the_connection_can_end_a_body(self):
+    async def test_the_close_of_the_connection_can_delimit_a_body(self):
         head = b"HTTP/1.1 200 OK\r\n\r\n"
-        async with Script([head + b"all", b" of it", None]) as server:
-            answer = await server.client.get(server.url)
-        self.assertEqual(answer.text, "all of it")
+        async with ScriptedServer([head + b"all", b" of it", None]) as server:
+            response = await server.client.get(server.url)
+        self.assertEqual(response.text, "all of it")
 
     @asynchronous
-    async def test_silence_before_or_within_an_answer_is_a_timeout(self):
+    async def test_silence_before_or_within_a_response_is_a_timeout(self):
         never = asyncio.Event()
         for steps in ([never], [CHUNKED + b"5\r\nhello\r\n", never]):
-            async with Script(steps) as server:
+            async with ScriptedServer(steps) as server:
                 with self.assertRaises(httpx.ReadTimeout):
                     await server.client.get(server.url, timeout=0.05)
                 never.set()
@@ -175,41 +175,41 @@
 
     @asynchronous
     async def test_a_cancelled_reader_closes_its_connection(self):
-        async with Script([CHUNKED + b"5\r\nhello\r\n", asyncio.Event()]) as (
-            server
-        ):
-            server.answers[0].insert(1, b"1\r\nx\r\n")
-            async with server.client.stream("GET", server.url) as answer:
-                async for _ in answer.aiter_raw():
+        async with ScriptedServer(
+            [CHUNKED + b"5\r\nhello\r\n", asyncio.Event()]
+        ) as server:
+            server.responses[0].insert(1, b"1\r\nx\r\n")
+            async with server.client.stream("GET", server.url) as response:
+                async for _ in response.aiter_raw():
                     break
-            # The connection is gone although the body had not ended.
+            # The connection was closed, since its body had not ended.
             self.assertEqual(server.client._transport._idle_count, 0)
 
     @asynchronous
-    async def test_a_slow_reader_holds_the_sender_back(self):
+    async def test_a_slow_reader_slows_the_sender(self):
         size = 64 << 10
         chunk = b"%x\r\n%b\r\n" % (size, b"z" * size)
         count = 1000
         steps = [CHUNKED, *[chunk] * count, b"0\r\n\r\n"]
-        async with Script(steps) as server:
-            async with server.client.stream("GET", server.url) as answer:
-                body = answer.stream.__aiter__()
+        async with ScriptedServer(steps) as server:
+            async with server.client.stream("GET", server.url) as response:
+                body = response.stream.__aiter__()
                 total = len(await anext(body))
                 before = -1
                 while server.sent != before:
                     before = server.sent
                     await asyncio.sleep(0.05)
                 self.assertLess(server.sent, count * size)
-                most = len(await anext(body))
-                total += most
+                largest = len(await anext(body))
+                total += largest
                 async for data in body:
                     total += len(data)
         self.assertEqual(total, count * size)
-        self.assertLess(most, MAX_WAITING_BYTES + 8 * size)
+        self.assertLess(largest, MAX_BUFFERED_BYTES + 8 * size)
 
 
-class StaleAnswerTest(unittest.TestCase):
-    """Answers that belong to other requests, and bodies cut by a reset."""
+class StaleResponseTest(unittest.TestCase):
+    """Responses to other requests, and bodies that are cut off by a reset."""
 
     def _request(self, server, name):
         def is_mine(head):
@@ -219,14 +219,16 @@
             "GET", server.url, extensions={"is_answer": is_mine}
         )
 
-    def _answer(self, name):
+    def _response(self, name):
         head = f"HTTP/1.1 200 OK\r\nx-id: {name}\r\ncontent-length: 2\r\n\r\n"
         return head.encode() + name.encode()
 
     @asynchronous
-    async def test_answers_to_earlier_requests_are_passed_over(self):
-        stale, mine = self._answer("aa"), self._answer("bb")
-        async with Script([stale, stale + mine], [mine]) as server:
+    async def test_responses_to_earlier_requests_are_skipped(self):
+        stale, expected = self._response("aa"), self._response("bb")
+        async with ScriptedServer(
+            [stale, stale + expected], [expected]
+        ) as server:
             for _ in range(2):
                 request = self._request(server, "bb")
                 found = await server.client.send(request)
@@ -234,27 +236,27 @@
         self.assertEqual(server.connections, 1)
 
     @asynchronous
-    async def test_only_answers_to_others_fail_the_request(self):
-        async with Script([self._answer("aa"), None]) as server:
+    async def test_a_request_that_gets_only_stale_responses_fails(self):
+        async with ScriptedServer([self._response("aa"), None]) as server:
             with self.assertRaises(httpx.TransportError):
                 await server.client.send(self._request(server, "bb"))
 
     @asynchronous
-    async def test_a_body_without_a_length_that_is_reset_is_not_whole(self):
+    async def test_a_body_without_a_length_is_incomplete_after_a_reset(self):
         head = b"HTTP/1.1 200 OK\r\n\r\npart"
 
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
             writer.write(head)
             await writer.drain()
-            await go_on.wait()
-            link = writer.get_extra_info("socket")
-            # With no time to linger a close is a reset.
+            await may_reset.wait()
+            sock = writer.get_extra_info("socket")
+            # With a linger time of 0, closing resets the connection.
             option = struct.pack("ii", 1, 0)
-            link.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, option)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, option)
             writer.transport.abort()
 
-        go_on = asyncio.Event()
+        may_reset = asyncio.Event()
         address = free_address()
         host, port = address.split(":")
         server = await asyncio.start_server(serve, host, int(port))
@@ -262,19 +264,19 @@
         async with client.stream("GET", f"http://{address}/") as found:
             parts = found.aiter_raw()
             self.assertEqual(await anext(parts), b"part")
-            go_on.set()
+            may_reset.set()
             with self.assertRaises(httpx.TransportError):
                 await anext(parts)
         await client.aclose()
         server.close()
 
     @asynchronous
-    async def test_a_request_may_ask_for_a_fresh_connection(self):
-        async with Script([SIZED], [SIZED], [SIZED]) as server:
+    async def test_a_request_may_demand_a_new_connection(self):
+        async with ScriptedServer([SIZED], [SIZED], [SIZED]) as server:
             await server.client.get(server.url)
             await server.client.get(server.url)
-            fresh = server.client.build_request(
+            fresh_request = server.client.build_request(
                 "GET", server.url, extensions={"max_idle_s": 0}
             )
-            await server.client.send(fresh)
+            await server.client.send(fresh_request)
         self.assertEqual(server.connections, 2)
