--- a/rhubarbwinch/gateway/answers.py
+++ b/rhubarbwinch/gateway/answers.py
@@ -1,4 +1,4 @@
-"""Answers of the gateway's own: refusals and failures with their verdicts."""
+"""Responses of the gateway itself: refusals and failures."""
 
 from rhubarbwinch.gateway import statistics
 from rhubarbwinch.gateway.edge import EdgeResponder
@@ -6,7 +6,7 @@
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.verdict import Failure, Reason, Verdict
 
-# Statuses by reason, where they differ from those of the verdict.
+# Statuses by reason, where they differ from the status of the verdict.
 _STATUS = {
     Reason.BAD_REQUEST: 400,
     Reason.UNAUTHENTICATED: 401,
@@ -20,8 +20,8 @@
 def status_of(failure: Failure) -> int:
     """Returns the HTTP status of a failure.
 
-    503 says that the request has not run and will not; so it is used only
-    where the verdict says so.
+    To callers 503 means that the request has not run and will not run, so it
+    is used only with that verdict.
     """
     if failure.verdict is Verdict.NOT_RUN:
         return _STATUS.get(failure.reason, _STATUS_NOT_RUN)
@@ -36,7 +36,7 @@
     request_id: str,
     failure: Failure,
 ) -> None:
-    """Answers by a failure and logs it."""
+    """Logs a failure and sends it as the response."""
     status = status_of(failure)
     events.REQUEST_FAILED.log(
         request=request_id,
--- a/rhubarbwinch/gateway/carrying.py
+++ b/rhubarbwinch/gateway/carrying.py
@@ -1,4 +1,4 @@
-"""Keeps copies of generations whose engines leave."""
+"""Migrates the KV caches of runs whose engines are leaving."""
 
 import anyio
 
@@ -10,27 +10,27 @@
 from rhubarbwinch.gateway.runs import NewHome, Run
 from rhubarbwinch.gateway.wire import MemoryCopy, MoveState
 
-# A run that waits or whose prompt is being read can't be copied yet.
+# Retry interval: a run that is queued or in its prefill can't be copied yet.
 RETRY_MS = 40
-# How often it is checked whether the engine with the copy leaves too.
+# Interval of the check whether the target engine is leaving as well.
 CHECK_MS = 40
-# An engine that is gone refuses the call in a round trip. One that lives stops
-# the run before it answers, so no more than that is waited for.
+# Timeout of the call that stops a run. A dead engine refuses the connection
+# within one round trip; a live engine stops the run before it responds.
 STOP_MS = 40
 
 
 class Carrier:
-    """Copies the memory of runs to other engines.
+    """Copies the KV caches of runs to other engines.
 
     Args:
-        context: What all requests share.
+        context: The objects shared by all requests.
     """
 
     def __init__(self, context: Context) -> None:
         self._context = context
 
     def note_leaving(self, run: Run, endpoint: Endpoint) -> None:
-        """Sees to a run when any engine leaves."""
+        """Releases a leaving standby; migrates a run whose engine leaves."""
         if run.room is None:
             return
         if run.backup and run.backup.endpoint.id == endpoint.id:
@@ -39,7 +39,7 @@
         self.copy_if_leaving(run)
 
     def copy_if_leaving(self, run: Run) -> None:
-        """Has a run copied if its engine leaves and nobody follows it."""
+        """Starts a migration if the engine leaves and there is no standby."""
         assert run.room is not None
         known = self._context.fleet.get(run.room.endpoint.id)
         if known is None or not known.is_leaving or run.copying is not None:
@@ -48,24 +48,24 @@
         if spec is None or not spec.can_move:
             return
         if run.job.route.is_resumable or self.has_backup(run):
-            # It may begin anew elsewhere, or there is a copy already.
+            # The run can be restarted elsewhere, or a standby has its KV cache.
             return
         run.copying = anyio.CancelScope()
         run.has_copy = anyio.Event()
         run.tasks.start_soon(self._keep_copy, run, run.copying)
 
     def has_backup(self, run: Run) -> bool:
-        """Tells whether an engine that stays follows a run."""
+        """Returns whether a run has a standby engine that is not leaving."""
         if run.backup is None:
             return False
         known = self._context.fleet.get(run.backup.endpoint.id)
         return known is not None and known.takes_work
 
     async def _keep_copy(self, run: Run, scope: anyio.CancelScope) -> None:
-        """Keeps a copy of a run at another engine until cancelled.
+        """Maintains a copy of a run at another engine until cancelled.
 
-        Sets `run.home` while there is a copy, and `run.has_copy` with the
-        first one; without any to be had it returns.
+        Sets `run.home` while a copy exists, and `run.has_copy` when the first
+        copy is complete. Returns if no copy can be made.
         """
         assert run.room is not None
         try:
@@ -94,7 +94,7 @@
     def _reserve(
         self, run: Run, source: Endpoint, refused: set[str]
     ) -> Room | None:
-        """Returns room at the engine that takes the run over, or None."""
+        """Reserves capacity at a migration target; None without a target."""
         context = self._context
         tokens = run.expected_tokens
         chosen = moving.choose_home(
@@ -117,10 +117,10 @@
     async def _copy_to(
         self, run: Run, source: Endpoint, room: Room
     ) -> MoveState:
-        """Keeps a copy at one engine until that engine leaves.
+        """Maintains a copy at one engine until that engine leaves.
 
         Returns:
-            Why there is no copy, or none any more.
+            Why no copy could be made, or why the copy is no longer usable.
         """
         copies = self._context.copies
         made = self._new_copy(run, source, room)
@@ -136,19 +136,19 @@
                     wait_ms = moving.refresh_after_ms(behind)
                 elif run.home is None:
                     return result.state
-                # A copy that could not be made again is still good: the engine
-                # that left it may just be ending.
+                # After a failed refresh the previous copy is still usable: the
+                # source engine may be shutting down right now.
                 if await self._leaves(room.endpoint, wait_ms):
                     return MoveState.NO_ROOM
         finally:
             if run.home is not None and run.home.room is room:
                 run.home = None
-            # The run that goes on from the copy holds the room by then.
+            # A run that resumed from the copy owns the reservation by now.
             if run.room is not room:
                 copies.drop(made)
 
     async def _leaves(self, endpoint: Endpoint, limit_ms: int) -> bool:
-        """Waits until an endpoint leaves; False if it does not in time."""
+        """Waits until an endpoint leaves; returns False after `limit_ms`."""
         clock = self._context.clock
         end = clock.now() + limit_ms
         while clock.now() < end:
@@ -161,16 +161,18 @@
     async def stop(
         self, run: Run, source: Endpoint, to: Endpoint, is_copy_used: bool
     ) -> None:
-        """Stops a run whose stream broke, so that it can go on elsewhere.
+        """Stops a run whose stream broke, so that it can resume elsewhere.
 
-        Its engine may live and still be at work on it; of a run that is not
-        repeatable only one engine may make events.
+        The engine may be alive and still execute the run. Only one engine at a
+        time may generate events of a run that is not repeatable.
 
         Args:
             run: The run.
-            source: Its engine.
-            to: Where engines copy the memory of a run that is stopped.
-            is_copy_used: Whether the run goes on from a copy by this call.
+            source: The engine that executed the run.
+            to: The engine to which `source` copies the KV cache of the stopped
+                run.
+            is_copy_used: Whether the run resumes from a migrated copy. If not,
+                the copy made by this call is freed.
         """
         copy = RunCopy(run.id, source, to, None, 0)
         with anyio.move_on_after(STOP_MS / 1000):
--- a/rhubarbwinch/gateway/context.py
+++ b/rhubarbwinch/gateway/context.py
@@ -1,4 +1,4 @@
-"""The parts that serving a request needs, gathered in one object."""
+"""The objects shared by all requests, and the state of one request."""
 
 import random
 
@@ -30,25 +30,25 @@
 
 @attrs.define
 class Context:
-    """What is shared by all requests of a gateway.
+    """The objects shared by all requests of a gateway.
 
     Attributes:
-        data_center: Where the gateway is.
-        platform: Translates names and formats.
+        data_center: The data centre of the gateway.
+        platform: Translates the platform's names and formats.
         clock: The source of time.
         rng: Breaks ties.
-        fleet: The endpoints.
-        loads: What runs where.
-        suspicion: Which endpoints are avoided.
-        reports: Failures of endpoints that all gateways have met.
-        budget: Bounds further sends.
+        fleet: The known endpoints.
+        loads: The load of each endpoint.
+        suspicion: Decides which endpoints are avoided.
+        reports: Counts the endpoint failures seen by all gateways.
+        budget: The retry budget, which limits further attempts.
         peers: The other gateways.
-        upstream: Sends to endpoints.
-        copies: Copies of generations at other engines.
-        crashes: Requests under which endpoints crash.
-        tracer: Makes spans of requests; None for none.
-        table: The configuration in force; None before the first.
-        is_draining: Whether the gateway was told to stop.
+        upstream: Sends requests to endpoints.
+        copies: Manages the migrated copies of KV caches.
+        crashes: The requests during which endpoints crashed.
+        tracer: Creates spans of requests; None if tracing is off.
+        table: The active configuration; None before the first one.
+        is_draining: Whether the gateway is shutting down.
     """
 
     data_center: str
@@ -69,16 +69,16 @@
     is_draining: bool = False
 
     def engine_spec(self, service: str) -> EngineSpec | None:
-        """Returns what the engines of a service can do; None if it has none."""
+        """Returns the capabilities of a service's engines, or None."""
         spec = self.table.services.get(service) if self.table else None
         return spec.engine if spec is not None else None
 
     def candidates(self, service: str, skip: set[str]) -> list[Candidate]:
-        """Returns the endpoints that a request may go to now.
+        """Returns the endpoints to which a request may be sent now.
 
         Args:
             service: The service that the request needs.
-            skip: Ids of endpoints that have failed it.
+            skip: Ids of endpoints that are left out.
         """
         now = self.clock.now()
         known = [
@@ -105,7 +105,7 @@
     def note(
         self, job: "Job", service: str, endpoint_id: str, outcome: Outcome
     ) -> None:
-        """Notes how a send ended."""
+        """Records how an attempt ended."""
         now = self.clock.now()
         statistics.SENDS.labels(outcome.name.lower()).inc()
         if self.suspicion.note(service, endpoint_id, outcome, now):
@@ -121,14 +121,15 @@
             self.take_failure(self.peers.report_failure(endpoint_id))
 
     def _is_reported(self, service: str, outcome: Outcome) -> bool:
-        """Tells whether other gateways hear of an outcome."""
+        """Returns whether an outcome is reported to the other gateways."""
         if outcome is Outcome.ERROR:
-            # Plain services answer some requests by errors of their own.
+            # Plain services may respond to some requests with errors of their
+            # own, which are no sign of a fault.
             return self.engine_spec(service) is not None
         return outcome in (Outcome.BROKEN, Outcome.UNREACHABLE)
 
     def take_failure(self, notice: FailureNotice) -> None:
-        """Takes a failure that this gateway or another has met."""
+        """Handles a failure that this gateway or a peer has observed."""
         known = self.fleet.get(notice.endpoint)
         if known is None or known.is_leaving:
             return
@@ -155,7 +156,7 @@
         )
 
     def note_break(self, job: "Job", endpoint_id: str, address: str) -> None:
-        """Has it found out whether an endpoint crashed under a request."""
+        """Starts the check whether an endpoint crashed during a request."""
         known = self.fleet.get(endpoint_id)
         if known is None or known.is_leaving:
             return
@@ -164,27 +165,27 @@
         )
 
     def may_send_again(self, service: str) -> bool:
-        """Takes a further send out of the budget."""
+        """Takes one attempt from the retry budget; False if it is used up."""
         return self.budget.take(service, self.peers.count + 1, self.clock.now())
 
 
 @attrs.define
 class Job:
-    """One request while it is served.
+    """One request while it is being served.
 
     Attributes:
         call: The head of the request.
-        body: The body.
-        route: The route that it takes.
-        account: The caller's account, or None.
-        priority: The rank of the request, 0 first.
-        service: The service that it goes to.
-        received_ms: When its first byte was read.
-        deadline_ms: When its answer is due at the latest.
-        objective_ms: When its answer is on time.
-        fingerprint: What it is recognised by when it comes again.
-        sends: Sends to endpoints.
-        tried: Ids of endpoints that have failed it.
+        body: The body of the request.
+        route: The route of the request.
+        account: The caller's client account, or None.
+        priority: The rank of the request; 0 is the most urgent.
+        service: The service that serves the request.
+        received_ms: When the first byte of the request was read.
+        deadline_ms: The deadline of the response.
+        objective_ms: Until when the response meets the latency target.
+        fingerprint: Identifies equal requests, such as retries.
+        sends: Number of attempts at endpoints.
+        tried: Ids of endpoints that were tried and are left out from now on.
     """
 
     call: CallHead
--- a/rhubarbwinch/gateway/continuing.py
+++ b/rhubarbwinch/gateway/continuing.py
@@ -1,4 +1,4 @@
-"""Starts a generation whose stream ended too early where it can go on."""
+"""Fails runs over to another engine after their stream ended too early."""
 
 import anyio
 
@@ -15,21 +15,22 @@
 from rhubarbwinch.gateway.wire import MemoryCopy
 from rhubarbwinch.shared import events
 
-# A copy that is on its way when the stream breaks pays for this wait.
+# How long a failover waits for a copy that is in flight when the stream breaks.
+# Resuming from the copy is worth this pause.
 COPY_WAIT_MS = 600
-# Whose copy a run goes on from: of a move, or of an engine that followed it.
+# What a run resumes from: a migrated copy, or the KV cache of a hot standby.
 MOVE = "move"
 BACKUP = "backup"
 
 
 class Continuation:
-    """Lets generations go on at other engines.
+    """Resumes runs at other engines.
 
     Args:
-        context: What all requests share.
-        rooms: Holds room at engines.
-        carrier: Has copies of runs made.
-        sends: Sends to engines.
+        context: The objects shared by all requests.
+        rooms: Reserves capacity at engines.
+        carrier: Migrates the KV caches of runs.
+        sends: Sends generations to engines.
     """
 
     def __init__(
@@ -45,7 +46,11 @@
         self._sends = sends
 
     async def go_on(self, run: Run, source: Endpoint) -> Answer | None:
-        """Starts a generation where its memory lies, or anew if it may."""
+        """Resumes a run from its KV cache, or restarts it if that is allowed.
+
+        Returns:
+            The response of the next engine, or None if the run cannot resume.
+        """
         self._context.note(
             run.job, run.job.service, source.id, self._blame(source)
         )
@@ -61,14 +66,14 @@
         return None
 
     def _blame(self, source: Endpoint) -> Outcome:
-        """Returns what a broken stream says of its engine."""
+        """Returns the outcome to record for the engine of a broken stream."""
         known = self._context.fleet.get(source.id)
         if known is None or known.is_leaving:
             return Outcome.GOOD
         return Outcome.BROKEN
 
     def _backup_home(self, run: Run) -> NewHome:
-        """Returns the engine that has followed a run as its new home."""
+        """Returns the standby of a run as the target to resume at."""
         assert run.backup is not None
         assert run.room is not None
         backup = run.backup
@@ -79,8 +84,8 @@
     async def _go_home(
         self, run: Run, home: NewHome, how: str
     ) -> Answer | None:
-        """Goes on at the engine that has the copy."""
-        # From here on the copy is the run's own, and nobody frees it.
+        """Resumes a run at the engine that has its KV cache."""
+        # From here on the run owns the copy, so the copy is not freed.
         self._settle(run, home.room)
         await self._carrier.stop(
             run, home.source, home.room.endpoint, is_copy_used=how == MOVE
@@ -91,7 +96,7 @@
         return answer
 
     async def _begin_anew(self, run: Run, source: Endpoint) -> Answer | None:
-        """Starts a resumable generation after the last event elsewhere."""
+        """Restarts a resumable run after its last event at another engine."""
         job = run.job
         if job.sends >= job.route.max_attempts:
             return None
@@ -108,7 +113,7 @@
         return result if isinstance(result, Answer) else None
 
     def _settle(self, run: Run, room: Room) -> None:
-        """Gives the old room back, and protects the run at its new engine."""
+        """Replaces the reservation of a run and reserves a new standby."""
         run.release()
         run.room = room
         if run.copying is not None:
@@ -120,7 +125,7 @@
     async def _resume(
         self, run: Run, endpoint: Endpoint, copy: MemoryCopy, how: str
     ) -> Answer | None:
-        """Sends a generation to where its memory lies."""
+        """Sends a generation to the engine that has its KV cache."""
         if not self._sends.may_send_again(run):
             return None
         result = await self._sends.open(run, endpoint, copy)
--- a/rhubarbwinch/gateway/copies.py
+++ b/rhubarbwinch/gateway/copies.py
@@ -1,10 +1,10 @@
-"""Copies of generations' memory at other engines, freed when nobody needs them.
+"""Migrated copies of KV caches at other engines: made, refreshed and freed.
 
-It answers engines that leave in turn: most copied runs end before their engine
-does, and a copy that is neither used nor freed occupies memory and a slot for
-seconds, so that engines look free and are full. A call that makes a copy goes
-on when its run ends, since the copy can be freed only by the name that the
-answer tells.
+During rolling restarts engines leave one after another, and most copied runs
+finish before their engine ends. A copy that is neither used nor freed occupies
+KV cache and a slot of the target for seconds, so engines with free capacity in
+the local count are in fact full. A call that makes a copy is not cancelled when
+its run ends, because the copy can be freed only by the handle in the response.
 """
 
 import anyio
@@ -23,22 +23,24 @@
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.clock import Clock
 
-# Engines keep an unused copy for longer than they say, in parts of that time.
+# Engines keep an unused copy for longer than the configured expiry time. This
+# factor of the expiry time is the upper bound.
 EXPIRY_FACTOR = 1.5
 
 
 @attrs.define(eq=False)
 class RunCopy:
-    """A run's memory at another engine.
+    """A copy of a run's KV cache at another engine.
 
     Attributes:
-        request_id: The caller's id of the run.
-        source: The engine that runs it.
-        target: The engine that has the copy.
-        room: The room that is counted for it; None for none.
+        request_id: The caller's id of the request attempt.
+        source: The engine that executes the run.
+        target: The engine that stores the copy.
+        room: The reservation for the copy at the target, or None.
         expiry_ms: How long engines keep a copy that is not used.
-        handle: Its name at the source; empty before the first answer.
-        may_exist: Whether a call has made it, or may have.
+        handle: The name of the copy at the source; empty before the first
+            response.
+        may_exist: Whether a call has made the copy, or may have made it.
     """
 
     request_id: str
@@ -52,27 +54,27 @@
     _is_idle: anyio.Event = attrs.field(factory=anyio.Event)
 
     def begin_call(self) -> None:
-        """Notes that a call about it is under way."""
+        """Records that a call about the copy is in flight."""
         self._calls += 1
 
     def end_call(self) -> None:
-        """Notes that the call has ended."""
+        """Records that a call about the copy has ended."""
         self._calls -= 1
         if not self._calls:
             self._is_idle.set()
             self._is_idle = anyio.Event()
 
     async def wait_idle(self) -> None:
-        """Waits until no call about it is under way."""
+        """Waits until no call about the copy is in flight."""
         if self._calls:
             await self._is_idle.wait()
 
 
 class CopyKeeper:
-    """Has copies made, and frees them.
+    """Makes, refreshes and frees copies of KV caches at engines.
 
     Args:
-        calls: Calls engines.
+        calls: The calls to engines.
         clock: The source of time.
     """
 
@@ -82,7 +84,7 @@
         self._tasks: anyio.abc.TaskGroup | None = None
 
     async def run(self) -> None:
-        """Carries calls on whose runs have ended, until cancelled."""
+        """Runs the calls to engines, which may outlive their runs."""
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             await anyio.sleep_forever()
@@ -90,15 +92,17 @@
     async def renew(
         self, copy: RunCopy, is_last: bool, relayed: int
     ) -> MoveResult:
-        """Makes a copy, or brings it up to date.
+        """Makes a copy, or updates an existing one.
+
+        The call to the engine continues if this method is cancelled.
 
         Args:
             copy: The copy.
-            is_last: Whether the run is stopped first.
-            relayed: Events that the caller has, for the log.
+            is_last: Whether the engine stops the run before it copies.
+            relayed: Number of events sent to the caller, for the log.
 
         Returns:
-            The engine's answer. The call goes on if the caller is cancelled.
+            The engine's reply.
         """
         assert self._tasks is not None
         found: list[MoveResult] = []
@@ -108,7 +112,7 @@
         return found[0] if found else MoveResult(MoveState.FAILED)
 
     def drop(self, copy: RunCopy) -> None:
-        """Frees a copy that nobody needs; its room is counted until then."""
+        """Frees a copy and then releases its reservation, in the background."""
         assert self._tasks is not None
         self._tasks.start_soon(self._free, copy)
 
@@ -161,12 +165,13 @@
         if copy.room is None:
             return
         if not is_free:
-            # Where a call was cut, the part that arrived stays for a while.
+            # After a broken call the target keeps the received part of the copy
+            # until the expiry time.
             await self._clock.sleep(int(EXPIRY_FACTOR * copy.expiry_ms))
         copy.room.release()
 
     async def _free_anywhere(self, copy: RunCopy) -> bool:
-        """Frees a copy at its source, or where it is if that is gone."""
+        """Frees a copy at its source, or at its target if that fails."""
         at_source = await self._calls.free_copy(
             copy.source.address, copy.handle
         )
--- a/rhubarbwinch/gateway/edge.py
+++ b/rhubarbwinch/gateway/edge.py
@@ -1,7 +1,7 @@
-"""Connections of callers: HTTP/1.1 in, answers and streams out.
+"""The HTTP/1.1 server for callers.
 
-One task serves one connection. The caller's close is seen while its request is
-served, so that its work ends at once.
+Each connection is served by one task. A close by the caller is detected while
+its request is being served, and cancels the work at once.
 """
 
 import asyncio
@@ -21,9 +21,9 @@
 from rhubarbwinch.shared.clock import Clock
 
 BACKLOG = 1024
-# Reading stops while so much of further requests waits.
+# Reading from the socket pauses while more than this is buffered.
 MAX_AHEAD_BYTES = 64 << 10
-# A caller's VM that acknowledges nothing for so long is taken as gone.
+# A caller's VM that acknowledges no data for this time is taken as dead.
 DEAD_CALLER_MS = 8_000
 _STATUS_TOO_LARGE = 413
 _STATUS_TIMEOUT = 408
@@ -34,11 +34,11 @@
     """A whole request.
 
     Attributes:
-        method: Such as `POST`.
-        target: The path and the query, as they came.
-        headers: As they came, in order.
+        method: The HTTP method, such as `POST`.
+        target: The path and the query as received.
+        headers: The headers as received, in order.
         body: The whole body.
-        received_ms: When its first byte was read.
+        received_ms: When the first byte of the request was read.
     """
 
     method: str
@@ -53,13 +53,13 @@
 
 @attrs.define
 class EdgeStatus:
-    """What the connections of an edge share.
+    """The state that all connections of a server share.
 
     Attributes:
-        limits: Bounds on what callers send.
-        is_closing: Whether connections end after their answer.
-        open_requests: Requests that are being served.
-        connections: Connections that are open.
+        limits: Limits on requests and idle connections.
+        is_closing: Whether connections are closed after the current response.
+        open_requests: Number of requests that are being served.
+        connections: Number of open connections.
     """
 
     limits: HttpLimits = attrs.field(factory=HttpLimits)
@@ -69,7 +69,7 @@
 
 
 class _RefusedError(Exception):
-    """A request can't be read; the connection ends after the answer."""
+    """A request is refused; the connection is closed after the response."""
 
     def __init__(self, status: int, detail: str) -> None:
         super().__init__(detail)
@@ -77,7 +77,7 @@
 
 
 class EdgeResponder:
-    """Sends the answer to one request.
+    """Sends the response to one request.
 
     Args:
         connection: The caller's connection.
@@ -89,7 +89,7 @@
         self.is_complete = False
 
     async def send(self, status: int, headers: Headers, body: bytes) -> None:
-        """Sends a whole answer."""
+        """Sends a whole response."""
         self.is_started = True
         length = (b"Content-Length", str(len(body)).encode())
         data = self._connection.encode_head(status, [*headers, length])
@@ -100,7 +100,7 @@
         self.is_complete = True
 
     async def start_stream(self, status: int, headers: Headers) -> None:
-        """Sends the head of an answer without a known length."""
+        """Sends the head of a response of unknown length."""
         self.is_started = True
         chunked = (b"Transfer-Encoding", b"chunked")
         await self._connection.write(
@@ -108,7 +108,7 @@
         )
 
     async def write(self, data: bytes) -> None:
-        """Sends a part of a stream."""
+        """Sends a chunk of a stream."""
         await self._connection.write(self._connection.encode(h11.Data(data)))
 
     async def end_stream(self) -> None:
@@ -123,7 +123,7 @@
     """One connection of a caller.
 
     Args:
-        server: The edge to which it belongs.
+        server: The server that accepted the connection.
     """
 
     def __init__(self, server: "EdgeServer") -> None:
@@ -154,16 +154,16 @@
         self._server.start(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Ends what is being done for the caller."""
+        """Cancels the work for the caller."""
         self._note_gone()
 
     def eof_received(self) -> bool:
-        """Takes the caller's half close as its leaving."""
+        """Handles a half close by the caller as a disconnect."""
         self._note_gone()
         return False
 
     def data_received(self, data: bytes) -> None:
-        """Keeps bytes until the task reads them."""
+        """Buffers bytes until the task reads them."""
         self._ahead += data
         if self._wakeup is not None:
             self._wakeup.set()
@@ -172,11 +172,11 @@
             self._transport.pause_reading()
 
     def pause_writing(self) -> None:
-        """Makes writers wait for a slow caller."""
+        """Blocks writers while the caller reads too slowly."""
         self._can_write = anyio.Event()
 
     def resume_writing(self) -> None:
-        """Lets writers go on."""
+        """Unblocks writers."""
         if self._can_write is not None:
             self._can_write.set()
         self._can_write = None
@@ -217,7 +217,7 @@
             self._transport.close()
 
     async def _answer(self, handler: EdgeHandler, request: EdgeRequest) -> bool:
-        """Runs the handler; returns whether the answer is complete."""
+        """Runs the handler; returns whether the response is complete."""
         responder = EdgeResponder(self)
         with anyio.CancelScope() as self._scope:
             if not self.is_open:
@@ -225,12 +225,12 @@
             await handler(request, responder)
         self._scope = None
         if not responder.is_complete:
-            # An answer that ends early must not look complete.
+            # An incomplete response must not look complete to the caller.
             self._transport.abort()
         return responder.is_complete
 
     def _next_cycle(self) -> bool:
-        """Prepares for the next request; False if there can't be one."""
+        """Prepares for the next request; False if none is possible."""
         if self._http.our_state is not h11.DONE:
             return False
         if self._http.their_state is not h11.DONE:
@@ -241,7 +241,7 @@
         return True
 
     async def _refuse(self, refused: _RefusedError) -> None:
-        """Answers a request that can't be read, as far as that is possible."""
+        """Sends an error response if the state of the parser allows it."""
         events.REQUEST_UNREADABLE.log(
             status=refused.status, detail=str(refused)
         )
@@ -268,7 +268,7 @@
         """Returns the next request, or None at the end of the connection.
 
         Raises:
-            _RefusedError: It is malformed, too large or too slow.
+            _RefusedError: The request is malformed, too large or too slow.
         """
         if not await self._wait_first_byte():
             return None
@@ -308,10 +308,11 @@
         raise _RefusedError(_STATUS_TIMEOUT, "the request came too slowly")
 
     def _check_head(self, head: h11.Request, limits: HttpLimits) -> None:
-        """Refuses a head whose body could be read in two ways.
+        """Refuses a head that allows request smuggling, or a body too long.
 
         Raises:
-            _RefusedError: The head is ambiguous, or announces too much.
+            _RefusedError: The head has both a length and a transfer encoding,
+                or announces a body over the limit.
         """
         self.method = head.method.decode("latin-1")
         names = [name for name, _ in head.headers]
@@ -325,7 +326,7 @@
         """Returns the parser's next event.
 
         Raises:
-            _RefusedError: The bytes are not a request.
+            _RefusedError: The bytes are not a valid request.
         """
         try:
             if self._ahead:
@@ -338,7 +339,7 @@
             raise _RefusedError(error.error_status_hint, str(error)) from error
 
     async def _wait_first_byte(self) -> bool:
-        """Waits for a request; False when the connection has ended."""
+        """Waits for a request; False if it was closed or idle too long."""
         limits = self._server.status.limits
         with anyio.move_on_after(limits.idle_ms / 1000):
             while self.is_open and not self._ahead:
@@ -346,7 +347,7 @@
         return bool(self._ahead)
 
     async def _fill(self) -> bool:
-        """Waits for bytes; False when the connection has ended."""
+        """Waits for bytes; False when the connection is closed."""
         while self.is_open and not self._ahead:
             await self._wait()
         return bool(self._ahead)
@@ -368,17 +369,17 @@
         await self.write(self.encode(answer))
 
     def encode_head(self, status: int, headers: Headers) -> bytes:
-        """Returns the bytes of an answer's head."""
+        """Returns the encoded head of a response."""
         if self._server.status.is_closing:
             headers = [*headers, (b"Connection", b"close")]
         return self.encode(h11.Response(status_code=status, headers=headers))
 
     def encode(self, event: Any) -> bytes:
-        """Returns the bytes of a part of an answer."""
+        """Returns the encoded bytes of an event of the HTTP parser."""
         return self._http.send(event) or b""
 
     async def write(self, data: bytes) -> None:
-        """Sends bytes; waits while the caller reads too slowly."""
+        """Sends bytes; blocks while the caller reads too slowly."""
         if not self.is_open:
             return
         self._transport.write(data)
@@ -391,7 +392,7 @@
 
     Args:
         address: `a.b.c.d:port`.
-        handler: Answers requests.
+        handler: Handles the requests.
         clock: The source of time.
     """
 
@@ -427,6 +428,6 @@
         try:
             await connection.serve(self._handler, self._clock)
         except Exception as error:
-            # One connection must not end the others.
+            # A fault in one connection must not stop the server.
             events.CONNECTION_FAILED.log(error=repr(error))
             connection.abort()
--- a/rhubarbwinch/gateway/enginesends.py
+++ b/rhubarbwinch/gateway/enginesends.py
@@ -1,4 +1,4 @@
-"""Sends generations to engines, and sorts what their heads say."""
+"""Sends generations to engines and classifies their response heads."""
 
 import anyio
 
@@ -26,7 +26,7 @@
     """Sends generations to engines.
 
     Args:
-        context: What all requests share.
+        context: The objects shared by all requests.
     """
 
     def __init__(self, context: Context) -> None:
@@ -35,9 +35,11 @@
     async def open(
         self, run: Run, endpoint: Endpoint, copy: MemoryCopy | None
     ) -> Answer | Failure | None:
-        """Sends a generation; returns the answer whose events are to come.
+        """Sends a generation to an engine.
 
-        None means that the engine's answer was final and was passed on.
+        Returns:
+            The response whose events are still to be read, or a failure. None
+            if the engine's response was final and was relayed to the caller.
         """
         context, job = self._context, run.job
         now = context.clock.now()
@@ -78,7 +80,7 @@
         )
 
     def may_send_again(self, run: Run) -> bool:
-        """Takes a further send out of the budget of the service."""
+        """Returns whether the retry budget of the service allows an attempt."""
         allowed = self._context.may_send_again(run.job.service)
         if not allowed:
             events.RETRY_REFUSED.log(request=run.id, service=run.job.service)
@@ -87,10 +89,11 @@
     async def _judge(
         self, run: Run, endpoint: Endpoint, answer: Answer, started: int
     ) -> Answer | Failure | None:
-        """Sorts an answer by its head.
+        """Classifies a response by its head.
 
         Raises:
-            EndpointError: It is not an answer of the engine.
+            EndpointError: The response does not come from the engine itself, or
+                has a status that callers would take as "not run".
         """
         context, job, head = self._context, run.job, answer.head
         self._log_send(run, endpoint, started, str(head.status))
--- a/rhubarbwinch/gateway/plaincalls.py
+++ b/rhubarbwinch/gateway/plaincalls.py
@@ -1,4 +1,4 @@
-"""Plain calls: one whole answer, tried again where that is safe."""
+"""Serves plain calls with one whole response, retried where it is safe."""
 
 import anyio
 import attrs
@@ -13,31 +13,31 @@
 from rhubarbwinch.shared.exceptions import EndpointError
 from rhubarbwinch.shared.verdict import Failure, Reason, Verdict, not_run
 
-# An endpoint that stops at the deadline answers so a moment later.
+# An endpoint that stops at the deadline responds shortly after the deadline.
 ANSWER_GRACE_MS = 60
-# A first try of a call that may run again gets this part of the time, so that
-# one that hangs leaves enough for a second.
+# The first attempt of a repeatable call gets this share of the time, so that
+# after a hanging attempt enough time is left for a second one.
 FIRST_TRY_SHARE = 0.5
-# Sends of one call, refused ones included.
+# Attempts per call, including refused ones.
 MAX_SENDS = 3
-# Less is not enough for an answer.
+# With less time left, no response can arrive before the deadline.
 MIN_SEND_MS = 10
 RETRY_AFTER_MS = 200
 _SERVER_ERROR = 500
-# Statuses by which callers take a request as not run.
+# Statuses that callers take as a promise that the request did not run.
 PROMISES = frozenset({408, 421, 429, 503})
 
 
 @attrs.frozen
 class WholeAnswer:
-    """An endpoint's answer with its body."""
+    """An endpoint's response with its body."""
 
     head: AnswerHead
     body: bytes
 
     @property
     def is_good(self) -> bool:
-        """Whether the call succeeded."""
+        """Whether the status is no server error."""
         return self.head.status < _SERVER_ERROR
 
 
@@ -45,14 +45,14 @@
     """Serves the calls of plain services.
 
     Args:
-        context: What all requests share.
+        context: The objects shared by all requests.
     """
 
     def __init__(self, context: Context) -> None:
         self._context = context
 
     async def serve(self, job: Job, responder: EdgeResponder) -> None:
-        """Answers a call."""
+        """Serves a call and sends the response."""
         result = await self._run(job)
         if isinstance(result, Failure):
             await answer_failure(self._context, job, responder, result)
@@ -60,7 +60,7 @@
         await relay_whole(self._context, job, responder, result)
 
     async def _run(self, job: Job) -> WholeAnswer | Failure:
-        """Sends a call until an answer or a verdict is final."""
+        """Sends a call until a response or a verdict is final."""
         context = self._context
         failure = not_run(
             Reason.NO_ENDPOINT, "no endpoint takes work", RETRY_AFTER_MS
@@ -104,7 +104,7 @@
         return failure
 
     def _may_repeat(self, job: Job, runs_before: int) -> bool:
-        """Tells whether a call may run once more."""
+        """Returns whether a call may be executed once more."""
         return job.route.may_repeat and runs_before + 1 < job.route.max_attempts
 
     async def _send(
@@ -136,10 +136,12 @@
     async def _exchange(
         self, job: Job, endpoint: Endpoint, left_ms: int
     ) -> WholeAnswer | Failure:
-        """Sends a call and reads the whole answer.
+        """Sends a call and reads the whole response.
 
         Raises:
-            EndpointError: No whole answer came.
+            EndpointError: There was no complete response, or it does not come
+                from the endpoint itself, or its status would be taken as "not
+                run".
         """
         context = self._context
         started = context.clock.now()
@@ -161,7 +163,8 @@
         if not head.is_signed and head.status < _SERVER_ERROR:
             raise EndpointError("an answer without signature", sent=True)
         if head.status in PROMISES or not head.is_signed:
-            # It does not say that nothing ran, but its status would.
+            # The endpoint does not state that the call did not run, but callers
+            # would take the status to mean so.
             raise EndpointError(f"status {head.status}", sent=True)
         whole = WholeAnswer(head, body)
         outcome = Outcome.GOOD if whole.is_good else Outcome.ERROR
@@ -199,7 +202,7 @@
 async def relay_whole(
     context: Context, job: Job, responder: EdgeResponder, answer: WholeAnswer
 ) -> None:
-    """Passes an endpoint's whole answer on, unchanged."""
+    """Relays an endpoint's whole response unchanged."""
     now = context.clock.now()
     events.ANSWERED.log(
         request=job.call.request_id,
@@ -218,7 +221,7 @@
 async def answer_failure(
     context: Context, job: Job, responder: EdgeResponder, failure: Failure
 ) -> None:
-    """Answers a call by a failure of our own."""
+    """Logs a call that could not be served and responds with the failure."""
     now = context.clock.now()
     events.NOT_SERVED.log(
         request=job.call.request_id,
--- a/rhubarbwinch/gateway/program.py
+++ b/rhubarbwinch/gateway/program.py
@@ -1,4 +1,4 @@
-"""The gateway's program: builds the parts and runs them."""
+"""Builds and runs the parts of the gateway program."""
 
 import random
 import signal
@@ -56,33 +56,35 @@
 from rhubarbwinch.shared.supervisor import Supervisor
 from rhubarbwinch.stores.store import PollingStore
 
-# An engine whose machine acknowledges nothing for so long is unreachable.
+# An endpoint whose VM acknowledges no data for this time is unreachable.
 DEAD_ENDPOINT_MS = 2_000
 TICK_MS = 100
 SETTINGS_CHECK_MS = 5_000
-# How long a gateway that leaves still takes connections of callers who know
-# its address from before.
+# How long a draining gateway still accepts connections of callers that have
+# resolved its address before.
 LINGER_MS = 3_000
-# The process ends so long before it would be killed.
+# The process ends this long before the end of the grace period, at which it
+# would be killed.
 GRACE_MARGIN_MS = 500
 DRAIN_CHECK_MS = 50
-# What the last call to the store may take; without it the lease lapses.
+# Timeout of the last call to the store, which removes the registration. If the
+# call fails, the lease expires.
 CLOSE_MS = 300
 
 
 @attrs.frozen
 class Outside:
-    """What a gateway reaches the outside by.
+    """The external dependencies of a gateway.
 
     Attributes:
-        platform: Translates names and formats.
-        store: The platform's store.
-        transport: Keeps the connections to endpoints.
-        engine_calls: Calls to engines beside the requests.
-        load_settings: Reads the settings anew.
+        platform: Translates the platform's names and formats.
+        store: The platform's key-value store.
+        transport: Owns the connections to endpoints.
+        engine_calls: Control calls to engines.
+        load_settings: Reads the settings again.
         clock: The source of time.
-        lines: Where log lines go.
-        tracer: Makes spans of requests; None for none.
+        lines: The output of log lines; None if drops are not counted.
+        tracer: Creates spans of requests; None if tracing is off.
     """
 
     platform: Platform
@@ -96,16 +98,16 @@
 
 
 def make_transport() -> Transport:
-    """Returns the transport to endpoints."""
+    """Returns the transport for connections to endpoints."""
     return Transport(TransportOptions(dead_peer_ms=DEAD_ENDPOINT_MS))
 
 
 class Gateway:
-    """The gateway's program.
+    """The gateway program.
 
     Args:
-        settings: What it was told.
-        outside: What it reaches the outside by.
+        settings: The settings at the start.
+        outside: The external dependencies.
     """
 
     def __init__(self, settings: GatewaySettings, outside: Outside) -> None:
@@ -194,7 +196,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether new callers are welcome."""
+        """Whether the gateway accepts new callers."""
         return self._context.table is not None and not self._context.is_draining
 
     async def run(self) -> None:
@@ -235,7 +237,7 @@
         tree.add("outage", self._outage.run)
         tree.add("settings", self._watch_settings)
         events.STARTED.log(name=settings.name, settings=attrs.asdict(settings))
-        # Signals may come until the end, so they are taken until then.
+        # The receiver stays open until the end because late signals may come.
         with anyio.open_signal_receiver(
             signal.SIGTERM, signal.SIGINT, signal.SIGHUP
         ) as signals:
@@ -244,7 +246,7 @@
                     tasks.start_soon(self._watch_signals, signals, tasks)
                     await tree.run()
             except* Exception as group:
-                # The task group wraps what the tree raised.
+                # The task group wraps the exception of the supervisor.
                 raise group.exceptions[0] from None
             finally:
                 with (
@@ -255,7 +257,7 @@
         events.STOPPED.log(name=settings.name)
 
     def _describe(self, heartbeat: Heartbeat) -> Heartbeat:
-        """Completes a heartbeat by what changes."""
+        """Fills in the fields of a heartbeat that change over time."""
         return attrs.evolve(
             heartbeat,
             is_serving=self.is_ready,
@@ -266,31 +268,31 @@
         )
 
     def _use_table(self, table: RoutingTable) -> None:
-        """Applies the bounds of a configuration to callers' connections."""
+        """Applies the HTTP limits of a configuration to the front server."""
         self._front.status.limits = table.limits
 
     async def _bootstrap(self) -> None:
-        """Asks peers for the configuration while the store gives none."""
+        """Fetches a snapshot from peers until there is a configuration."""
         while self._context.table is None:
             snapshot = await self._peers.fetch_snapshot()
             if snapshot is not None and self._context.table is None:
                 self._feed.take_snapshot(snapshot)
-                # The store's entries of these engines may still be unchanged.
+                # In the store these engines may not be marked as leaving yet.
                 for notice in snapshot.leaving:
                     self._beliefs.take_leaving(notice)
             await self._clock.sleep(TICK_MS)
 
     async def _answer_snapshot(self, call: SnapshotCall) -> Snapshot:
-        """Tells a gateway that starts all that is known here."""
+        """Returns a snapshot of the known state to a gateway that starts."""
         snapshot = await self._feed.answer_snapshot(call)
         return attrs.evolve(snapshot, leaving=self._beliefs.leaving_notices())
 
     def _own_lapsed(self) -> list[Endpoint]:
-        """Returns the engines of these whose entries have lapsed."""
+        """Returns the engines of this gateway with an expired lease."""
         return [k.endpoint for k in self._own_engines() if k.lapse_due_ms]
 
     def _own_engines(self) -> list[Known]:
-        """Returns the engines that this gateway asks for all."""
+        """Returns the engines that this gateway polls for all peers."""
         table = self._context.table
         services = table.services if table is not None else {}
         return [
@@ -307,13 +309,13 @@
         self._beliefs.take_leaving(notice)
 
     def _take_crash(self, notice: CrashNotice) -> None:
-        """Takes a crash that another gateway has seen."""
+        """Handles a crash that another gateway has observed."""
         self._context.crashes.note(
             notice.request, notice.endpoint, self._clock.now()
         )
 
     async def _tick(self) -> None:
-        """Does what is due at a time, not on an event."""
+        """Runs the periodic work every `TICK_MS`."""
         while True:
             await self._clock.sleep(TICK_MS)
             self._beliefs.expire()
@@ -332,7 +334,7 @@
                 events.LOG_LINES_LEFT_OUT.log(lines=dropped)
 
     async def _watch_settings(self) -> None:
-        """Reads the settings anew from time to time: they may change."""
+        """Reloads the settings periodically, since they may change."""
         while True:
             await self._clock.sleep(SETTINGS_CHECK_MS)
             self._reload()
@@ -365,12 +367,12 @@
                 break
             self._reload()
             events.RELOADED.log(signal="SIGHUP")
-        # Further signals are left unread: they ask for nothing new.
+        # Signals received from here on are ignored: the gateway is stopping.
         await self._drain()
         tasks.cancel_scope.cancel()
 
     async def _drain(self) -> None:
-        """Takes no new callers and waits for what is open."""
+        """Announces the shutdown and waits for the open requests."""
         started = self._clock.now()
         status = self._front.status
         events.DRAINING.log(name=self._settings.name, open=status.open_requests)
--- a/rhubarbwinch/gateway/relaying.py
+++ b/rhubarbwinch/gateway/relaying.py
@@ -1,4 +1,4 @@
-"""Relays the events of one engine to the caller, each once and in order."""
+"""Relays the events of an engine to the caller, each once and in order."""
 
 import enum
 from collections.abc import AsyncGenerator
@@ -16,15 +16,15 @@
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.exceptions import EndpointError
 
-# A generation that another engine can take over is given up at its engine
-# after this silence; events come every 30 ms, and the caller's bound on a
-# pause is over by then anyway.
+# If a run can resume at another engine, its current engine is given up after
+# this time without data. Events come every 30 ms, and by then the pause exceeds
+# the route's limit in any case.
 STALL_MS = 1_000
 _OK = 200
 
 
 class EventPlace(enum.Enum):
-    """Where an event stands in its stream."""
+    """The position of an event relative to the last one relayed."""
 
     NEXT = enum.auto()
     REPEATED = enum.auto()
@@ -32,12 +32,12 @@
 
 
 class EventRelay:
-    """Relays the events of engines.
+    """Relays event streams from engines to callers.
 
     Args:
-        context: What all requests share.
-        rooms: Told when a prompt has been read.
-        carrier: Copies runs whose engines leave.
+        context: The objects shared by all requests.
+        rooms: Notified when a prefill is complete.
+        carrier: Migrates runs whose engines leave.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self._carrier = carrier
 
     async def relay(self, run: Run, answer: Answer) -> bool:
-        """Relays the events of one engine; returns whether the end came."""
+        """Relays the events of one engine; returns whether the stream ended."""
         splitter = Splitter()
         try:
             async with aclosing(self._paced(run, answer)) as parts:
@@ -71,11 +71,11 @@
         return True
 
     async def _paced(self, run: Run, answer: Answer) -> AsyncGenerator[bytes]:
-        """Yields parts of a stream.
+        """Yields the chunks of a stream.
 
         Raises:
-            EndpointError: The stream was cut, or is silent for too long
-                while another engine could go on.
+            EndpointError: The stream was cut, or there was no data for
+                `STALL_MS` while the run could resume at another engine.
         """
         parts = answer.chunks()
         async with aclosing(parts):
@@ -97,7 +97,7 @@
     async def _pass_on(
         self, run: Run, answer: Answer, splitter: Splitter, data: bytes
     ) -> None:
-        """Sends whole events to the caller, each once.
+        """Sends the complete events of a chunk to the caller, each once.
 
         Raises:
             EndpointError: An event is out of order.
@@ -115,8 +115,8 @@
             run.last_event_id = found or run.last_event_id
             run.events += 1
             fresh.append(event.raw)
-        # What came in order before a gap has to go out: the run goes on after
-        # the last event that counts as the caller's.
+        # The events before a gap must be sent: the run resumes after the last
+        # event that is recorded as sent to the caller.
         if fresh:
             self._note_events(run)
             if not run.head_sent:
@@ -126,7 +126,7 @@
             raise EndpointError(missing, sent=True)
 
     def _place_of(self, run: Run, event_id: str | None) -> EventPlace:
-        """Tells whether an event is the next one."""
+        """Compares the id of an event with the id of the last one relayed."""
         last = run.last_event_id or run.job.call.last_event_id
         if event_id is None or last is None:
             return EventPlace.NEXT
--- a/rhubarbwinch/gateway/rooms.py
+++ b/rhubarbwinch/gateway/rooms.py
@@ -1,4 +1,4 @@
-"""Room for generations: at an engine now, after a wait, or a refusal."""
+"""Reserves engine capacity for runs, queues them while there is none."""
 
 import anyio
 
@@ -10,18 +10,19 @@
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.verdict import Failure, Reason, not_run
 
-# Less is not enough for a generation.
+# With less time left, a generation cannot produce a useful response.
 MIN_SEND_MS = 50
-# When the wait is over, memory may be overcommitted while slots are free: an
-# engine queues for itself, and a refusal serves nobody.
+# When the wait limit is reached, a KV cache may be overcommitted up to this
+# share while slots are free: engines have a queue of their own, and a refused
+# request gets no response at all.
 LAST_MEMORY_SHARE = 1.25
 
 
 class RoomKeeper:
-    """Holds room at engines for generations.
+    """Reserves capacity at engines for runs and their hot standbys.
 
     Args:
-        context: What all requests share.
+        context: The objects shared by all requests.
     """
 
     def __init__(self, context: Context) -> None:
@@ -29,13 +30,17 @@
         self._queues: dict[str, WaitQueue] = {}
 
     def note_change(self) -> None:
-        """Lets waiting requests look for room, and tells peers of loads."""
+        """Wakes the queued requests and publishes the loads to the peers."""
         for queue in self._queues.values():
             queue.wake()
         self._context.peers.tell_loads()
 
     async def place(self, run: Run) -> Failure | None:
-        """Holds room at an engine, now or after a wait."""
+        """Reserves capacity for a run; queues it until there is some.
+
+        Returns:
+            None if the capacity is reserved, else why the run is refused.
+        """
         context, job = self._context, run.job
         now = context.clock.now()
         left = job.deadline_ms - now
@@ -79,7 +84,7 @@
     def _hold(
         self, run: Run, memory_share: float = placing.MEMORY_SHARE
     ) -> bool:
-        """Holds room at an engine."""
+        """Reserves capacity now; returns False if no engine has enough."""
         context, job = self._context, run.job
         tokens = run.expected_tokens
         candidates = context.candidates(job.service, job.tried)
@@ -104,13 +109,13 @@
         return True
 
     def hold_backup(self, run: Run) -> None:
-        """Holds room at a second engine that follows the run, if it fits."""
+        """Reserves capacity for a hot standby if another engine has enough."""
         context, job = self._context, run.job
         spec = context.engine_spec(job.service)
         if run.room is None or spec is None or not spec.can_back_up:
             return
         if job.route.is_resumable:
-            # It is short, and may begin anew elsewhere.
+            # The run is short and can be restarted at another engine.
             return
         tokens = run.expected_tokens
         chosen = moving.choose_backup(
--- a/rhubarbwinch/gateway/router.py
+++ b/rhubarbwinch/gateway/router.py
@@ -1,4 +1,4 @@
-"""Takes callers' requests: configuration, route, account, and who serves."""
+"""Routes callers' requests to the part that serves them."""
 
 import anyio
 
@@ -15,16 +15,16 @@
 from rhubarbwinch.shared.verdict import Failure, Reason, not_run
 
 RETRY_AFTER_MS = 300
-# A generation may run longer than what is left until the process ends, so
-# callers go elsewhere with it.
+# A generation may take longer than this process still lives, so callers should
+# send it to another gateway soon.
 DRAIN_RETRY_AFTER_MS = 50
 
 
 class Router:
-    """Answers callers' requests.
+    """Authenticates and routes callers' requests.
 
     Args:
-        context: What all requests share.
+        context: The objects shared by all requests.
         plain: Serves plain calls.
         streams: Serves generations.
     """
@@ -39,7 +39,7 @@
     async def handle(
         self, request: EdgeRequest, responder: EdgeResponder
     ) -> None:
-        """Answers one request."""
+        """Handles one request."""
         context = self._context
         try:
             call = context.platform.decode_call(
@@ -116,7 +116,7 @@
         return route, account, priority
 
     def _target(self, route: Route) -> str:
-        """Returns one of a route's services, by their weights."""
+        """Returns one of a route's services, chosen by weight."""
         if len(route.targets) == 1:
             return route.targets[0].service
         return self._context.rng.choices(
--- a/rhubarbwinch/gateway/runs.py
+++ b/rhubarbwinch/gateway/runs.py
@@ -1,4 +1,4 @@
-"""Generations that are being relayed, and the room that they hold."""
+"""The state of runs that are being relayed, with their reservations."""
 
 import anyio
 import anyio.abc
@@ -13,12 +13,12 @@
 
 @attrs.define(eq=False)
 class NewHome:
-    """Where a run goes on after it was copied.
+    """The engine at which a run can resume, and the KV cache to resume from.
 
     Attributes:
-        room: The room at the new engine.
-        copy: The copy of its memory.
-        source: The engine that it left.
+        room: The reservation at the target engine.
+        copy: The location of the run's KV cache.
+        source: The engine that the run leaves.
     """
 
     room: Room
@@ -28,21 +28,25 @@
 
 @attrs.define(eq=False)
 class Run:
-    """One generation.
+    """One generation that is being relayed to its caller.
 
     Attributes:
         job: The request.
         responder: Sends the events to the caller.
-        tasks: Tasks that end with the run.
-        room: The room at the engine that runs it; None before it is placed.
-        backup: The room at the engine that follows it, or None.
-        last_event_id: The last event that the caller has, or None.
-        events: Events that the caller has.
-        head_sent: Whether the head of the answer was sent.
-        last_event_ms: When the last event came.
-        home: Where it goes on when its engine ends; None without a copy.
-        copying: Ends the task that keeps the copy; None without one.
-        has_copy: Set when the first copy is there, or none is to be had.
+        tasks: Tasks that are cancelled when the run ends.
+        room: The reservation at the engine that executes the run; None before
+            the run is placed.
+        backup: The reservation at the hot standby, or None.
+        last_event_id: The id of the last event sent to the caller, or None.
+        events: Number of events sent to the caller.
+        head_sent: Whether the response head was sent.
+        last_event_ms: When the last event was received.
+        home: Where the run resumes if its engine ends; None without a migrated
+            copy.
+        copying: Cancels the task that maintains the migrated copy; None without
+            such a task.
+        has_copy: Set when the first migrated copy is complete, or when no copy
+            can be made.
     """
 
     job: Job
@@ -60,12 +64,12 @@
 
     @property
     def id(self) -> str:
-        """The caller's id of the request."""
+        """The caller's id of the request attempt."""
         return self.job.call.request_id
 
     @property
     def expected_tokens(self) -> int:
-        """The memory that the whole run is expected to need, in tokens."""
+        """The KV cache that the whole run is predicted to need, in tokens."""
         call = self.job.call
         likely = call.likely_output_tokens or call.max_output_tokens
         if call.max_output_tokens:
@@ -73,7 +77,7 @@
         return call.prompt_tokens + likely
 
     def release(self) -> None:
-        """Gives all room back."""
+        """Releases the reservations at the engine and at the standby."""
         for room in (self.room, self.backup):
             if room is not None:
                 room.release()
--- a/rhubarbwinch/gateway/streams.py
+++ b/rhubarbwinch/gateway/streams.py
@@ -1,4 +1,4 @@
-"""Generations: placed, relayed event by event, and carried on elsewhere."""
+"""Serves generations: places, relays and fails over their runs."""
 
 import anyio
 
@@ -18,7 +18,7 @@
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.verdict import Failure, Reason, Verdict
 
-# Sends of one generation that were refused as not run.
+# Attempts to start one generation, as long as engines refuse it as not run.
 MAX_REFUSED_SENDS = 4
 
 
@@ -26,7 +26,7 @@
     """Serves generations.
 
     Args:
-        context: What all requests share.
+        context: The objects shared by all requests.
     """
 
     def __init__(self, context: Context) -> None:
@@ -49,7 +49,7 @@
             try:
                 await self._serve(run)
             except Exception as error:
-                # The task group would wrap it.
+                # The task group would wrap the exception in a group.
                 failed.append(error)
             finally:
                 self._runs.discard(run)
@@ -60,11 +60,11 @@
             raise failed[0]
 
     def note_change(self) -> None:
-        """Lets waiting requests look for room, and tells peers of loads."""
+        """Wakes the queued requests and publishes the loads to the peers."""
         self._rooms.note_change()
 
     def note_leaving(self, endpoint: Endpoint) -> None:
-        """Copies the runs of an engine that leaves."""
+        """Migrates the runs of an engine that leaves."""
         for run in list(self._runs):
             self._carrier.note_leaving(run, endpoint)
 
@@ -73,7 +73,7 @@
         if failure is None:
             return
         if run.head_sent:
-            # The caller sees that the stream is not complete.
+            # The caller detects the failure by the incomplete stream.
             events.STREAM_BROKEN.log(
                 request=run.id,
                 events=run.events,
@@ -85,7 +85,11 @@
         await answer_failure(self._context, run.job, run.responder, failure)
 
     async def _start(self, run: Run) -> Failure | None:
-        """Places a generation until one engine has run it, or none can."""
+        """Places a generation until an engine accepts it or none can.
+
+        Returns:
+            None if the caller got a complete response, else the failure.
+        """
         job = run.job
         failure: Failure | None = None
         for _ in range(MAX_REFUSED_SENDS):
@@ -110,7 +114,7 @@
         return failure
 
     async def _relay_all(self, run: Run, answer: Answer) -> Failure | None:
-        """Relays a generation to its end, over as many engines as it takes."""
+        """Relays a generation to its end, with failovers if needed."""
         while True:
             assert run.room is not None
             source = run.room.endpoint
--- a/rhubarbwinch/gateway/upstream.py
+++ b/rhubarbwinch/gateway/upstream.py
@@ -1,4 +1,4 @@
-"""Sends requests to endpoints and tells whether they may have run."""
+"""Sends requests to endpoints; errors say whether a byte was sent."""
 
 from collections.abc import AsyncGenerator
 
@@ -17,21 +17,22 @@
 from rhubarbwinch.http.transport import Transport
 from rhubarbwinch.shared.exceptions import EndpointError
 
-# Round trips are a few milliseconds, and a lost packet is sent again after
-# 200 ms; a longer wait takes time from a second try.
+# Round trips take a few milliseconds, and a lost packet is retransmitted after
+# 200 ms. A longer timeout would take time from a second attempt.
 CONNECT_S = 0.25
-# An endpoint closes idle connections as it likes. A request that may not be
-# repeated and crosses such a close is lost, so it gets a fresh connection.
+# Endpoints close idle connections at any time. A request that is sent during
+# such a close is lost, so a request that may not be repeated only reuses a
+# connection that was idle for less than this.
 FRESH_IDLE_S = 0.3
 MAX_ANSWER_BYTES = 8 << 20
 
 
 @attrs.define
 class Answer:
-    """An endpoint's answer whose body is still to be read.
+    """An endpoint's response whose body is still to be read.
 
     Attributes:
-        head: What its head says.
+        head: The decoded head.
     """
 
     head: AnswerHead
@@ -41,7 +42,7 @@
         """Returns the whole body.
 
         Raises:
-            EndpointError: It was cut, garbled, altered or too long.
+            EndpointError: The body was cut, garbled, altered or too long.
         """
         parts: list[bytes] = []
         size = 0
@@ -55,12 +56,13 @@
         return b"".join(parts)
 
     async def chunks(self) -> AsyncGenerator[bytes]:
-        """Yields the body as it comes.
+        """Yields the body as it is received.
 
         Raises:
-            EndpointError: It was cut or garbled.
+            EndpointError: The body was cut or garbled.
         """
-        # The stream itself is read: httpx's own layers add to each event.
+        # Reads the raw stream: httpx's own layers would add CPU time to each
+        # event.
         assert isinstance(self._response.stream, httpx.AsyncByteStream)
         try:
             async for data in self._response.stream:
@@ -69,7 +71,7 @@
             raise EndpointError(repr(error), sent=True) from error
 
     async def close(self) -> None:
-        """Returns the connection, or closes it when the body is not whole."""
+        """Returns the connection to the pool, or closes it mid-body."""
         await self._response.aclose()
 
 
@@ -77,9 +79,9 @@
     """Sends requests to endpoints.
 
     Args:
-        platform: Translates heads.
-        transport: Keeps the connections.
-        tracer: Makes a span for each send; None for none.
+        platform: Encodes and decodes heads.
+        transport: Owns the connections.
+        tracer: Creates a span for each attempt; None if tracing is off.
     """
 
     def __init__(
@@ -100,10 +102,11 @@
         options: SendOptions,
         may_repeat: bool,
     ) -> Answer:
-        """Sends a request; returns the answer when its head has come.
+        """Sends a request; returns the response when its head is received.
 
         Raises:
-            EndpointError: No head came; it tells whether a byte was sent.
+            EndpointError: No head was received. Its attribute `sent` tells
+                whether a byte was sent.
         """
         with hops.send_span(self._tracer, endpoint.id):
             request = self._request(endpoint, call, body, options)
--- a/rhubarbwinch/gateway/wire.py
+++ b/rhubarbwinch/gateway/wire.py
@@ -1,4 +1,4 @@
-"""What a platform's adapter translates, in the gateway's own types."""
+"""The interface of a platform adapter, in the gateway's own types."""
 
 import enum
 from typing import Protocol
@@ -17,17 +17,18 @@
     """The head of a caller's request.
 
     Attributes:
-        method: Such as `POST`.
+        method: The HTTP method, such as `POST`.
         target: The path and the query, unchanged.
-        host: In lower case, without a port.
+        host: The host name in lower case, without a port.
         request_id: The caller's id of this attempt.
-        api_key: The caller's key, or None.
-        deadline_ms: How long the caller waits; None if it does not say.
-        prompt_tokens: The tokens of the prompt; 0 if none are told.
-        max_output_tokens: The most tokens of the answer.
-        likely_output_tokens: The caller's estimate; 0 without one.
-        last_event_id: The event after which a stream goes on, or None.
-        headers: What is passed on to the endpoint unchanged.
+        api_key: The caller's API key, or None.
+        deadline_ms: How long the caller waits; None if not specified.
+        prompt_tokens: The length of the prompt; 0 if not specified.
+        max_output_tokens: The maximum length of the output; 0 if not specified.
+        likely_output_tokens: The caller's estimate of the output length; 0
+            without one.
+        last_event_id: The event after which a stream resumes, or None.
+        headers: The headers that are relayed to the endpoint unchanged.
     """
 
     method: str
@@ -50,11 +51,11 @@
 
 @attrs.frozen
 class MemoryCopy:
-    """Where the memory of a run lies.
+    """Where an engine can fetch the KV cache of a run.
 
     Attributes:
-        address: The engine from which the copy came, or the backup.
-        handle: The copy's name there.
+        address: The engine that made the migrated copy, or the hot standby.
+        handle: The name of the KV cache at that engine.
     """
 
     address: str
@@ -63,16 +64,18 @@
 
 @attrs.frozen
 class SendOptions:
-    """What the gateway sets for one send to an endpoint.
+    """The parameters that the gateway adds to one attempt at an endpoint.
 
     Attributes:
-        endpoint_id: The endpoint that may answer; another one refuses.
-        account: The caller's account, or None.
-        time_left_ms: The caller's deadline, counted from now.
-        last_event_id: The last event that the caller has, or None.
-        resume_from: Where the memory of the run lies, or None.
-        backup_address: The engine that follows the run, or None.
-        priority: The rank at the engine, 0 first; None for the usual one.
+        endpoint_id: The endpoint that may serve the request; any other endpoint
+            at the same address refuses it.
+        account: The caller's client account, or None.
+        time_left_ms: The time until the caller's deadline.
+        last_event_id: The last event that was sent to the caller, or None.
+        resume_from: The KV cache from which the run resumes, or None.
+        backup_address: The hot standby of the run, or None.
+        priority: The rank at the engine; 0 is the most urgent, None is the
+            default rank.
     """
 
     endpoint_id: str
@@ -86,14 +89,14 @@
 
 @attrs.frozen
 class AnswerHead:
-    """The head of an endpoint's answer.
+    """The head of an endpoint's response.
 
     Attributes:
         status: The HTTP status.
-        is_refusal: Whether the endpoint says that the request did not run.
-        is_signed: Whether it bears the endpoint's signature.
-        is_altered: Whether the body is not as the endpoint makes it.
-        headers: What is passed on to the caller unchanged.
+        is_refusal: Whether the endpoint states that the request did not run.
+        is_signed: Whether the response has the endpoint's signature.
+        is_altered: Whether the body was changed on the way, such as encoded.
+        headers: The headers that are relayed to the caller unchanged.
     """
 
     status: int
@@ -104,7 +107,7 @@
 
 
 class MoveState(enum.StrEnum):
-    """How a call to copy a run's memory ended."""
+    """How a call to copy a run's KV cache ended."""
 
     COPIED = "copied"
     NO_RUN = "no-run"
@@ -116,7 +119,8 @@
 class FreeState(enum.StrEnum):
     """How a call to free a copy ended.
 
-    An engine that does not know a copy, as after a restart, does not keep it.
+    `UNKNOWN` means that the engine does not have the copy, for example after a
+    restart.
     """
 
     FREED = "freed"
@@ -126,12 +130,12 @@
 
 @attrs.frozen
 class MoveResult:
-    """The answer to a call that copies a run's memory.
+    """The result of a call that copies a run's KV cache.
 
     Attributes:
         state: How the call ended.
-        handle: The copy's name at the source; empty if there is none.
-        events: Events that the run had made.
+        handle: The name of the copy at the source; empty without a copy.
+        events: Number of events that the run had generated at the time.
     """
 
     state: MoveState
@@ -141,11 +145,11 @@
 
 @attrs.frozen
 class EngineReport:
-    """What an engine says of itself; some hundred ms old.
+    """An engine's report of its own state, up to some hundred ms old.
 
     Attributes:
-        leaves_ms: When it ends, if it knows; else None.
-        is_leaving: Whether it takes no new work.
+        leaves_ms: When the engine ends; None if it does not know.
+        is_leaving: Whether the engine accepts no new work.
     """
 
     leaves_ms: int | None
@@ -153,35 +157,37 @@
 
 
 class EngineCalls(Protocol):
-    """Calls to engines beside the requests of callers."""
+    """Control calls to engines, apart from the requests of callers."""
 
     async def move(
         self, address: str, request_id: str, to: str, is_last: bool
     ) -> MoveResult:
-        """Copies a run's memory to the engine at `to`.
+        """Copies a run's KV cache to the engine at `to`.
 
-        With `is_last` the run stops first. Never raises for a failed call.
+        With `is_last` the engine stops the run first. A failed call is returned
+        as a state and raises nothing.
         """
         ...
 
     async def free_copy(self, address: str, handle: str) -> FreeState:
-        """Frees a copy at its source, and so at both ends, or where it is.
+        """Frees a copy.
 
-        Never raises for a failed call.
+        At the source of a copy the call frees it at both engines, at its target
+        only there. A failed call is returned as a state and raises nothing.
         """
         ...
 
     async def report(self, address: str) -> EngineReport:
-        """Returns what an engine says of itself.
+        """Returns an engine's report of its own state.
 
         Raises:
-            EndpointError: It gave no answer that can be read.
+            EndpointError: There was no response, or it is malformed.
         """
         ...
 
 
 class Platform(Protocol):
-    """One platform's names and formats; it decides nothing."""
+    """Translates the names and formats of one platform; has no policy."""
 
     config_key: str
     endpoint_prefix: str
@@ -190,65 +196,65 @@
     def decode_call(
         self, method: str, target: bytes, headers: Headers
     ) -> CallHead:
-        """Reads the head of a caller's request.
+        """Decodes the head of a caller's request.
 
         Raises:
-            BadCallError: It is not a request that can be served.
+            BadCallError: The request is malformed.
         """
         ...
 
     def endpoint_headers(
         self, call: CallHead, options: SendOptions, body_bytes: int
     ) -> Headers:
-        """Returns the headers of a send to an endpoint."""
+        """Returns the headers of a request to an endpoint."""
         ...
 
     def decode_answer(self, status: int, headers: Headers) -> AnswerHead:
-        """Reads the head of an endpoint's answer."""
+        """Decodes the head of an endpoint's response."""
         ...
 
     def is_answer_to(self, request_id: str, headers: Headers) -> bool:
-        """Tells whether an answer belongs to a request."""
+        """Returns whether a response belongs to a request."""
         ...
 
     def refusal_headers(
         self, request_id: str, retry_after_ms: int | None
     ) -> Headers:
-        """Returns the headers of an answer of our own."""
+        """Returns the headers of a response of the gateway itself."""
         ...
 
     def event_id(self, event: bytes) -> str | None:
-        """Returns the id of a stream's event, or None."""
+        """Returns the id of an event in a stream, or None."""
         ...
 
     def decode_config(self, data: bytes) -> RoutingTable:
-        """Reads a version of the configuration.
+        """Decodes a version of the configuration.
 
         Raises:
-            PlatformFormatError: It can't be read.
+            PlatformFormatError: The document is malformed.
         """
         ...
 
     def decode_endpoint(self, endpoint_id: str, data: bytes) -> Endpoint:
-        """Reads an endpoint's registration.
+        """Decodes an endpoint's registration.
 
         Raises:
-            PlatformFormatError: It can't be read.
+            PlatformFormatError: The document is malformed.
         """
         ...
 
     def directory_name(self, target: bytes) -> str | None:
-        """Returns the host that a caller looks up; None for other calls."""
+        """Returns the host name of a lookup; None for other requests."""
         ...
 
     def directory_answer(self, addresses: list[str], ttl_ms: int) -> bytes:
-        """Returns the body of an answer to a lookup."""
+        """Returns the body of the response to a lookup."""
         ...
 
     def is_readiness(self, target: bytes) -> bool:
-        """Tells whether a request asks if the process is ready."""
+        """Returns whether a request is a readiness probe."""
         ...
 
 
-# Builds a platform's adapter without arguments.
+# The adapter classes by platform name; they are built without arguments.
 PLATFORMS: Registry[type[Platform]] = Registry("platform")
--- a/rhubarbwinch/platform/__init__.py
+++ b/rhubarbwinch/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The adapter to the users' platform: names, formats and calls."""
+"""The adapter to the users' platform: its names, formats and calls."""
 
 from rhubarbwinch.platform import adapter, kvstore
 
--- a/rhubarbwinch/platform/adapter.py
+++ b/rhubarbwinch/platform/adapter.py
@@ -1,4 +1,4 @@
-"""The platform's adapter as the gateway sees it."""
+"""The platform adapter: implements the gateway's `Platform` interface."""
 
 from urllib.parse import parse_qs
 
@@ -10,11 +10,12 @@
 
 @PLATFORMS.register("kielichowa")
 class KielichowaPlatform:
-    """Names and formats of the platform, gathered in one object."""
+    """The names and formats of the platform."""
 
     config_key = "op/config"
     endpoint_prefix = "servers/"
-    # Keys of our own; the platform keeps `op/` and `servers/` to itself.
+    # The prefix of the gateway's own keys; the platform reserves `op/` and
+    # `servers/` for itself.
     member_prefix = "rhubarbwinch/members/"
 
     decode_call = staticmethod(headers.decode_call)
@@ -28,7 +29,7 @@
 
     @staticmethod
     def directory_name(target: bytes) -> str | None:
-        """Returns the host that a caller looks up; None for other calls."""
+        """Returns the host name of a lookup; None for other requests."""
         path, _, query = target.decode("latin-1").partition("?")
         if path != "/resolve":
             return None
@@ -36,10 +37,10 @@
 
     @staticmethod
     def directory_answer(addresses: list[str], ttl_ms: int) -> bytes:
-        """Returns the body of an answer to a lookup."""
+        """Returns the body of the response to a lookup."""
         return orjson.dumps({"addresses": addresses, "ttl_s": ttl_ms / 1000})
 
     @staticmethod
     def is_readiness(target: bytes) -> bool:
-        """Tells whether a request asks if the process is ready."""
+        """Returns whether a request is a readiness probe."""
         return target.partition(b"?")[0] == b"/readiness"
--- a/rhubarbwinch/platform/bootfile.py
+++ b/rhubarbwinch/platform/bootfile.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, to the gateway's settings."""
+"""Parses the platform's settings file into the gateway's settings."""
 
 import pathlib
 
@@ -12,11 +12,11 @@
     """Reads a settings file.
 
     Args:
-        path: The file.
-        metrics_port: Where the process shows its metrics.
+        path: The path of the file.
+        metrics_port: The port on which the process serves its metrics.
 
     Raises:
-        SettingError: It can't be read, or a field is missing or wrong.
+        SettingError: The file can't be read, or a field is missing or invalid.
     """
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
@@ -26,10 +26,10 @@
 
 
 def parse(text: str, metrics_port: int) -> GatewaySettings:
-    """Returns the settings of a file's text; unknown fields are ignored.
+    """Parses the text of a settings file; unknown fields are ignored.
 
     Raises:
-        SettingError: A field is missing or wrong.
+        SettingError: A field is missing or invalid.
     """
     fields = {}
     for line in text.splitlines():
@@ -44,10 +44,10 @@
 
 
 class _Reader:
-    """Checks and converts fields.
+    """Validates and converts fields.
 
     Args:
-        fields: Texts by name.
+        fields: The values as text, by field name.
     """
 
     def __init__(self, fields: dict[str, str]) -> None:
@@ -57,7 +57,7 @@
         """Returns the settings.
 
         Raises:
-            SettingError: A field is missing or wrong.
+            SettingError: A field is missing or invalid.
         """
         ip = self._text("ip")
         ports = self._list("internal_ports")
@@ -112,5 +112,5 @@
             raise SettingError(name, value, "a number") from error
 
     def _ms(self, name: str) -> int:
-        """Returns milliseconds of a field in seconds."""
+        """Returns the value of a field in seconds, in milliseconds."""
         return int(self._number(name) * 1000)
--- a/rhubarbwinch/platform/documents.py
+++ b/rhubarbwinch/platform/documents.py
@@ -1,4 +1,4 @@
-"""Documents of the platform's store, to the gateway's types."""
+"""Decodes the platform's JSON documents into the gateway's types."""
 
 from collections.abc import Callable
 from typing import Any
@@ -37,15 +37,16 @@
     except orjson.JSONDecodeError as error:
         raise PlatformFormatError(f"not JSON: {error}") from error
     if not isinstance(found, dict):
-        raise PlatformFormatError("not an object")
+        raise PlatformFormatError("not a JSON object")
     return found
 
 
 def _read(build: Callable[[JSON], Any], data: bytes) -> Any:
-    """Returns what `build` makes of a document.
+    """Decodes a document with `build`.
 
     Raises:
-        PlatformFormatError: A field is missing or has another type.
+        PlatformFormatError: The document is not a JSON object, or a field is
+            missing or has an invalid value.
     """
     found = _load(data)
     try:
@@ -55,32 +56,32 @@
 
 
 def _whole(value: Any) -> int:
-    """Returns a whole number that is not negative.
+    """Returns `value` if it is a non-negative integer.
 
     Raises:
-        ValueError: It is something else.
+        ValueError: The value is something else.
     """
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
-        raise ValueError(f"{value!r} is not a whole number")
+        raise ValueError(f"{value!r} is not a non-negative integer")
     return value
 
 
 def _text(value: Any) -> str:
-    """Returns a text that is not empty.
+    """Returns `value` if it is a non-empty string.
 
     Raises:
-        ValueError: It is something else.
+        ValueError: The value is something else.
     """
     if not isinstance(value, str) or not value:
-        raise ValueError(f"{value!r} is not a text")
+        raise ValueError(f"{value!r} is not a non-empty string")
     return value
 
 
 def decode_config(data: bytes) -> RoutingTable:
-    """Reads a version of the configuration.
+    """Decodes a version of the configuration.
 
     Raises:
-        PlatformFormatError: It can't be read.
+        PlatformFormatError: The document is malformed.
     """
     return _read(_table, data)
 
@@ -119,7 +120,7 @@
         name=str(item.get("name", "")),
         host=_text(item["host"]).lower(),
         prefix=_text(item["prefix"]),
-        # What is not known to be repeatable is not repeated.
+        # Requests of an unknown kind are treated as not repeatable.
         kind=KINDS.get(item["kind"], CallKind.NON_IDEMPOTENT),
         timeout_ms=timeout_ms,
         objective_ms=int(item.get("target_latency_ms") or timeout_ms),
@@ -163,10 +164,11 @@
 
 
 def decode_endpoint(endpoint_id: str, data: bytes) -> Endpoint:
-    """Reads an endpoint's registration.
+    """Decodes an endpoint's registration.
 
     Raises:
-        PlatformFormatError: It can't be read, or was written by another.
+        PlatformFormatError: The document is malformed, or was written by
+            something other than an endpoint.
     """
 
     def build(found: JSON) -> Endpoint:
@@ -187,10 +189,10 @@
 
 
 def decode_report(data: bytes) -> EngineReport:
-    """Reads what an engine says of itself.
+    """Decodes an engine's report of its own state.
 
     Raises:
-        PlatformFormatError: It can't be read.
+        PlatformFormatError: The document is malformed.
     """
 
     def build(found: JSON) -> EngineReport:
--- a/rhubarbwinch/platform/enginecalls.py
+++ b/rhubarbwinch/platform/enginecalls.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's engines beside the requests of callers."""
+"""Control calls to the platform's engines over HTTP."""
 
 import urllib.parse
 
@@ -15,8 +15,8 @@
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.exceptions import EndpointError, PlatformFormatError
 
-# A copy of a large run takes some hundred milliseconds, and others may stand
-# before it in the queue of the link.
+# The copy of a large run takes some hundred milliseconds, and other copies may
+# be queued before it on the engine's network link.
 MOVE_TIMEOUT_S = 3.0
 CONNECT_S = 0.3
 REPORT_TIMEOUT_S = 1.0
@@ -31,10 +31,10 @@
 
 
 class PlatformEngineCalls:
-    """Speaks to engines over HTTP.
+    """Calls engines over HTTP.
 
     Args:
-        transport: Carries the calls.
+        transport: Sends the HTTP requests.
     """
 
     def __init__(self, transport: httpx.AsyncBaseTransport) -> None:
@@ -43,7 +43,7 @@
     async def move(
         self, address: str, request_id: str, to: str, is_last: bool
     ) -> MoveResult:
-        """Copies a run's memory to the engine at `to`."""
+        """Copies a run's KV cache to the engine at `to`."""
         body: dict[str, object] = {"id": request_id, "to": to}
         if is_last:
             body["last"] = True
@@ -71,7 +71,7 @@
         )
 
     async def free_copy(self, address: str, handle: str) -> FreeState:
-        """Frees a copy at its source, and so at both ends, or where it is."""
+        """Frees a copy: at both engines if called at the source."""
         name = urllib.parse.quote(handle, safe="")
         try:
             response = await self._client.delete(
@@ -93,10 +93,10 @@
         return FreeState.FAILED
 
     async def report(self, address: str) -> EngineReport:
-        """Returns what an engine says of itself.
+        """Returns an engine's report of its own state.
 
         Raises:
-            EndpointError: It gave no answer that can be read.
+            EndpointError: There was no response, or it is malformed.
         """
         try:
             response = await self._client.get(
--- a/rhubarbwinch/platform/headers.py
+++ b/rhubarbwinch/platform/headers.py
@@ -1,4 +1,4 @@
-"""Heads of requests and answers on the wire, to the gateway's types."""
+"""Encodes and decodes the HTTP heads of the platform."""
 
 import re
 
@@ -10,13 +10,13 @@
 )
 from rhubarbwinch.shared.exceptions import BadCallError
 
-# One attempt of a caller: its retries have ids of their own.
+# Identifies one attempt of a caller; each retry has an id of its own.
 REQUEST_ID = b"attempt-id"
-# A duration from the sending, not a point in time.
+# A duration in milliseconds from the time of sending, not a point in time.
 DEADLINE = b"deadline-ms"
 ACCOUNT = b"tenant"
 EXPECTED_ENDPOINT = b"expect-instance"
-# Sizes that the caller announces: prompt tokens, most output tokens.
+# The sizes announced by the caller: prompt tokens, maximum output tokens.
 SIZES = b"token-usage"
 LENGTH_ESTIMATE = b"length-hint"
 LAST_EVENT = b"last-event-id"
@@ -28,7 +28,7 @@
 AUTHORIZATION = b"authorization"
 BEARER = "bearer "
 
-# They concern one connection only.
+# Hop-by-hop headers: they concern one connection and are not relayed.
 HOP_HEADERS = frozenset(
     {
         b"connection",
@@ -44,7 +44,8 @@
         b"expect",
     }
 )
-# The gateway sets them itself, or keeps them from endpoints.
+# Headers from callers that are not relayed: the gateway sets them itself, or
+# endpoints must not receive them.
 OWN_HEADERS = frozenset(
     {
         DEADLINE,
@@ -77,14 +78,17 @@
 
 
 def _number(text: str | None) -> int | None:
-    """Returns a whole number; None if there is none or it is no number."""
+    """Parses a whole number; None if `text` is None or not a number."""
     if text is None or not _DIGITS.fullmatch(text):
         return None
     return int(text)
 
 
 def _hop_names(headers: Headers) -> set[bytes]:
-    """Returns the headers of this connection, those it names included."""
+    """Returns the names of all hop-by-hop headers in a head.
+
+    These include the headers that the head's `Connection` header names.
+    """
     found = set(HOP_HEADERS)
     for value in _values(headers, b"connection"):
         found |= {part.strip().lower().encode() for part in value.split(",")}
@@ -92,10 +96,11 @@
 
 
 def decode_call(method: str, target: bytes, headers: Headers) -> CallHead:
-    """Reads the head of a caller's request.
+    """Decodes the head of a caller's request.
 
     Raises:
-        BadCallError: It has no id or no host, or one of them twice.
+        BadCallError: The id or the host is missing or occurs twice, or the
+            deadline is not a whole number.
     """
     ids = _values(headers, REQUEST_ID)
     if len(ids) != 1 or not ids[0]:
@@ -135,7 +140,7 @@
 def endpoint_headers(
     call: CallHead, options: SendOptions, body_bytes: int
 ) -> Headers:
-    """Returns the headers of a send to an endpoint."""
+    """Returns the headers of a request to an endpoint."""
     found = list(call.headers)
     found.append((b"Deadline-Ms", str(options.time_left_ms).encode()))
     found.append((b"Expect-Instance", options.endpoint_id.encode()))
@@ -156,7 +161,7 @@
 
 
 def decode_answer(status: int, headers: Headers) -> AnswerHead:
-    """Reads the head of an endpoint's answer."""
+    """Decodes the head of an endpoint's response."""
     hop = _hop_names(headers)
     encodings = _values(headers, b"content-encoding")
     return AnswerHead(
@@ -169,13 +174,16 @@
 
 
 def is_answer_to(request_id: str, headers: Headers) -> bool:
-    """Tells whether an answer belongs to a request; one without id does."""
+    """Returns whether a response belongs to a request.
+
+    A response without an id is taken to belong to it.
+    """
     found = _value(headers, REQUEST_ID)
     return found is None or found == request_id
 
 
 def refusal_headers(request_id: str, retry_after_ms: int | None) -> Headers:
-    """Returns the headers of an answer of our own."""
+    """Returns the headers of a response of the gateway itself."""
     found: Headers = []
     if request_id:
         found.append((b"Attempt-Id", request_id.encode("latin-1")))
@@ -186,7 +194,7 @@
 
 
 def event_id(event: bytes) -> str | None:
-    """Returns the id of an event, which may stand on any of its lines."""
+    """Returns the id of an event; the id may be on any of its lines."""
     for line in event.split(b"\n"):
         if line.startswith(b"id:"):
             return line[3:].strip().decode("latin-1")
--- a/rhubarbwinch/platform/kvstore.py
+++ b/rhubarbwinch/platform/kvstore.py
@@ -1,4 +1,4 @@
-"""The platform's key-value store, behind the interface `store.Store`."""
+"""The client of the platform's key-value store, as a `store.Store`."""
 
 import base64
 import binascii
@@ -25,17 +25,17 @@
 
 JSON = dict[str, Any]
 
-# The server waits so long for an event before it answers a watch with none.
+# How long the server waits for an event before it responds with none.
 WATCH_WAIT_MS = 1_000
-# A connection to the store that acknowledges nothing for so long is closed.
+# A connection on which the store acknowledges no data for this time is closed.
 DEAD_PEER_MS = 2_000
 _PRECONDITION_FAILED = httpx.codes.PRECONDITION_FAILED
-# Answers which say that nothing was done.
+# Statuses which mean that the store did nothing.
 _REFUSED = (httpx.codes.TOO_MANY_REQUESTS, httpx.codes.SERVICE_UNAVAILABLE)
 
 
 def _entry(item: JSON) -> Entry:
-    """Reads an item.
+    """Decodes an item.
 
     Raises:
         ValueError: The value is not base64.
@@ -52,11 +52,11 @@
 
 
 class PlatformStore:
-    """A store spoken to over HTTP/1.1 and JSON.
+    """A store that is accessed over HTTP/1.1 with JSON bodies.
 
     Args:
         address: `a.b.c.d:port`.
-        timeout_ms: The longest wait for an answer.
+        timeout_ms: The timeout of each call.
     """
 
     def __init__(self, address: str, timeout_ms: int) -> None:
@@ -77,8 +77,8 @@
     async def scan(self, prefix: str) -> Listing:
         """Returns all entries whose keys start with `prefix`, by key.
 
-        The pages are of several moments; the revision is that of the first,
-        so a watch from there misses nothing.
+        The pages are read at different revisions. The listing gets the revision
+        of the first page, so a watch from there misses no change.
         """
         entries: list[Entry] = []
         revision = 0
@@ -95,7 +95,7 @@
     async def swap(
         self, key: str, expected: int, value: bytes, lease: int = 0
     ) -> Swap:
-        """Writes `value` if the key's revision is `expected`; 0 is absent."""
+        """Writes `value` if the key's revision is `expected` (0: absent)."""
         write = {
             "key": key,
             "value": base64.b64encode(value).decode(),
@@ -114,14 +114,14 @@
         return _parse(response, lambda found: int(found["lease"]))
 
     async def keep_lease(self, lease: int) -> int:
-        """Renews a lease; returns the milliseconds it has left, 0 if gone."""
+        """Renews a lease; returns its remaining milliseconds, 0 if expired."""
         response = await self._send("POST", f"/kv-keep/{lease}", content={})
         if response.status_code == httpx.codes.NOT_FOUND:
             return 0
         return _parse(response, lambda found: int(found["ttl_ms"]))
 
     async def revoke_lease(self, lease: int) -> None:
-        """Ends a lease; the keys under it are deleted."""
+        """Revokes a lease; the store deletes the keys attached to it."""
         await self._send("DELETE", f"/kv-lease-end/{lease}")
 
     async def poll(self, prefix: str, after: int, wait_ms: int) -> ChangeBatch:
@@ -129,12 +129,12 @@
 
         Args:
             prefix: The keys to watch.
-            after: The revision after which changes are told.
+            after: The revision after which changes are returned.
             wait_ms: How long the store waits for the first change.
 
         Raises:
-            StoreCompacted: The changes are no longer known.
-            StoreUnavailable: The store did not answer.
+            StoreCompacted: The store no longer has these changes.
+            StoreUnavailable: The store did not respond.
         """
         params = {
             "prefix": prefix,
@@ -148,7 +148,9 @@
             timeout_s=self._timeout + wait_ms / 1000,
         )
         if response.status_code == httpx.codes.GONE:
-            raise StoreCompacted(f"nothing is known after revision {after}")
+            raise StoreCompacted(
+                f"the changes after revision {after} are compacted"
+            )
         found = _parse(response, dict)
         changes = [
             change
@@ -183,7 +185,7 @@
         found = _parse(response, dict, also=_PRECONDITION_FAILED)
         if response.status_code == httpx.codes.OK:
             return Swap(True, int(found["revision"]))
-        # Its revision is 0 while the key is absent.
+        # An absent key has the revision 0.
         rows = [row for row in found.get("items", []) if row.get("revision")]
         current = _entry(rows[0]) if rows else None
         return Swap(False, current.revision if current else 0, current)
@@ -200,7 +202,7 @@
         """Calls the store.
 
         Raises:
-            StoreUnavailable: Nothing was done, or nothing was to be written.
+            StoreUnavailable: The call had no effect, or it was a read.
             StoreUncertain: A write may have taken effect.
         """
         uncertain = StoreUncertain if is_write else StoreUnavailable
@@ -228,10 +230,15 @@
 def _parse(
     response: httpx.Response, build: Any, also: int = httpx.codes.OK
 ) -> Any:
-    """Returns what `build` makes of an answer's JSON.
+    """Decodes the JSON body of a response with `build`.
+
+    Args:
+        response: The response.
+        build: Converts the decoded JSON.
+        also: A status that is accepted besides 200.
 
     Raises:
-        StoreError: The answer has another status or form.
+        StoreError: The response has another status or format.
     """
     path = response.request.url.path
     if response.status_code not in (httpx.codes.OK, also):
@@ -239,20 +246,20 @@
     try:
         return build(orjson.loads(response.content))
     except (KeyError, TypeError, ValueError) as error:
-        raise StoreError(f"{path}: not an answer: {error!r}") from error
+        raise StoreError(f"{path}: malformed response: {error!r}") from error
 
 
 def _parse_all(items: list[JSON]) -> list[Entry]:
-    """Returns the entries among items; others can't be read."""
+    """Returns the entries of items; skips items that are malformed."""
     found = [_change_or_none(item) for item in items]
     return [c.entry for c in found if c is not None and c.entry is not None]
 
 
 def _change_or_none(event: JSON) -> Change | None:
-    """Reads an event; one that can't be read is a key without a value.
+    """Decodes an event; None if it has no valid key and revision.
 
-    Other writers may leave anything in the store; the key still says which
-    entry it was.
+    Other writers may store malformed values. Such an event is returned with an
+    empty value, because its key still tells which entry has changed.
     """
     try:
         return _change(event)
