--- a/tests/gateway/test_copies.py
+++ b/tests/gateway/test_copies.py
@@ -1,4 +1,4 @@
-"""Copies of runs: what becomes of those that nobody needs."""
+"""Tests that migrated copies of KV caches are freed."""
 
 import unittest
 from contextlib import asynccontextmanager
@@ -19,7 +19,7 @@
 
 
 class Calls:
-    """Answers calls about copies as a test says."""
+    """Engine calls with results that are set by a test."""
 
     def __init__(self):
         self.result = MoveResult(MoveState.COPIED, "h-q1")
@@ -38,7 +38,7 @@
 
 
 class CopyKeeperTest(unittest.TestCase):
-    """One run that is copied from one engine to another."""
+    """One run is copied from one engine to another."""
 
     @asynccontextmanager
     async def _keeper(self):
@@ -90,7 +90,7 @@
                     scope.cancel()
             keeper.drop(self.copy)
             await anyio.wait_all_tasks_blocked()
-            # Its name is not known yet, and it may occupy memory.
+            # The handle is not known yet, and the copy may occupy KV cache.
             self.assertEqual(self._counted, TOKENS)
             self.calls.may_answer.set()
             await anyio.wait_all_tasks_blocked()
--- a/tests/gateway/test_edge.py
+++ b/tests/gateway/test_edge.py
@@ -1,4 +1,4 @@
-"""Connections of callers: what is read, what is refused, what is seen."""
+"""Tests the HTTP server for callers on a real socket."""
 
 import asyncio
 import random
@@ -16,7 +16,7 @@
 
 
 class Edge:
-    """An edge whose handler echoes, and what it saw."""
+    """A server with an echo handler, and the requests that it received."""
 
     def __init__(self):
         self.address = free_address()
@@ -44,7 +44,7 @@
         return await asyncio.open_connection(host, int(port))
 
     async def talk(self, data):
-        """Sends bytes; returns all that comes until the connection ends."""
+        """Sends bytes; returns all bytes received until the close."""
         reader, writer = await self.connect()
         writer.write(data)
         writer.write_eof() if not data else None
@@ -56,7 +56,7 @@
 
 @asynccontextmanager
 async def edge(limits=None):
-    """Runs an edge; yields it with what it saw."""
+    """Runs a server."""
     found = Edge()
     if limits is not None:
         found.server.status.limits = limits
@@ -230,6 +230,6 @@
                         )
                 await server.talk(bytes(data))
             for request in server.seen:
-                # A changed byte may give another path, never a request whose
-                # first line is the body of another one.
+                # A changed byte may result in another path, but the body of a
+                # request must never be read as the first line of a request.
                 self.assertNotEqual(request.method, "GET")
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -1,4 +1,4 @@
-"""Gateways as processes, before the stand-ins of the platform."""
+"""Tests gateway processes with stand-ins of the platform."""
 
 import json
 import pathlib
@@ -16,7 +16,7 @@
 from lab.standins.platformstore import PlatformStoreServer
 from tests.helpers import Processes, asynchronous, free_address
 
-# What a configuration tells of a service whose endpoints are engines.
+# The part of a configuration that describes the engines of a service.
 ENGINE = {"slots": 24, "kv_tokens": 34_000, "moves": True, "backups": True}
 
 
@@ -28,7 +28,7 @@
 
 
 class Deployment:
-    """Some gateways, a store and an engine."""
+    """Several gateways, a store and an engine."""
 
     def __init__(self, folder):
         self.folder = pathlib.Path(folder)
@@ -73,7 +73,7 @@
         return f"http://127.0.7.{number}:{self.ports[service]}{path}"
 
     async def get(self, url, **headers):
-        """Returns an answer, or None without a connection."""
+        """Returns a response, or None if the connection fails."""
         try:
             async with httpx.AsyncClient(timeout=20) as client:
                 return await client.get(url, headers=headers)
@@ -90,13 +90,13 @@
         )
 
     async def until(self, check):
-        """Waits until an awaited check is true."""
+        """Waits until an async check returns true; at most 20 s."""
         with anyio.fail_after(20):
             while not await check():
                 await anyio.sleep(0.02)
 
     async def is_ready(self, number):
-        """Tells whether a gateway says that it is ready."""
+        """Returns whether a gateway reports that it is ready."""
         found = await self.get(self.url(number, "ready", "/readiness"))
         return found is not None and found.status_code == httpx.codes.OK
 
@@ -108,7 +108,7 @@
 
 @asynccontextmanager
 async def deployment():
-    """Runs the stand-ins; the gateways are started by the test."""
+    """Runs the stand-ins. The test starts the gateways."""
     with tempfile.TemporaryDirectory() as folder:
         found = Deployment(folder)
         async with anyio.create_task_group() as tasks:
@@ -125,7 +125,7 @@
 
 
 class GatewayTest(unittest.TestCase):
-    """The whole path."""
+    """Requests through real gateway processes."""
 
     @asynchronous
     async def test_a_request_is_served_and_its_way_is_logged(self):
@@ -219,7 +219,7 @@
             self.assertEqual(status, 0)
 
     async def _end_under_an_open_request(self, *later):
-        """Ends a gateway that waits for an answer, by more than one signal."""
+        """Stops a gateway that waits for a response, then sends `later`."""
         go_on = anyio.Event()
 
         async def wait(arrival, responder):
@@ -247,7 +247,7 @@
                 await d.until(not_ready)
                 for number in later:
                     d.processes.signal("g1", number)
-                    # Signals that are sent at once may be joined into one.
+                    # Signals sent without a pause may be merged into one.
                     await anyio.sleep(0.1)
                 go_on.set()
             self.assertEqual(answers[0].text, "q1")
--- a/tests/gateway/test_plaincalls.py
+++ b/tests/gateway/test_plaincalls.py
@@ -1,4 +1,4 @@
-"""Plain calls before endpoints that fail in every way that they can."""
+"""Tests plain calls to endpoints that fail in different ways."""
 
 import unittest
 
@@ -14,11 +14,11 @@
 
 
 async def cut(arrival, responder):
-    """Closes the connection without an answer."""
+    """Closes the connection without a response."""
 
 
 async def cut_midway(arrival, responder):
-    """Announces more than it sends."""
+    """Closes the connection before the announced end of the body."""
     headers = [*head_of(arrival), (b"Content-Length", b"100")]
     await responder._connection.write(
         b"HTTP/1.1 200 OK\r\n"
@@ -28,34 +28,34 @@
 
 
 async def fail(arrival, responder):
-    """An error of the endpoint's own."""
+    """Responds with an error of the endpoint itself."""
     await responder.send(500, head_of(arrival), b"no")
 
 
 async def unsigned(arrival, responder):
-    """An answer that is not the endpoint's."""
+    """Sends a response without the endpoint's signature."""
     head = [(b"Attempt-Id", arrival.id.encode())]
     await responder.send(200, head, b"not the endpoint's")
 
 
 async def encoded(arrival, responder):
-    """A body that something on the way has changed."""
+    """Sends a body that was encoded on the way."""
     head = [*head_of(arrival), (b"Content-Encoding", b"gzip")]
     await responder.send(200, head, b"zzz")
 
 
 async def busy(arrival, responder):
-    """Says 503 without saying that nothing ran."""
+    """Responds with 503 without stating that nothing ran."""
     await responder.send(503, head_of(arrival), b"")
 
 
 async def nonsense(arrival, responder):
-    """Bytes that are no answer."""
+    """Sends bytes that are no HTTP response."""
     await responder._connection.write(b"\x00\x01 what?\r\n\r\n")
 
 
 async def stale_first(arrival, responder):
-    """An answer to another request stands before the right one."""
+    """Sends a response to another request before the right one."""
     await responder._connection.write(
         b"HTTP/1.1 200 OK\r\nAttempt-Id: other\r\nServer-Signature: s\r\n"
         b"Content-Length: 5\r\n\r\nother"
@@ -64,7 +64,7 @@
 
 
 def _once(behaviour):
-    """Returns a behaviour that is good from the second request on."""
+    """Returns a behaviour that fails the first request only."""
     seen = []
 
     async def run(arrival, responder):
@@ -174,7 +174,7 @@
         async with world(engines=1) as w:
             await w.call()
             headers = w.engines[0].arrivals[0].headers
-            # The route's limit of 5 s goes before the caller's 20 s.
+            # The route's limit of 5 s is lower than the caller's 20 s.
             self.assertLessEqual(int(headers["deadline-ms"]), 5_000)
             self.assertEqual(headers["tenant"], "acme")
             self.assertNotIn("authorization", headers)
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -1,4 +1,4 @@
-"""Generations before engines that leave, crash, refuse and break off."""
+"""Tests generations at engines that leave, crash, refuse or break off."""
 
 import unittest
 
@@ -25,7 +25,7 @@
 
 
 class Generation:
-    """Makes six events; a test decides when, and where it breaks."""
+    """Generates six events; a test sets where the stream stops or breaks."""
 
     def __init__(self):
         self.break_after = None
@@ -35,7 +35,7 @@
         self.go_on.set()
 
     async def run(self, arrival, responder):
-        """Behaves as an engine."""
+        """Responds to a request as an engine."""
         start = int(arrival.headers.get("last-event-id", 0))
         await responder.start_stream(200, head_of(arrival))
         for number in range(start + 1, 7):
@@ -85,7 +85,7 @@
             while not source.moves:
                 await anyio.sleep(0)
             self.assertEqual(source.moves[0]["to"], other.address)
-            # The first copy is answered before its engine ends.
+            # The first copy is complete before the source engine ends.
             while not next(iter(w.streams._runs)).home:
                 await anyio.sleep(0)
             generation.go_on.set()
@@ -144,7 +144,7 @@
             w.announce_leaving(source)
             while not next(iter(w.streams._runs)).home:
                 await anyio.sleep(0)
-            # The engine is about to end: it answers no call any more.
+            # The engine is about to end: from here on all its calls fail.
             source.move_status = 500
             copies = len(source.moves)
             while len(source.moves) < copies + 2:
@@ -182,7 +182,7 @@
         resumed = other.arrivals[0].headers
         self.assertEqual(resumed["kv-from"], f"{other.address}/q1")
         self.assertEqual(resumed["last-event-id"], "3")
-        # The first engine may live: it was told to stop the run.
+        # The first engine may be alive, so it was told to stop the run.
         self.assertTrue(first.moves[0]["last"])
 
     @asynchronous
@@ -190,7 +190,7 @@
         self,
     ):
         async def cut(arrival, responder):
-            """Closes the connection without an answer."""
+            """Closes the connection without a response."""
 
         async with world(table=ONCE) as w:
             for engine in w.engines:
@@ -236,7 +236,8 @@
                 engine.behaviour = refuse_first
             found = await w.call()
         self.assertEqual(found.body, ALL)
-        # The run at one engine, its backup at another, nothing at the third.
+        # The run is counted at one engine, its standby at another, and nothing
+        # at the third.
         self.assertEqual(held[0][0], 0)
         self.assertEqual(held[1], held[0])
 
--- a/tests/gatewaybuilders.py
+++ b/tests/gatewaybuilders.py
@@ -1,4 +1,4 @@
-"""Builders of test data for the gateway."""
+"""Builds test data for the gateway."""
 
 import random
 
@@ -78,7 +78,7 @@
 
 
 def candidate(name="e1", runs=0, tokens=0, prefill=0, **fields):
-    """Returns a candidate with 34,000 tokens of memory."""
+    """Returns a candidate with a KV cache of 34,000 tokens."""
     base = {"capacity_tokens": 34_000}
     return Candidate(
         endpoint(name, data_center=fields.pop("data_center", "dc-a")),
@@ -116,5 +116,5 @@
 
 
 def rng():
-    """Returns a random source with a fixed seed."""
+    """Returns a random generator with a fixed seed."""
     return random.Random(1)
--- a/tests/gatewayworld.py
+++ b/tests/gatewayworld.py
@@ -1,4 +1,4 @@
-"""A gateway's request path on loopback, before engines that tests script."""
+"""Runs a gateway's request path on loopback, with scripted engines."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -30,22 +30,22 @@
 
 
 class NoPeers:
-    """Stands for the other gateways where there are none."""
+    """A `Peers` for a gateway without other gateways."""
 
     count = 0
     near_count = 0
 
     def tell_loads(self):
-        """Tells nobody."""
+        """Does nothing."""
 
     def report_failure(self, endpoint):
-        """Returns what peers would be told."""
+        """Returns the notice that peers would receive."""
         return FailureNotice("g1", "dc-a", endpoint)
 
 
 @attrs.define
 class Answer:
-    """What a caller got."""
+    """A response as the caller received it."""
 
     status: int
     headers: dict
@@ -54,7 +54,7 @@
 
 
 class World:
-    """A router before scripted engines."""
+    """A gateway's router with scripted engines behind it."""
 
     def __init__(self, engines, table, tracer=None):
         self.engines = [
@@ -100,14 +100,14 @@
         return self.context.fleet.put(endpoint, self.context.clock.now())
 
     def announce_leaving(self, engine):
-        """Lets an engine's notice arrive."""
+        """Delivers the notice that an engine is leaving."""
         assert self.put(engine, "draining")
         known = self.context.fleet.get(engine.name)
         self.streams.note_leaving(known.endpoint)
 
     @property
     def arrivals(self):
-        """The engines that requests reached, in order of the engines."""
+        """The name of the engine of each received request, by engine."""
         return [e.name for e in self.engines for _ in e.arrivals]
 
     async def open(self, request_id="q1", method="POST", path="/r/x", **more):
@@ -127,7 +127,7 @@
         return reader, writer
 
     async def call(self, *args, **more):
-        """Sends a request and returns the whole answer."""
+        """Sends a request and returns the whole response."""
         reader, writer = await self.open(*args, **more)
         try:
             return await read_answer(reader)
@@ -136,7 +136,7 @@
 
 
 async def read_answer(reader):
-    """Reads an answer to its end, complete or not."""
+    """Reads a response to its end, complete or not."""
     data = b""
     try:
         while True:
@@ -145,7 +145,7 @@
                 break
             data += part
     except ConnectionError:
-        # What came before the reset counts as an incomplete answer.
+        # The bytes received before the reset count as an incomplete response.
         data += b""
     head, _, body = data.partition(b"\r\n\r\n")
     lines = head.decode("latin-1").split("\r\n")
@@ -161,7 +161,7 @@
 
 
 def _unchunk(data):
-    """Returns the content of chunks and whether the last one came."""
+    """Returns the content of chunks and whether the last chunk is there."""
     found = b""
     while data:
         size, _, rest = data.partition(b"\r\n")
@@ -174,7 +174,7 @@
 
 @asynccontextmanager
 async def world(engines=2, table=None, tracer=None):
-    """Runs a world."""
+    """Runs a gateway's request path and its engines."""
     found = World(engines, table or build.table(build.route()), tracer)
     async with anyio.create_task_group() as tasks:
         for engine in found.engines:
--- a/tests/latesignal.py
+++ b/tests/latesignal.py
@@ -1,4 +1,4 @@
-"""Runs a program by its name that gets SIGHUP when its work is done."""
+"""Runs a program by name and sends it SIGHUP after its main function ends."""
 
 import os
 import signal
--- a/tests/platform/test_bootfile.py
+++ b/tests/platform/test_bootfile.py
@@ -1,4 +1,4 @@
-"""The platform's settings file."""
+"""Tests the parser of the platform's settings file."""
 
 import unittest
 
@@ -20,7 +20,7 @@
 
 
 class BootFileTest(unittest.TestCase):
-    """Texts in, settings out."""
+    """Settings parsed from a text."""
 
     def test_the_settings_are_read(self):
         found = bootfile.parse(TEXT, 9464)
--- a/tests/platform/test_boundary.py
+++ b/tests/platform/test_boundary.py
@@ -1,4 +1,4 @@
-"""The platform's names occur in its folder only."""
+"""Tests that the platform's names occur only in its folder."""
 
 import re
 import unittest
@@ -15,7 +15,7 @@
 
 
 class BoundaryTest(unittest.TestCase):
-    """Sources of the package."""
+    """The source files of the package."""
 
     def test_no_name_of_the_wire_is_outside_its_folder(self):
         package = ROOT / "rhubarbwinch"
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""The platform's documents, foreign writers' ones included."""
+"""Tests the decoding of the platform's documents, also malformed ones."""
 
 import unittest
 
@@ -74,7 +74,7 @@
 
 
 class EndpointTest(unittest.TestCase):
-    """Registrations of endpoints."""
+    """The registration documents of endpoints."""
 
     def test_a_registration_is_read(self):
         found = documents.decode_endpoint("i-1", _bytes(ENDPOINT))
@@ -111,7 +111,7 @@
 
 
 class ConfigTest(unittest.TestCase):
-    """Versions of the configuration."""
+    """The configuration document."""
 
     def test_a_version_is_read(self):
         table = documents.decode_config(orjson.dumps(CONFIG))
@@ -145,7 +145,7 @@
 
 
 class ReportTest(unittest.TestCase):
-    """Reports of engines."""
+    """The report document of engines."""
 
     def test_a_report_is_read(self):
         report = {"stage": "hybrid", "active_requests": 3}
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -1,4 +1,4 @@
-"""Heads of requests and answers on the platform's wire."""
+"""Tests the encoding and decoding of the platform's HTTP heads."""
 
 import unittest
 
@@ -30,7 +30,7 @@
 
 
 class CallTest(unittest.TestCase):
-    """Requests of callers."""
+    """Request heads."""
 
     def test_a_head_is_read(self):
         call = _decode((b"Length-Hint", b"40"), (b"Last-Event-Id", b"9"))
@@ -110,7 +110,7 @@
 
 
 class AnswerTest(unittest.TestCase):
-    """Answers of endpoints."""
+    """Response heads."""
 
     def test_only_the_endpoint_itself_says_that_nothing_ran(self):
         for status, more, expected in (
--- a/tests/platform/test_kvstore.py
+++ b/tests/platform/test_kvstore.py
@@ -1,4 +1,4 @@
-"""The store's adapter against the stand-in of the platform's store."""
+"""Tests the store client with the stand-in of the platform's store."""
 
 import unittest
 from contextlib import asynccontextmanager
@@ -19,7 +19,7 @@
 
 @asynccontextmanager
 async def platform(timeout_ms=TIMEOUT_MS):
-    """Runs a stand-in; yields it with a store that speaks to it."""
+    """Runs a stand-in; yields it with a store client."""
     server = PlatformStoreServer(free_address())
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(server.run)
@@ -33,7 +33,7 @@
 
 
 class PlatformStoreTest(unittest.TestCase):
-    """What the rest of the program expects of a store."""
+    """The behaviour that the program expects of a store."""
 
     @asynchronous
     async def test_values_are_written_under_a_condition(self):
