--- a/rhubarbwinch/gateway/answers.py
+++ b/rhubarbwinch/gateway/answers.py
@@ -17,7 +17,7 @@
 _STATUS_FAILED = 502
 
 
-def status_of(failure: Failure) -> int:
+def http_status(failure: Failure) -> int:
     """Returns the HTTP status of a failure.
 
     To callers 503 means that the request has not run and will not run, so it
@@ -37,7 +37,7 @@
     failure: Failure,
 ) -> None:
     """Logs a failure and sends it as the response."""
-    status = status_of(failure)
+    status = http_status(failure)
     events.REQUEST_FAILED.log(
         request=request_id,
         verdict=failure.verdict,
@@ -47,9 +47,11 @@
         retry_after_ms=failure.retry_after_ms,
     )
     statistics.REQUESTS.labels("-", failure.reason).inc()
-    retry = failure.retry_after_ms if status == _STATUS_NOT_RUN else None
+    retry_hint_ms = (
+        failure.retry_after_ms if status == _STATUS_NOT_RUN else None
+    )
     await responder.send(
         status,
-        platform.refusal_headers(request_id, retry),
+        platform.failure_headers(request_id, retry_hint_ms),
         failure.detail.encode(),
     )
--- a/rhubarbwinch/gateway/context.py
+++ b/rhubarbwinch/gateway/context.py
@@ -5,7 +5,7 @@
 import attrs
 
 from rhubarbwinch.gateway import statistics
-from rhubarbwinch.gateway.copies import CopyKeeper
+from rhubarbwinch.gateway.copies import CopyManager
 from rhubarbwinch.gateway.crashes import Break, CrashLedger, fingerprint
 from rhubarbwinch.gateway.edge import EdgeRequest
 from rhubarbwinch.gateway.failurereports import (
@@ -62,7 +62,7 @@
     budget: RetryBudget
     peers: Peers
     upstream: Upstream
-    copies: CopyKeeper
+    copies: CopyManager
     crashes: CrashLedger
     tracer: Tracer | None = None
     table: RoutingTable | None = None
@@ -73,18 +73,18 @@
         spec = self.table.services.get(service) if self.table else None
         return spec.engine if spec is not None else None
 
-    def candidates(self, service: str, skip: set[str]) -> list[Candidate]:
+    def candidates(self, service: str, excluded: set[str]) -> list[Candidate]:
         """Returns the endpoints to which a request may be sent now.
 
         Args:
             service: The service that the request needs.
-            skip: Ids of endpoints that are left out.
+            excluded: Ids of endpoints that are left out.
         """
         now = self.clock.now()
         known = [
             k
             for k in self.fleet.of_service(service)
-            if k.endpoint.id not in skip
+            if k.endpoint.id not in excluded
         ]
         usable = set(self.suspicion.usable([k.endpoint.id for k in known], now))
         return [
@@ -117,10 +117,10 @@
                     self.suspicion.failure_share(endpoint_id), 2
                 ),
             )
-        if self._is_reported(service, outcome):
-            self.take_failure(self.peers.report_failure(endpoint_id))
+        if self._is_shared(service, outcome):
+            self.handle_failure(self.peers.report_failure(endpoint_id))
 
-    def _is_reported(self, service: str, outcome: Outcome) -> bool:
+    def _is_shared(self, service: str, outcome: Outcome) -> bool:
         """Returns whether an outcome is reported to the other gateways."""
         if outcome is Outcome.ERROR:
             # Plain services may respond to some requests with errors of their
@@ -128,7 +128,7 @@
             return self.engine_spec(service) is not None
         return outcome in (Outcome.BROKEN, Outcome.UNREACHABLE)
 
-    def take_failure(self, notice: FailureNotice) -> None:
+    def handle_failure(self, notice: FailureNotice) -> None:
         """Handles a failure that this gateway or a peer has observed."""
         known = self.fleet.get(notice.endpoint)
         if known is None or known.is_leaving:
@@ -155,7 +155,7 @@
             pause_ms=until_ms - now,
         )
 
-    def note_break(self, job: "Job", endpoint_id: str, address: str) -> None:
+    def check_crash(self, job: "Job", endpoint_id: str, address: str) -> None:
         """Starts the check whether an endpoint crashed during a request."""
         known = self.fleet.get(endpoint_id)
         if known is None or known.is_leaving:
@@ -164,7 +164,7 @@
             Break(job.call.request_id, job.fingerprint, endpoint_id, address)
         )
 
-    def may_send_again(self, service: str) -> bool:
+    def acquire_retry(self, service: str) -> bool:
         """Takes one attempt from the retry budget; False if it is used up."""
         return self.budget.take(service, self.peers.count + 1, self.clock.now())
 
--- a/rhubarbwinch/gateway/continuing.py
+++ b/rhubarbwinch/gateway/continuing.py
@@ -3,140 +3,157 @@
 import anyio
 
 from rhubarbwinch.gateway import statistics
-from rhubarbwinch.gateway.carrying import Carrier
+from rhubarbwinch.gateway.carrying import Migrator
 from rhubarbwinch.gateway.context import Context
 from rhubarbwinch.gateway.endpoints import Endpoint
-from rhubarbwinch.gateway.enginesends import EngineSends
+from rhubarbwinch.gateway.enginesends import GenerationSender
 from rhubarbwinch.gateway.loads import Room
-from rhubarbwinch.gateway.rooms import RoomKeeper
-from rhubarbwinch.gateway.runs import NewHome, Run
+from rhubarbwinch.gateway.rooms import RunPlacer
+from rhubarbwinch.gateway.runs import MigrationTarget, Run
 from rhubarbwinch.gateway.suspicion import Outcome
-from rhubarbwinch.gateway.upstream import Answer
-from rhubarbwinch.gateway.wire import MemoryCopy
+from rhubarbwinch.gateway.upstream import UpstreamResponse
+from rhubarbwinch.gateway.wire import KvCacheLocation
 from rhubarbwinch.shared import events
 
 # How long a failover waits for a copy that is in flight when the stream breaks.
 # Resuming from the copy is worth this pause.
 COPY_WAIT_MS = 600
 # What a run resumes from: a migrated copy, or the KV cache of a hot standby.
-MOVE = "move"
-BACKUP = "backup"
+FROM_MIGRATED_COPY = "move"
+FROM_STANDBY = "backup"
 
 
-class Continuation:
+class Failover:
     """Resumes runs at other engines.
 
     Args:
         context: The objects shared by all requests.
-        rooms: Reserves capacity at engines.
-        carrier: Migrates the KV caches of runs.
-        sends: Sends generations to engines.
+        placer: Reserves capacity at engines.
+        migrator: Migrates the KV caches of runs.
+        sender: Sends generations to engines.
     """
 
     def __init__(
         self,
         context: Context,
-        rooms: RoomKeeper,
-        carrier: Carrier,
-        sends: EngineSends,
+        placer: RunPlacer,
+        migrator: Migrator,
+        sender: GenerationSender,
     ) -> None:
         self._context = context
-        self._rooms = rooms
-        self._carrier = carrier
-        self._sends = sends
+        self._placer = placer
+        self._migrator = migrator
+        self._sender = sender
 
-    async def go_on(self, run: Run, source: Endpoint) -> Answer | None:
+    async def resume(
+        self, run: Run, source: Endpoint
+    ) -> UpstreamResponse | None:
         """Resumes a run from its KV cache, or restarts it if that is allowed.
 
         Returns:
             The response of the next engine, or None if the run cannot resume.
         """
         self._context.note(
-            run.job, run.job.service, source.id, self._blame(source)
+            run.job, run.job.service, source.id, self._outcome_for(source)
         )
-        if run.copying is not None:
+        if run.migration_scope is not None:
             with anyio.move_on_after(COPY_WAIT_MS / 1000):
-                await run.has_copy.wait()
-        if run.home is not None:
-            return await self._go_home(run, run.home, MOVE)
-        if self._carrier.has_backup(run):
-            return await self._go_home(run, self._backup_home(run), BACKUP)
+                await run.first_copy_settled.wait()
+        if run.target is not None:
+            return await self._resume_at_target(
+                run, run.target, FROM_MIGRATED_COPY
+            )
+        if self._migrator.has_standby(run):
+            return await self._resume_at_target(
+                run, self._standby_target(run), FROM_STANDBY
+            )
         if run.job.route.is_resumable:
-            return await self._begin_anew(run, source)
+            return await self._restart(run, source)
         return None
 
-    def _blame(self, source: Endpoint) -> Outcome:
+    def _outcome_for(self, source: Endpoint) -> Outcome:
         """Returns the outcome to record for the engine of a broken stream."""
         known = self._context.fleet.get(source.id)
         if known is None or known.is_leaving:
             return Outcome.GOOD
         return Outcome.BROKEN
 
-    def _backup_home(self, run: Run) -> NewHome:
+    def _standby_target(self, run: Run) -> MigrationTarget:
         """Returns the standby of a run as the target to resume at."""
-        assert run.backup is not None
-        assert run.room is not None
-        backup = run.backup
-        room = Room(backup.endpoint, backup.tokens, 0, 1, self._context.loads)
-        copy = MemoryCopy(backup.endpoint.address, run.id)
-        return NewHome(room.hold(), copy, run.room.endpoint)
+        assert run.standby is not None
+        assert run.reservation is not None
+        standby = run.standby
+        reservation = Room(
+            standby.endpoint, standby.tokens, 0, 1, self._context.loads
+        )
+        location = KvCacheLocation(standby.endpoint.address, run.id)
+        return MigrationTarget(
+            reservation.hold(), location, run.reservation.endpoint
+        )
 
-    async def _go_home(
-        self, run: Run, home: NewHome, how: str
-    ) -> Answer | None:
+    async def _resume_at_target(
+        self, run: Run, target: MigrationTarget, how: str
+    ) -> UpstreamResponse | None:
         """Resumes a run at the engine that has its KV cache."""
         # From here on the run owns the copy, so the copy is not freed.
-        self._settle(run, home.room)
-        await self._carrier.stop(
-            run, home.source, home.room.endpoint, is_copy_used=how == MOVE
+        self._replace_reservation(run, target.reservation)
+        await self._migrator.stop(
+            run,
+            target.source,
+            target.reservation.endpoint,
+            is_copy_used=how == FROM_MIGRATED_COPY,
+        )
+        response = await self._send_to_target(
+            run, target.reservation.endpoint, target.location, how
         )
-        answer = await self._resume(run, home.room.endpoint, home.copy, how)
-        if answer is not None:
-            self._carrier.copy_if_leaving(run)
-        return answer
+        if response is not None:
+            self._migrator.migrate_if_leaving(run)
+        return response
 
-    async def _begin_anew(self, run: Run, source: Endpoint) -> Answer | None:
+    async def _restart(
+        self, run: Run, source: Endpoint
+    ) -> UpstreamResponse | None:
         """Restarts a resumable run after its last event at another engine."""
         job = run.job
         if job.sends >= job.route.max_attempts:
             return None
         job.tried.add(source.id)
-        if not self._sends.may_send_again(run):
+        if not self._sender.acquire_retry(run):
             return None
         run.release()
-        if await self._rooms.place(run) is not None or run.room is None:
+        if await self._placer.place(run) is not None or run.reservation is None:
             return None
-        await self._carrier.stop(
-            run, source, run.room.endpoint, is_copy_used=False
+        await self._migrator.stop(
+            run, source, run.reservation.endpoint, is_copy_used=False
         )
-        result = await self._sends.open(run, run.room.endpoint, None)
-        return result if isinstance(result, Answer) else None
+        result = await self._sender.open(run, run.reservation.endpoint, None)
+        return result if isinstance(result, UpstreamResponse) else None
 
-    def _settle(self, run: Run, room: Room) -> None:
+    def _replace_reservation(self, run: Run, reservation: Room) -> None:
         """Replaces the reservation of a run and reserves a new standby."""
         run.release()
-        run.room = room
-        if run.copying is not None:
-            run.copying.cancel()
-            run.copying = None
-        self._rooms.hold_backup(run)
-        self._rooms.note_change()
+        run.reservation = reservation
+        if run.migration_scope is not None:
+            run.migration_scope.cancel()
+            run.migration_scope = None
+        self._placer.reserve_standby(run)
+        self._placer.note_change()
 
-    async def _resume(
-        self, run: Run, endpoint: Endpoint, copy: MemoryCopy, how: str
-    ) -> Answer | None:
+    async def _send_to_target(
+        self, run: Run, endpoint: Endpoint, location: KvCacheLocation, how: str
+    ) -> UpstreamResponse | None:
         """Sends a generation to the engine that has its KV cache."""
-        if not self._sends.may_send_again(run):
+        if not self._sender.acquire_retry(run):
             return None
-        result = await self._sends.open(run, endpoint, copy)
-        is_good = isinstance(result, Answer)
-        statistics.MOVES.labels(how, "good" if is_good else "failed").inc()
+        result = await self._sender.open(run, endpoint, location)
+        is_resumed = isinstance(result, UpstreamResponse)
+        statistics.MOVES.labels(how, "good" if is_resumed else "failed").inc()
         events.CARRIED_ON.log(
             request=run.id,
             endpoint=endpoint.id,
             how=how,
-            good=is_good,
+            good=is_resumed,
             after=run.last_event_id,
             pause_ms=self._context.clock.now() - run.last_event_ms,
         )
-        return result if isinstance(result, Answer) else None
+        return result if isinstance(result, UpstreamResponse) else None
--- a/rhubarbwinch/gateway/copies.py
+++ b/rhubarbwinch/gateway/copies.py
@@ -15,9 +15,9 @@
 from rhubarbwinch.gateway.endpoints import Endpoint
 from rhubarbwinch.gateway.loads import Room
 from rhubarbwinch.gateway.wire import (
+    CopyResult,
     EngineCalls,
     FreeState,
-    MoveResult,
     MoveState,
 )
 from rhubarbwinch.shared import events
@@ -29,14 +29,14 @@
 
 
 @attrs.define(eq=False)
-class RunCopy:
+class MigratedCopy:
     """A copy of a run's KV cache at another engine.
 
     Attributes:
         request_id: The caller's id of the request attempt.
         source: The engine that executes the run.
         target: The engine that stores the copy.
-        room: The reservation for the copy at the target, or None.
+        reservation: The reservation for the copy at the target, or None.
         expiry_ms: How long engines keep a copy that is not used.
         handle: The name of the copy at the source; empty before the first
             response.
@@ -46,31 +46,31 @@
     request_id: str
     source: Endpoint
     target: Endpoint
-    room: Room | None
+    reservation: Room | None
     expiry_ms: int
     handle: str = ""
     may_exist: bool = False
-    _calls: int = 0
+    _open_calls: int = 0
     _is_idle: anyio.Event = attrs.field(factory=anyio.Event)
 
     def begin_call(self) -> None:
         """Records that a call about the copy is in flight."""
-        self._calls += 1
+        self._open_calls += 1
 
     def end_call(self) -> None:
         """Records that a call about the copy has ended."""
-        self._calls -= 1
-        if not self._calls:
+        self._open_calls -= 1
+        if not self._open_calls:
             self._is_idle.set()
             self._is_idle = anyio.Event()
 
     async def wait_idle(self) -> None:
         """Waits until no call about the copy is in flight."""
-        if self._calls:
+        if self._open_calls:
             await self._is_idle.wait()
 
 
-class CopyKeeper:
+class CopyManager:
     """Makes, refreshes and frees copies of KV caches at engines.
 
     Args:
@@ -89,88 +89,88 @@
             self._tasks = tasks
             await anyio.sleep_forever()
 
-    async def renew(
-        self, copy: RunCopy, is_last: bool, relayed: int
-    ) -> MoveResult:
+    async def refresh(
+        self, copy: MigratedCopy, stop_first: bool, relayed: int
+    ) -> CopyResult:
         """Makes a copy, or updates an existing one.
 
         The call to the engine continues if this method is cancelled.
 
         Args:
             copy: The copy.
-            is_last: Whether the engine stops the run before it copies.
+            stop_first: Whether the engine stops the run before it copies.
             relayed: Number of events sent to the caller, for the log.
 
         Returns:
             The engine's reply.
         """
         assert self._tasks is not None
-        found: list[MoveResult] = []
+        results: list[CopyResult] = []
         copy.begin_call()
-        self._tasks.start_soon(self._call, copy, is_last, relayed, found)
+        self._tasks.start_soon(self._call, copy, stop_first, relayed, results)
         await copy.wait_idle()
-        return found[0] if found else MoveResult(MoveState.FAILED)
+        return results[0] if results else CopyResult(MoveState.FAILED)
 
-    def drop(self, copy: RunCopy) -> None:
+    def free(self, copy: MigratedCopy) -> None:
         """Frees a copy and then releases its reservation, in the background."""
         assert self._tasks is not None
         self._tasks.start_soon(self._free, copy)
 
     async def _call(
         self,
-        copy: RunCopy,
-        is_last: bool,
+        copy: MigratedCopy,
+        stop_first: bool,
         relayed: int,
-        found: list[MoveResult],
+        results: list[CopyResult],
     ) -> None:
-        started = self._clock.now()
+        started_ms = self._clock.now()
         try:
-            result = await self._calls.move(
+            result = await self._calls.copy_run(
                 copy.source.address,
                 copy.request_id,
                 copy.target.address,
-                is_last,
+                stop_first,
             )
             copy.handle = result.handle or copy.handle
             if result.state in (MoveState.COPIED, MoveState.FAILED):
                 copy.may_exist = True
-            found.append(result)
+            results.append(result)
         finally:
             copy.end_call()
         statistics.MOVES.labels(
-            "stop" if is_last else "copy", result.state
+            "stop" if stop_first else "copy", result.state
         ).inc()
         events.MOVED.log(
             request=copy.request_id,
             source=copy.source.id,
             target=copy.target.id,
-            last=is_last,
+            last=stop_first,
             state=result.state,
-            took_ms=self._clock.now() - started,
+            took_ms=self._clock.now() - started_ms,
             events=result.events,
             relayed=relayed,
         )
 
-    async def _free(self, copy: RunCopy) -> None:
+    async def _free(self, copy: MigratedCopy) -> None:
         await copy.wait_idle()
-        is_free = not copy.may_exist
+        is_freed = not copy.may_exist
         if copy.handle:
-            is_free = await self._free_anywhere(copy)
+            is_freed = await self._free_anywhere(copy)
             events.COPY_DROPPED.log(
                 request=copy.request_id,
                 source=copy.source.id,
                 target=copy.target.id,
-                freed=is_free,
+                freed=is_freed,
             )
-        if copy.room is None:
+        if copy.reservation is None:
             return
-        if not is_free:
+        if not is_freed:
             # After a broken call the target keeps the received part of the copy
             # until the expiry time.
             await self._clock.sleep(int(EXPIRY_FACTOR * copy.expiry_ms))
-        copy.room.release()
+        copy.reservation.release()
 
-    async def _free_anywhere(self, copy: RunCopy) -> bool:
+    async def _free_anywhere(self, copy: MigratedCopy) -> bool:
         """Frees a copy at its source, or at its target if that fails."""
         at_source = await self._calls.free_copy(
             copy.source.address, copy.handle
--- a/rhubarbwinch/gateway/edge.py
+++ b/rhubarbwinch/gateway/edge.py
@@ -22,9 +22,9 @@
 
 BACKLOG = 1024
 # Reading from the socket pauses while more than this is buffered.
-MAX_AHEAD_BYTES = 64 << 10
+MAX_BUFFERED_BYTES = 64 << 10
 # A caller's VM that acknowledges no data for this time is taken as dead.
-DEAD_CALLER_MS = 8_000
+CALLER_ACK_TIMEOUT_MS = 8_000
 _STATUS_TOO_LARGE = 413
 _STATUS_TIMEOUT = 408
 
@@ -129,11 +129,11 @@
     def __init__(self, server: "EdgeServer") -> None:
         self._server = server
         self._transport: asyncio.Transport
-        self._http = self._new_parser()
+        self._parser = self._new_parser()
         self._wakeup: anyio.Event | None = None
-        self._can_write: anyio.Event | None = None
+        self._writable: anyio.Event | None = None
         self._scope: anyio.CancelScope | None = None
-        self._ahead = bytearray()
+        self._buffer = bytearray()
         self._is_reading_paused = False
         self.is_open = False
         self.method = ""
@@ -148,45 +148,45 @@
         """Starts the connection's task."""
         self._transport = transport  # type: ignore[assignment]
         self.is_open = True
-        link: socket.socket = transport.get_extra_info("socket")
-        link.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        probe_dead_peer(link, DEAD_CALLER_MS)
+        sock: socket.socket = transport.get_extra_info("socket")
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        probe_dead_peer(sock, CALLER_ACK_TIMEOUT_MS)
         self._server.start(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Cancels the work for the caller."""
-        self._note_gone()
+        self._handle_disconnect()
 
     def eof_received(self) -> bool:
         """Handles a half close by the caller as a disconnect."""
-        self._note_gone()
+        self._handle_disconnect()
         return False
 
     def data_received(self, data: bytes) -> None:
         """Buffers bytes until the task reads them."""
-        self._ahead += data
+        self._buffer += data
         if self._wakeup is not None:
             self._wakeup.set()
-        elif len(self._ahead) > MAX_AHEAD_BYTES:
+        elif len(self._buffer) > MAX_BUFFERED_BYTES:
             self._is_reading_paused = True
             self._transport.pause_reading()
 
     def pause_writing(self) -> None:
         """Blocks writers while the caller reads too slowly."""
-        self._can_write = anyio.Event()
+        self._writable = anyio.Event()
 
     def resume_writing(self) -> None:
         """Unblocks writers."""
-        if self._can_write is not None:
-            self._can_write.set()
-        self._can_write = None
+        if self._writable is not None:
+            self._writable.set()
+        self._writable = None
 
     def abort(self) -> None:
         """Closes the connection at once."""
         self.is_open = False
         self._transport.abort()
 
-    def _note_gone(self) -> None:
+    def _handle_disconnect(self) -> None:
         self.is_open = False
         if self._scope is not None:
             self._scope.cancel()
@@ -205,10 +205,10 @@
                     return
                 status.open_requests += 1
                 try:
-                    is_complete = await self._answer(handler, request)
+                    is_complete = await self._respond(handler, request)
                 finally:
                     status.open_requests -= 1
-                if not is_complete or not self._next_cycle():
+                if not is_complete or not self._start_next_cycle():
                     return
         except _RefusedError as refused:
             await self._refuse(refused)
@@ -216,7 +216,9 @@
             status.connections -= 1
             self._transport.close()
 
-    async def _answer(self, handler: EdgeHandler, request: EdgeRequest) -> bool:
+    async def _respond(
+        self, handler: EdgeHandler, request: EdgeRequest
+    ) -> bool:
         """Runs the handler; returns whether the response is complete."""
         responder = EdgeResponder(self)
         with anyio.CancelScope() as self._scope:
@@ -229,15 +231,15 @@
             self._transport.abort()
         return responder.is_complete
 
-    def _next_cycle(self) -> bool:
+    def _start_next_cycle(self) -> bool:
         """Prepares for the next request; False if none is possible."""
-        if self._http.our_state is not h11.DONE:
+        if self._parser.our_state is not h11.DONE:
             return False
-        if self._http.their_state is not h11.DONE:
+        if self._parser.their_state is not h11.DONE:
             return False
-        trailing = self._http.trailing_data[0]
-        self._http = self._new_parser()
-        self._ahead[:0] = trailing
+        trailing = self._parser.trailing_data[0]
+        self._parser = self._new_parser()
+        self._buffer[:0] = trailing
         return True
 
     async def _refuse(self, refused: _RefusedError) -> None:
@@ -245,7 +247,7 @@
         events.REQUEST_UNREADABLE.log(
             status=refused.status, detail=str(refused)
         )
-        if self._http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
+        if self._parser.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         body = str(refused).encode()
         head = h11.Response(
@@ -280,9 +282,9 @@
             while True:
                 event = self._next_event()
                 if event is h11.NEED_DATA:
-                    if self._http.they_are_waiting_for_100_continue:
+                    if self._parser.they_are_waiting_for_100_continue:
                         await self._send_continue()
-                    if not await self._fill():
+                    if not await self._wait_data():
                         return None
                 elif isinstance(event, h11.Request):
                     head = event
@@ -329,12 +331,12 @@
             _RefusedError: The bytes are not a valid request.
         """
         try:
-            if self._ahead:
-                data = bytes(self._ahead)
-                self._ahead.clear()
+            if self._buffer:
+                data = bytes(self._buffer)
+                self._buffer.clear()
                 self._resume_reading()
-                self._http.receive_data(data)
-            return self._http.next_event()
+                self._parser.receive_data(data)
+            return self._parser.next_event()
         except h11.RemoteProtocolError as error:
             raise _RefusedError(error.error_status_hint, str(error)) from error
 
@@ -342,17 +344,17 @@
         """Waits for a request; False if it was closed or idle too long."""
         limits = self._server.status.limits
         with anyio.move_on_after(limits.idle_ms / 1000):
-            while self.is_open and not self._ahead:
-                await self._wait()
-        return bool(self._ahead)
+            while self.is_open and not self._buffer:
+                await self._wait_wakeup()
+        return bool(self._buffer)
 
-    async def _fill(self) -> bool:
+    async def _wait_data(self) -> bool:
         """Waits for bytes; False when the connection is closed."""
-        while self.is_open and not self._ahead:
-            await self._wait()
-        return bool(self._ahead)
+        while self.is_open and not self._buffer:
+            await self._wait_wakeup()
+        return bool(self._buffer)
 
-    async def _wait(self) -> None:
+    async def _wait_wakeup(self) -> None:
         self._wakeup = anyio.Event()
         try:
             await self._wakeup.wait()
@@ -365,8 +367,8 @@
             self._transport.resume_reading()
 
     async def _send_continue(self) -> None:
-        answer = h11.InformationalResponse(status_code=100, headers=[])
-        await self.write(self.encode(answer))
+        response = h11.InformationalResponse(status_code=100, headers=[])
+        await self.write(self.encode(response))
 
     def encode_head(self, status: int, headers: Headers) -> bytes:
         """Returns the encoded head of a response."""
@@ -376,15 +378,15 @@
 
     def encode(self, event: Any) -> bytes:
         """Returns the encoded bytes of an event of the HTTP parser."""
-        return self._http.send(event) or b""
+        return self._parser.send(event) or b""
 
     async def write(self, data: bytes) -> None:
         """Sends bytes; blocks while the caller reads too slowly."""
         if not self.is_open:
             return
         self._transport.write(data)
-        if self._can_write is not None:
-            await self._can_write.wait()
+        if self._writable is not None:
+            await self._writable.wait()
 
 
 class EdgeServer:
--- a/rhubarbwinch/gateway/enginesends.py
+++ b/rhubarbwinch/gateway/enginesends.py
@@ -5,15 +5,15 @@
 from rhubarbwinch.gateway.context import Context
 from rhubarbwinch.gateway.endpoints import Endpoint
 from rhubarbwinch.gateway.plaincalls import (
-    PROMISES,
-    WholeAnswer,
-    relay_whole,
+    NOT_RUN_STATUSES,
+    WholeResponse,
+    relay_response,
 )
-from rhubarbwinch.gateway.rooms import MIN_SEND_MS
+from rhubarbwinch.gateway.rooms import MIN_ATTEMPT_MS
 from rhubarbwinch.gateway.runs import Run
 from rhubarbwinch.gateway.suspicion import Outcome
-from rhubarbwinch.gateway.upstream import Answer
-from rhubarbwinch.gateway.wire import MemoryCopy, SendOptions
+from rhubarbwinch.gateway.upstream import UpstreamResponse
+from rhubarbwinch.gateway.wire import AttemptOptions, KvCacheLocation
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.exceptions import EndpointError
 from rhubarbwinch.shared.verdict import Failure, Reason, Verdict, not_run
@@ -22,7 +22,7 @@
 _OK = 200
 
 
-class EngineSends:
+class GenerationSender:
     """Sends generations to engines.
 
     Args:
@@ -33,8 +33,8 @@
         self._context = context
 
     async def open(
-        self, run: Run, endpoint: Endpoint, copy: MemoryCopy | None
-    ) -> Answer | Failure | None:
+        self, run: Run, endpoint: Endpoint, location: KvCacheLocation | None
+    ) -> UpstreamResponse | Failure | None:
         """Sends a generation to an engine.
 
         Returns:
@@ -43,73 +43,79 @@
         """
         context, job = self._context, run.job
         now = context.clock.now()
-        left = job.deadline_ms - now
-        if left < MIN_SEND_MS:
+        left_ms = job.deadline_ms - now
+        if left_ms < MIN_ATTEMPT_MS:
             return Failure(
                 Verdict.MAY_HAVE_RUN, Reason.DEADLINE, "no time left"
             )
         job.sends += 1
-        last = run.last_event_id or job.call.last_event_id
-        options = SendOptions(
+        last_id = run.last_event_id or job.call.last_event_id
+        options = AttemptOptions(
             endpoint.id,
             job.account,
-            left,
-            last_event_id=last,
-            resume_from=copy,
-            backup_address=run.backup.endpoint.address if run.backup else None,
+            left_ms,
+            last_event_id=last_id,
+            resume_from=location,
+            standby_address=run.standby.endpoint.address
+            if run.standby
+            else None,
         )
         try:
-            with anyio.move_on_after(left / 1000):
-                answer = await context.upstream.send(
+            with anyio.move_on_after(left_ms / 1000):
+                response = await context.upstream.send(
                     endpoint, job.call, job.body, options, False
                 )
-                return await self._judge(run, endpoint, answer, now)
+                return await self._classify(run, endpoint, response, now)
         except EndpointError as error:
             outcome = Outcome.BROKEN if error.sent else Outcome.UNREACHABLE
             context.note(job, job.service, endpoint.id, outcome)
-            self._log_send(run, endpoint, now, str(error))
+            self._log_attempt(run, endpoint, now, str(error))
             if error.sent:
-                context.note_break(job, endpoint.id, endpoint.address)
+                context.check_crash(job, endpoint.id, endpoint.address)
                 return Failure(
                     Verdict.MAY_HAVE_RUN, Reason.ENDPOINT_FAILED, str(error)
                 )
             return not_run(Reason.NO_ENDPOINT, str(error), RETRY_AFTER_MS)
-        self._log_send(run, endpoint, now, "no answer by the deadline")
+        self._log_attempt(run, endpoint, now, "no answer by the deadline")
         return Failure(
             Verdict.MAY_HAVE_RUN, Reason.DEADLINE, "the engine gave no answer"
         )
 
-    def may_send_again(self, run: Run) -> bool:
+    def acquire_retry(self, run: Run) -> bool:
         """Returns whether the retry budget of the service allows an attempt."""
-        allowed = self._context.may_send_again(run.job.service)
+        allowed = self._context.acquire_retry(run.job.service)
         if not allowed:
             events.RETRY_REFUSED.log(request=run.id, service=run.job.service)
         return allowed
 
-    async def _judge(
-        self, run: Run, endpoint: Endpoint, answer: Answer, started: int
-    ) -> Answer | Failure | None:
+    async def _classify(
+        self,
+        run: Run,
+        endpoint: Endpoint,
+        response: UpstreamResponse,
+        started_ms: int,
+    ) -> UpstreamResponse | Failure | None:
         """Classifies a response by its head.
 
         Raises:
             EndpointError: The response does not come from the engine itself, or
                 has a status that callers would take as "not run".
         """
-        context, job, head = self._context, run.job, answer.head
-        self._log_send(run, endpoint, started, str(head.status))
+        context, job, head = self._context, run.job, response.head
+        self._log_attempt(run, endpoint, started_ms, str(head.status))
         if head.status == _OK and head.is_signed:
-            return answer
+            return response
         try:
-            body = await answer.read()
+            body = await response.read()
         finally:
-            await answer.close()
+            await response.close()
         if head.is_refusal:
             context.note(job, job.service, endpoint.id, Outcome.REFUSED)
             return not_run(
                 Reason.QUEUE_FULL, "the engine refused", RETRY_AFTER_MS
             )
         context.note(job, job.service, endpoint.id, Outcome.ERROR)
-        if not head.is_signed or head.status in PROMISES:
+        if not head.is_signed or head.status in NOT_RUN_STATUSES:
             raise EndpointError(f"status {head.status}", sent=True)
         if run.head_sent or job.route.may_repeat:
             return Failure(
@@ -117,18 +123,20 @@
                 Reason.ENDPOINT_FAILED,
                 f"status {head.status}",
             )
-        await relay_whole(context, job, run.responder, WholeAnswer(head, body))
+        await relay_response(
+            context, job, run.responder, WholeResponse(head, body)
+        )
         return None
 
-    def _log_send(
-        self, run: Run, endpoint: Endpoint, started: int, outcome: str
+    def _log_attempt(
+        self, run: Run, endpoint: Endpoint, started_ms: int, outcome: str
     ) -> None:
         now = self._context.clock.now()
         events.SENT.log(
             request=run.id,
             endpoint=endpoint.id,
             send=run.job.sends,
-            took_ms=now - started,
+            took_ms=now - started_ms,
             left_ms=run.job.deadline_ms - now,
             outcome=outcome,
         )
--- a/rhubarbwinch/gateway/plaincalls.py
+++ b/rhubarbwinch/gateway/plaincalls.py
@@ -8,35 +8,35 @@
 from rhubarbwinch.gateway.edge import EdgeResponder
 from rhubarbwinch.gateway.endpoints import Endpoint
 from rhubarbwinch.gateway.suspicion import Outcome
-from rhubarbwinch.gateway.wire import AnswerHead, SendOptions
+from rhubarbwinch.gateway.wire import AttemptOptions, ResponseHead
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.exceptions import EndpointError
 from rhubarbwinch.shared.verdict import Failure, Reason, Verdict, not_run
 
 # An endpoint that stops at the deadline responds shortly after the deadline.
-ANSWER_GRACE_MS = 60
+RESPONSE_GRACE_MS = 60
 # The first attempt of a repeatable call gets this share of the time, so that
 # after a hanging attempt enough time is left for a second one.
-FIRST_TRY_SHARE = 0.5
+FIRST_ATTEMPT_SHARE = 0.5
 # Attempts per call, including refused ones.
-MAX_SENDS = 3
+MAX_ATTEMPTS = 3
 # With less time left, no response can arrive before the deadline.
-MIN_SEND_MS = 10
+MIN_ATTEMPT_MS = 10
 RETRY_AFTER_MS = 200
 _SERVER_ERROR = 500
 # Statuses that callers take as a promise that the request did not run.
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
 
 @attrs.frozen
-class WholeAnswer:
+class WholeResponse:
     """An endpoint's response with its body."""
 
-    head: AnswerHead
+    head: ResponseHead
     body: bytes
 
     @property
-    def is_good(self) -> bool:
+    def is_success(self) -> bool:
         """Whether the status is no server error."""
         return self.head.status < _SERVER_ERROR
 
@@ -55,21 +55,21 @@
         """Serves a call and sends the response."""
         result = await self._run(job)
         if isinstance(result, Failure):
-            await answer_failure(self._context, job, responder, result)
+            await send_job_failure(self._context, job, responder, result)
             return
-        await relay_whole(self._context, job, responder, result)
+        await relay_response(self._context, job, responder, result)
 
-    async def _run(self, job: Job) -> WholeAnswer | Failure:
+    async def _run(self, job: Job) -> WholeResponse | Failure:
         """Sends a call until a response or a verdict is final."""
         context = self._context
         failure = not_run(
             Reason.NO_ENDPOINT, "no endpoint takes work", RETRY_AFTER_MS
         )
         may_have_run = 0
-        poor: WholeAnswer | None = None
-        while job.sends < MAX_SENDS:
-            left = job.deadline_ms - context.clock.now()
-            if left < MIN_SEND_MS:
+        error_response: WholeResponse | None = None
+        while job.sends < MAX_ATTEMPTS:
+            left_ms = job.deadline_ms - context.clock.now()
+            if left_ms < MIN_ATTEMPT_MS:
                 break
             chosen = placing.choose_endpoint(
                 context.candidates(job.service, job.tried),
@@ -78,18 +78,20 @@
             )
             if chosen is None:
                 break
-            if job.sends and not context.may_send_again(job.service):
+            if job.sends and not context.acquire_retry(job.service):
                 events.RETRY_REFUSED.log(
                     request=job.call.request_id, service=job.service
                 )
                 break
             job.sends += 1
             job.tried.add(chosen.endpoint.id)
-            result = await self._send(job, chosen.endpoint, left, may_have_run)
-            if isinstance(result, WholeAnswer):
-                if result.is_good or not self._may_repeat(job, may_have_run):
+            result = await self._send(
+                job, chosen.endpoint, left_ms, may_have_run
+            )
+            if isinstance(result, WholeResponse):
+                if result.is_success or not self._may_repeat(job, may_have_run):
                     return result
-                poor = result
+                error_response = result
                 may_have_run += 1
                 continue
             failure = result
@@ -97,8 +99,8 @@
                 may_have_run += 1
                 if not self._may_repeat(job, may_have_run - 1):
                     break
-        if poor is not None:
-            return poor
+        if error_response is not None:
+            return error_response
         if may_have_run and failure.verdict is Verdict.NOT_RUN:
             return Failure(Verdict.MAY_HAVE_RUN, failure.reason, failure.detail)
         return failure
@@ -109,33 +111,35 @@
 
     async def _send(
         self, job: Job, endpoint: Endpoint, left_ms: int, runs_before: int
-    ) -> WholeAnswer | Failure:
+    ) -> WholeResponse | Failure:
         """Sends a call to one endpoint."""
         context = self._context
-        limit_ms = left_ms + ANSWER_GRACE_MS
+        limit_ms = left_ms + RESPONSE_GRACE_MS
         if self._may_repeat(job, runs_before) and not job.tried - {endpoint.id}:
-            limit_ms = int(left_ms * FIRST_TRY_SHARE)
-        started = context.clock.now()
+            limit_ms = int(left_ms * FIRST_ATTEMPT_SHARE)
+        started_ms = context.clock.now()
         context.loads.add_local(endpoint.id, 1)
         try:
             with anyio.move_on_after(limit_ms / 1000):
                 return await self._exchange(job, endpoint, left_ms)
         except EndpointError as error:
-            failure = self._failed(job, endpoint, started, error)
+            failure = self._record_failure(job, endpoint, started_ms, error)
             if error.sent:
-                context.note_break(job, endpoint.id, endpoint.address)
+                context.check_crash(job, endpoint.id, endpoint.address)
             return failure
         finally:
             context.loads.add_local(endpoint.id, -1)
         context.note(job, job.service, endpoint.id, Outcome.BROKEN)
-        self._log(job, endpoint, started, f"no answer in {limit_ms} ms")
+        self._log_attempt(
+            job, endpoint, started_ms, f"no answer in {limit_ms} ms"
+        )
         return Failure(
             Verdict.MAY_HAVE_RUN, Reason.DEADLINE, "the endpoint gave no answer"
         )
 
     async def _exchange(
         self, job: Job, endpoint: Endpoint, left_ms: int
-    ) -> WholeAnswer | Failure:
+    ) -> WholeResponse | Failure:
         """Sends a call and reads the whole response.
 
         Raises:
@@ -144,81 +148,92 @@
                 run".
         """
         context = self._context
-        started = context.clock.now()
-        options = SendOptions(endpoint.id, job.account, left_ms)
-        answer = await context.upstream.send(
+        started_ms = context.clock.now()
+        options = AttemptOptions(endpoint.id, job.account, left_ms)
+        response = await context.upstream.send(
             endpoint, job.call, job.body, options, job.route.may_repeat
         )
         try:
-            body = await answer.read()
+            body = await response.read()
         finally:
-            await answer.close()
-        head = answer.head
+            await response.close()
+        head = response.head
         if head.is_refusal:
             context.note(job, job.service, endpoint.id, Outcome.REFUSED)
-            self._log(job, endpoint, started, f"refused by {head.status}")
+            self._log_attempt(
+                job, endpoint, started_ms, f"refused by {head.status}"
+            )
             return not_run(
                 Reason.QUEUE_FULL, "the endpoint refused", RETRY_AFTER_MS
             )
         if not head.is_signed and head.status < _SERVER_ERROR:
             raise EndpointError("an answer without signature", sent=True)
-        if head.status in PROMISES or not head.is_signed:
+        if head.status in NOT_RUN_STATUSES or not head.is_signed:
             # The endpoint does not state that the call did not run, but callers
             # would take the status to mean so.
             raise EndpointError(f"status {head.status}", sent=True)
-        whole = WholeAnswer(head, body)
-        outcome = Outcome.GOOD if whole.is_good else Outcome.ERROR
+        whole = WholeResponse(head, body)
+        outcome = Outcome.GOOD if whole.is_success else Outcome.ERROR
         context.crashes.clear(job.fingerprint)
         context.note(job, job.service, endpoint.id, outcome)
-        self._log(job, endpoint, started, str(head.status))
+        self._log_attempt(job, endpoint, started_ms, str(head.status))
         return whole
 
-    def _failed(
-        self, job: Job, endpoint: Endpoint, started: int, error: EndpointError
+    def _record_failure(
+        self,
+        job: Job,
+        endpoint: Endpoint,
+        started_ms: int,
+        error: EndpointError,
     ) -> Failure:
         outcome = Outcome.BROKEN if error.sent else Outcome.UNREACHABLE
         self._context.note(job, job.service, endpoint.id, outcome)
-        self._log(job, endpoint, started, str(error))
+        self._log_attempt(job, endpoint, started_ms, str(error))
         if error.sent:
             return Failure(
                 Verdict.MAY_HAVE_RUN, Reason.ENDPOINT_FAILED, str(error)
             )
         return not_run(Reason.NO_ENDPOINT, str(error), RETRY_AFTER_MS)
 
-    def _log(
-        self, job: Job, endpoint: Endpoint, started: int, outcome: str
+    def _log_attempt(
+        self, job: Job, endpoint: Endpoint, started_ms: int, outcome: str
     ) -> None:
         now = self._context.clock.now()
         events.SENT.log(
             request=job.call.request_id,
             endpoint=endpoint.id,
             send=job.sends,
-            took_ms=now - started,
+            took_ms=now - started_ms,
             left_ms=job.deadline_ms - now,
             outcome=outcome,
         )
 
 
-async def relay_whole(
-    context: Context, job: Job, responder: EdgeResponder, answer: WholeAnswer
+async def relay_response(
+    context: Context,
+    job: Job,
+    responder: EdgeResponder,
+    response: WholeResponse,
 ) -> None:
     """Relays an endpoint's whole response unchanged."""
     now = context.clock.now()
     events.ANSWERED.log(
         request=job.call.request_id,
         route=job.route.name,
-        status=answer.head.status,
+        status=response.head.status,
         took_ms=now - job.received_ms,
         sends=job.sends,
     )
-    statistics.REQUESTS.labels(job.route.name, str(answer.head.status)).inc()
+    statistics.REQUESTS.labels(job.route.name, str(response.head.status)).inc()
     statistics.LATENCY.labels(job.route.name).observe(
         (now - job.received_ms) / 1000
     )
-    await responder.send(answer.head.status, answer.head.headers, answer.body)
+    await responder.send(
+        response.head.status, response.head.headers, response.body
+    )
 
 
-async def answer_failure(
+async def send_job_failure(
     context: Context, job: Job, responder: EdgeResponder, failure: Failure
 ) -> None:
     """Logs a call that could not be served and responds with the failure."""
--- a/rhubarbwinch/gateway/program.py
+++ b/rhubarbwinch/gateway/program.py
@@ -11,7 +11,7 @@
 from rhubarbwinch.gateway import statistics
 from rhubarbwinch.gateway.beliefs import Beliefs
 from rhubarbwinch.gateway.context import Context
-from rhubarbwinch.gateway.copies import CopyKeeper
+from rhubarbwinch.gateway.copies import CopyManager
 from rhubarbwinch.gateway.crashes import CrashLedger
 from rhubarbwinch.gateway.edge import EdgeServer
 from rhubarbwinch.gateway.endpoints import Endpoint
@@ -57,19 +57,19 @@
 from rhubarbwinch.stores.store import PollingStore
 
 # An endpoint whose VM acknowledges no data for this time is unreachable.
-DEAD_ENDPOINT_MS = 2_000
+ENDPOINT_ACK_TIMEOUT_MS = 2_000
 TICK_MS = 100
 SETTINGS_CHECK_MS = 5_000
 # How long a draining gateway still accepts connections of callers that have
 # resolved its address before.
-LINGER_MS = 3_000
+DRAIN_ACCEPT_MS = 3_000
 # The process ends this long before the end of the grace period, at which it
 # would be killed.
 GRACE_MARGIN_MS = 500
 DRAIN_CHECK_MS = 50
 # Timeout of the last call to the store, which removes the registration. If the
 # call fails, the lease expires.
-CLOSE_MS = 300
+DEREGISTER_TIMEOUT_MS = 300
 
 
 @attrs.frozen
@@ -99,7 +99,7 @@
 
 def make_transport() -> Transport:
     """Returns the transport for connections to endpoints."""
-    return Transport(TransportOptions(dead_peer_ms=DEAD_ENDPOINT_MS))
+    return Transport(TransportOptions(dead_peer_ms=ENDPOINT_ACK_TIMEOUT_MS))
 
 
 class Gateway:
@@ -107,20 +107,22 @@
 
     Args:
         settings: The settings at the start.
-        outside: The external dependencies.
+        dependencies: The external dependencies.
     """
 
-    def __init__(self, settings: GatewaySettings, outside: Outside) -> None:
+    def __init__(
+        self, settings: GatewaySettings, dependencies: Outside
+    ) -> None:
         self._settings = settings
-        self._outside = outside
-        clock = self._clock = outside.clock
+        self._dependencies = dependencies
+        clock = self._clock = dependencies.clock
         incarnation = identity.new_incarnation()
         rng = random.Random(incarnation)
         self._links = Links(incarnation)
         self._server = LinkServer(settings.address.link)
         self._broadcast = Broadcast(settings.address.broadcast)
         loads = LoadBook()
-        me = Heartbeat(
+        heartbeat = Heartbeat(
             settings.name,
             incarnation,
             0,
@@ -130,11 +132,16 @@
             settings.data_center,
         )
         self._peers = Peers(
-            me, self._broadcast, self._links, clock, loads, self._describe
+            heartbeat,
+            self._broadcast,
+            self._links,
+            clock,
+            loads,
+            self._complete_heartbeat,
         )
         self._context = Context(
             data_center=settings.data_center,
-            platform=outside.platform,
+            platform=dependencies.platform,
             clock=clock,
             rng=rng,
             fleet=Fleet(),
@@ -148,21 +155,28 @@
             ),
             peers=self._peers,
             upstream=Upstream(
-                outside.platform, outside.transport, outside.tracer
+                dependencies.platform,
+                dependencies.transport,
+                dependencies.tracer,
             ),
-            tracer=outside.tracer,
-            copies=CopyKeeper(outside.engine_calls, clock),
+            tracer=dependencies.tracer,
+            copies=CopyManager(dependencies.engine_calls, clock),
             crashes=CrashLedger(
-                outside.transport.is_unreachable, clock, self._broadcast.send
+                dependencies.transport.is_unreachable,
+                clock,
+                self._broadcast.send,
             ),
         )
         self._replica = Replica()
         self._streams = StreamCalls(self._context)
         self._beliefs = Beliefs(
-            self._context, self._streams, outside.transport, self._use_table
+            self._context,
+            self._streams,
+            dependencies.transport,
+            self._apply_limits,
         )
         self._feed = Feed(
-            outside.store,
+            dependencies.store,
             self._replica,
             clock,
             self._peers.should_watch,
@@ -173,23 +187,23 @@
             self._links,
             settings.address.link,
         )
-        key = outside.platform.member_prefix + settings.name
+        key = dependencies.platform.member_prefix + settings.name
         self._registration = GatewayRegistration(
-            outside.store, clock, key, settings.address
+            dependencies.store, clock, key, settings.address
         )
         router = Router(self._context, PlainCalls(self._context), self._streams)
         self._outage = OutageWatch(
             clock,
-            outside.engine_calls,
+            dependencies.engine_calls,
             lambda: min(self._feed.confirmed_ms, self._peers.confirmed_ms),
             lambda: self._peers.is_store_failing(self._feed.is_failing),
             lambda: [known.endpoint for known in self._own_engines()],
-            self._own_lapsed,
-            self._tell_leaving,
+            self._own_expired_engines,
+            self._announce_leaving,
         )
         self._front = EdgeServer(settings.front, router.handle, clock)
         self._self_service = SelfService(
-            outside.platform, self._peers, settings, lambda: self.is_ready
+            dependencies.platform, self._peers, settings, lambda: self.is_ready
         )
         self._was_ready = False
         self._was_failing = False
@@ -210,32 +224,32 @@
             self._peers.add(seed)
         self._broadcast.on(SharedBatch, self._feed.take_batch)
         self._broadcast.on(LeavingNotice, self._beliefs.take_leaving)
-        self._broadcast.on(CrashNotice, self._take_crash)
-        self._broadcast.on(FailureNotice, self._context.take_failure)
-        self._server.on(SnapshotCall, self._answer_snapshot)
+        self._broadcast.on(CrashNotice, self._handle_crash)
+        self._broadcast.on(FailureNotice, self._context.handle_failure)
+        self._server.on(SnapshotCall, self._reply_snapshot)
         self._server.on(ValueCall, self._feed.answer_value)
-        tree = Supervisor(settings.name, self._clock)
-        tree.add("links", self._links.run)
-        tree.add("link-server", self._server.run)
-        tree.add("broadcast", self._broadcast.run)
-        tree.add("peers", self._peers.run)
-        tree.add("feed", self._feed.run)
-        tree.add("fetches", self._feed.run_fetches)
-        tree.add("bootstrap", self._bootstrap)
-        tree.add("registration", self._registration.run)
-        tree.add("front", self._front.run)
+        supervisor = Supervisor(settings.name, self._clock)
+        supervisor.add("links", self._links.run)
+        supervisor.add("link-server", self._server.run)
+        supervisor.add("broadcast", self._broadcast.run)
+        supervisor.add("peers", self._peers.run)
+        supervisor.add("feed", self._feed.run)
+        supervisor.add("fetches", self._feed.run_fetches)
+        supervisor.add("bootstrap", self._bootstrap)
+        supervisor.add("registration", self._registration.run)
+        supervisor.add("front", self._front.run)
         for name, address in (
             ("ready", settings.ready),
             ("directory", settings.directory),
             ("metrics", settings.metrics),
         ):
             server = EdgeServer(address, self._self_service.answer, self._clock)
-            tree.add(name, server.run)
-        tree.add("copies", self._context.copies.run)
-        tree.add("crashes", self._context.crashes.run)
-        tree.add("tick", self._tick)
-        tree.add("outage", self._outage.run)
-        tree.add("settings", self._watch_settings)
+            supervisor.add(name, server.run)
+        supervisor.add("copies", self._context.copies.run)
+        supervisor.add("crashes", self._context.crashes.run)
+        supervisor.add("tick", self._tick)
+        supervisor.add("outage", self._outage.run)
+        supervisor.add("settings", self._watch_settings)
         events.STARTED.log(name=settings.name, settings=attrs.asdict(settings))
         # The receiver stays open until the end because late signals may come.
         with anyio.open_signal_receiver(
@@ -244,19 +258,19 @@
             try:
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(self._watch_signals, signals, tasks)
-                    await tree.run()
+                    await supervisor.run()
             except* Exception as group:
                 # The task group wraps the exception of the supervisor.
                 raise group.exceptions[0] from None
             finally:
                 with (
                     anyio.CancelScope(shield=True),
-                    anyio.move_on_after(CLOSE_MS / 1000),
+                    anyio.move_on_after(DEREGISTER_TIMEOUT_MS / 1000),
                 ):
                     await self._registration.close()
         events.STOPPED.log(name=settings.name)
 
-    def _describe(self, heartbeat: Heartbeat) -> Heartbeat:
+    def _complete_heartbeat(self, heartbeat: Heartbeat) -> Heartbeat:
         """Fills in the fields of a heartbeat that change over time."""
         return attrs.evolve(
             heartbeat,
@@ -267,7 +281,7 @@
             is_store_failing=self._feed.is_failing,
         )
 
-    def _use_table(self, table: RoutingTable) -> None:
+    def _apply_limits(self, table: RoutingTable) -> None:
         """Applies the HTTP limits of a configuration to the front server."""
         self._front.status.limits = table.limits
 
@@ -282,12 +296,12 @@
                     self._beliefs.take_leaving(notice)
             await self._clock.sleep(TICK_MS)
 
-    async def _answer_snapshot(self, call: SnapshotCall) -> Snapshot:
+    async def _reply_snapshot(self, call: SnapshotCall) -> Snapshot:
         """Returns a snapshot of the known state to a gateway that starts."""
         snapshot = await self._feed.answer_snapshot(call)
         return attrs.evolve(snapshot, leaving=self._beliefs.leaving_notices())
 
-    def _own_lapsed(self) -> list[Endpoint]:
+    def _own_expired_engines(self) -> list[Endpoint]:
         """Returns the engines of this gateway with an expired lease."""
         return [k.endpoint for k in self._own_engines() if k.lapse_due_ms]
 
@@ -303,12 +317,12 @@
             and self._peers.owns(known.endpoint.id)
         ]
 
-    def _tell_leaving(self, endpoint: Endpoint) -> None:
+    def _announce_leaving(self, endpoint: Endpoint) -> None:
         notice = LeavingNotice(endpoint.id, endpoint.started_ms)
         self._broadcast.send(notice)
         self._beliefs.take_leaving(notice)
 
-    def _take_crash(self, notice: CrashNotice) -> None:
+    def _handle_crash(self, notice: CrashNotice) -> None:
         """Handles a crash that another gateway has observed."""
         self._context.crashes.note(
             notice.request, notice.endpoint, self._clock.now()
@@ -328,7 +342,7 @@
                 self._was_ready = self.is_ready
                 events.READY_CHANGED.log(ready=self.is_ready)
                 self._peers.tell()
-            lines = self._outside.lines
+            lines = self._dependencies.lines
             dropped = lines.take_dropped() if lines is not None else 0
             if dropped:
                 events.LOG_LINES_LEFT_OUT.log(lines=dropped)
@@ -341,7 +355,7 @@
 
     def _reload(self) -> None:
         try:
-            settings = self._outside.load_settings()
+            settings = self._dependencies.load_settings()
         except SettingError as error:
             events.SETTINGS_UNREADABLE.log(error=str(error))
             return
@@ -373,16 +387,18 @@
 
     async def _drain(self) -> None:
         """Announces the shutdown and waits for the open requests."""
-        started = self._clock.now()
+        started_ms = self._clock.now()
         status = self._front.status
         events.DRAINING.log(name=self._settings.name, open=status.open_requests)
         self._context.is_draining = True
         status.is_closing = True
         self._peers.tell()
-        end = started + self._settings.grace_ms - GRACE_MARGIN_MS
-        linger = started + min(LINGER_MS, self._settings.grace_ms // 2)
+        end = started_ms + self._settings.grace_ms - GRACE_MARGIN_MS
+        accept_until = started_ms + min(
+            DRAIN_ACCEPT_MS, self._settings.grace_ms // 2
+        )
         while self._clock.now() < end:
-            if self._clock.now() >= linger and not status.open_requests:
+            if self._clock.now() >= accept_until and not status.open_requests:
                 return
             await self._clock.sleep(DRAIN_CHECK_MS)
         events.DRAIN_LIMIT.log(open=status.open_requests)
--- a/rhubarbwinch/gateway/relaying.py
+++ b/rhubarbwinch/gateway/relaying.py
@@ -7,11 +7,11 @@
 import anyio
 
 from rhubarbwinch.gateway import statistics
-from rhubarbwinch.gateway.carrying import Carrier
+from rhubarbwinch.gateway.carrying import Migrator
 from rhubarbwinch.gateway.context import Context
-from rhubarbwinch.gateway.rooms import RoomKeeper
+from rhubarbwinch.gateway.rooms import RunPlacer
 from rhubarbwinch.gateway.runs import Run
-from rhubarbwinch.gateway.upstream import Answer
+from rhubarbwinch.gateway.upstream import UpstreamResponse
 from rhubarbwinch.http.sse import Splitter
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.exceptions import EndpointError
@@ -19,15 +19,15 @@
 # If a run can resume at another engine, its current engine is given up after
 # this time without data. Events come every 30 ms, and by then the pause exceeds
 # the route's limit in any case.
-STALL_MS = 1_000
+STALL_TIMEOUT_MS = 1_000
 _OK = 200
 
 
-class EventPlace(enum.Enum):
+class EventOrder(enum.Enum):
     """The position of an event relative to the last one relayed."""
 
     NEXT = enum.auto()
-    REPEATED = enum.auto()
+    DUPLICATE = enum.auto()
     AFTER_GAP = enum.auto()
 
 
@@ -36,108 +36,116 @@
 
     Args:
         context: The objects shared by all requests.
-        rooms: Notified when a prefill is complete.
-        carrier: Migrates runs whose engines leave.
+        placer: Notified when a prefill is complete.
+        migrator: Migrates runs whose engines leave.
     """
 
     def __init__(
-        self, context: Context, rooms: RoomKeeper, carrier: Carrier
+        self, context: Context, placer: RunPlacer, migrator: Migrator
     ) -> None:
         self._context = context
-        self._rooms = rooms
-        self._carrier = carrier
+        self._placer = placer
+        self._migrator = migrator
 
-    async def relay(self, run: Run, answer: Answer) -> bool:
+    async def relay(self, run: Run, response: UpstreamResponse) -> bool:
         """Relays the events of one engine; returns whether the stream ended."""
         splitter = Splitter()
         try:
-            async with aclosing(self._paced(run, answer)) as parts:
-                async for data in parts:
-                    await self._pass_on(run, answer, splitter, data)
+            async with aclosing(
+                self._chunks_or_stall(run, response)
+            ) as chunk_stream:
+                async for chunk in chunk_stream:
+                    await self._relay_chunk(run, response, splitter, chunk)
         except EndpointError as error:
             events.STREAM_CUT.log(
                 request=run.id,
-                endpoint=run.room.endpoint.id if run.room else "",
+                endpoint=run.reservation.endpoint.id if run.reservation else "",
                 events=run.events,
-                copied=run.home is not None,
+                copied=run.target is not None,
                 error=str(error),
             )
             return False
         finally:
-            await answer.close()
+            await response.close()
         if splitter.rest:
             return False
-        await self._finish(run, answer)
+        await self._finish(run, response)
         return True
 
-    async def _paced(self, run: Run, answer: Answer) -> AsyncGenerator[bytes]:
+    async def _chunks_or_stall(
+        self, run: Run, response: UpstreamResponse
+    ) -> AsyncGenerator[bytes]:
         """Yields the chunks of a stream.
 
         Raises:
             EndpointError: The stream was cut, or there was no data for
-                `STALL_MS` while the run could resume at another engine.
+                `STALL_TIMEOUT_MS` while the run could resume at another engine.
         """
-        parts = answer.chunks()
-        async with aclosing(parts):
+        chunk_stream = response.chunks()
+        async with aclosing(chunk_stream):
             while True:
-                can_leave = run.events > 0 and (
-                    run.home is not None or self._carrier.has_backup(run)
+                can_resume = run.events > 0 and (
+                    run.target is not None or self._migrator.has_standby(run)
                 )
-                limit = STALL_MS / 1000 if can_leave else None
-                data = b""
-                with anyio.move_on_after(limit) as scope:
+                timeout_s = STALL_TIMEOUT_MS / 1000 if can_resume else None
+                chunk = b""
+                with anyio.move_on_after(timeout_s) as scope:
                     try:
-                        data = await anext(parts)
+                        chunk = await anext(chunk_stream)
                     except StopAsyncIteration:
                         return
                 if scope.cancelled_caught:
                     raise EndpointError("silent", sent=True)
-                yield data
-
-    async def _pass_on(
-        self, run: Run, answer: Answer, splitter: Splitter, data: bytes
+                yield chunk
+
+    async def _relay_chunk(
+        self,
+        run: Run,
+        response: UpstreamResponse,
+        splitter: Splitter,
+        chunk: bytes,
     ) -> None:
         """Sends the complete events of a chunk to the caller, each once.
 
         Raises:
             EndpointError: An event is out of order.
         """
-        fresh: list[bytes] = []
-        missing = ""
-        for event in splitter.feed(data):
-            found = self._context.platform.event_id(event.raw)
-            place = self._place_of(run, found)
-            if place is EventPlace.REPEATED:
+        new_events: list[bytes] = []
+        gap = ""
+        for event in splitter.feed(chunk):
+            new_id = self._context.platform.event_id(event.raw)
+            order = self._order_of(run, new_id)
+            if order is EventOrder.DUPLICATE:
                 continue
-            if place is EventPlace.AFTER_GAP:
-                missing = f"event {found} after {run.last_event_id}"
+            if order is EventOrder.AFTER_GAP:
+                gap = f"event {new_id} after {run.last_event_id}"
                 break
-            run.last_event_id = found or run.last_event_id
+            run.last_event_id = new_id or run.last_event_id
             run.events += 1
-            fresh.append(event.raw)
+            new_events.append(event.raw)
         # The events before a gap must be sent: the run resumes after the last
         # event that is recorded as sent to the caller.
-        if fresh:
-            self._note_events(run)
+        if new_events:
+            self._record_events(run)
             if not run.head_sent:
-                await self._send_head(run, answer)
-            await run.responder.write(b"".join(fresh))
-        if missing:
-            raise EndpointError(missing, sent=True)
+                await self._send_head(run, response)
+            await run.responder.write(b"".join(new_events))
+        if gap:
+            raise EndpointError(gap, sent=True)
 
-    def _place_of(self, run: Run, event_id: str | None) -> EventPlace:
+    def _order_of(self, run: Run, event_id: str | None) -> EventOrder:
         """Compares the id of an event with the id of the last one relayed."""
         last = run.last_event_id or run.job.call.last_event_id
         if event_id is None or last is None:
-            return EventPlace.NEXT
+            return EventOrder.NEXT
         if not (event_id.isdigit() and last.isdigit()):
-            return EventPlace.NEXT
+            return EventOrder.NEXT
         step = int(event_id) - int(last)
         if step > 1:
-            return EventPlace.AFTER_GAP
-        return EventPlace.NEXT if step == 1 else EventPlace.REPEATED
+            return EventOrder.AFTER_GAP
+        return EventOrder.NEXT if step == 1 else EventOrder.DUPLICATE
 
-    def _note_events(self, run: Run) -> None:
+    def _record_events(self, run: Run) -> None:
         now = self._context.clock.now()
         job = run.job
         if run.events and run.last_event_ms and job.route.gap_ms:
@@ -146,7 +154,9 @@
                 statistics.GAPS.labels(job.route.name).inc()
                 events.LATE_GAP.log(
                     request=run.id,
-                    endpoint=run.room.endpoint.id if run.room else "",
+                    endpoint=run.reservation.endpoint.id
+                    if run.reservation
+                    else "",
                     pause_ms=pause,
                     events=run.events,
                 )
@@ -155,20 +165,20 @@
                 (now - job.received_ms) / 1000
             )
         run.last_event_ms = now
-        if run.room is not None and run.room.prefill:
-            run.room.end_prefill()
-            self._rooms.note_change()
-            self._carrier.copy_if_leaving(run)
+        if run.reservation is not None and run.reservation.prefill:
+            run.reservation.end_prefill()
+            self._placer.note_change()
+            self._migrator.migrate_if_leaving(run)
 
-    async def _send_head(self, run: Run, answer: Answer) -> None:
+    async def _send_head(self, run: Run, response: UpstreamResponse) -> None:
         run.head_sent = True
         await run.responder.start_stream(
-            answer.head.status, answer.head.headers
+            response.head.status, response.head.headers
         )
 
-    async def _finish(self, run: Run, answer: Answer) -> None:
+    async def _finish(self, run: Run, response: UpstreamResponse) -> None:
         if not run.head_sent:
-            await self._send_head(run, answer)
+            await self._send_head(run, response)
         await run.responder.end_stream()
         now = self._context.clock.now()
         events.ANSWERED.log(
--- a/rhubarbwinch/gateway/rooms.py
+++ b/rhubarbwinch/gateway/rooms.py
@@ -11,14 +11,14 @@
 from rhubarbwinch.shared.verdict import Failure, Reason, not_run
 
 # With less time left, a generation cannot produce a useful response.
-MIN_SEND_MS = 50
+MIN_ATTEMPT_MS = 50
 # When the wait limit is reached, a KV cache may be overcommitted up to this
 # share while slots are free: engines have a queue of their own, and a refused
 # request gets no response at all.
-LAST_MEMORY_SHARE = 1.25
+OVERCOMMIT_MEMORY_SHARE = 1.25
 
 
-class RoomKeeper:
+class RunPlacer:
     """Reserves capacity at engines for runs and their hot standbys.
 
     Args:
@@ -43,15 +43,17 @@
         """
         context, job = self._context, run.job
         now = context.clock.now()
-        left = job.deadline_ms - now
-        if left < MIN_SEND_MS:
+        left_ms = job.deadline_ms - now
+        if left_ms < MIN_ATTEMPT_MS:
             return not_run(Reason.DEADLINE, "no time is left")
         queue = self._queues.setdefault(job.service, WaitQueue(context.clock))
-        if queue.is_first(job.priority, job.objective_ms) and self._hold(run):
+        if queue.is_first(job.priority, job.objective_ms) and self._try_reserve(
+            run
+        ):
             return None
         limit_ms = int((job.objective_ms - now) * WAIT_SHARE)
         if limit_ms <= 0:
-            limit_ms = left // 4
+            limit_ms = left_ms // 4
         if queue.is_hopeless(job.priority, job.objective_ms, limit_ms):
             return self._refuse(run, queue, "too many wait before it")
         waiter = queue.join(job.priority, job.objective_ms)
@@ -62,7 +64,7 @@
                 return None
         finally:
             queue.leave(waiter)
-        if self._hold(run, LAST_MEMORY_SHARE):
+        if self._try_reserve(run, OVERCOMMIT_MEMORY_SHARE):
             return None
         return self._refuse(run, queue, f"no room in {limit_ms} ms")
 
@@ -70,18 +72,18 @@
         while True:
             await waiter.turn.wait()
             waiter.turn = anyio.Event()
-            if self._hold(run):
+            if self._try_reserve(run):
                 return
 
     def _refuse(self, run: Run, queue: WaitQueue, detail: str) -> Failure:
         job = run.job
-        retry = queue.retry_after_ms(job.priority, job.objective_ms)
+        retry_hint_ms = queue.retry_after_ms(job.priority, job.objective_ms)
         events.NO_ROOM.log(
-            request=run.id, waiting=len(queue), retry_after_ms=retry
+            request=run.id, waiting=len(queue), retry_after_ms=retry_hint_ms
         )
-        return not_run(Reason.QUEUE_FULL, detail, retry)
+        return not_run(Reason.QUEUE_FULL, detail, retry_hint_ms)
 
-    def _hold(
+    def _try_reserve(
         self, run: Run, memory_share: float = placing.MEMORY_SHARE
     ) -> bool:
         """Reserves capacity now; returns False if no engine has enough."""
@@ -93,7 +95,7 @@
         )
         if chosen is None:
             return False
-        run.room = Room(
+        run.reservation = Room(
             chosen.endpoint, tokens, job.call.prompt_tokens, 1, context.loads
         ).hold()
         events.PLACED.log(
@@ -104,27 +106,27 @@
             needed=tokens,
             engines=len(candidates),
         )
-        self.hold_backup(run)
+        self.reserve_standby(run)
         context.peers.tell_loads()
         return True
 
-    def hold_backup(self, run: Run) -> None:
+    def reserve_standby(self, run: Run) -> None:
         """Reserves capacity for a hot standby if another engine has enough."""
         context, job = self._context, run.job
         spec = context.engine_spec(job.service)
-        if run.room is None or spec is None or not spec.can_back_up:
+        if run.reservation is None or spec is None or not spec.can_back_up:
             return
         if job.route.is_resumable:
             # The run is short and can be restarted at another engine.
             return
         tokens = run.expected_tokens
         chosen = moving.choose_backup(
-            context.candidates(job.service, {run.room.endpoint.id}),
-            run.room.endpoint,
+            context.candidates(job.service, {run.reservation.endpoint.id}),
+            run.reservation.endpoint,
             tokens,
             context.rng,
         )
         if chosen is not None:
-            run.backup = Room(
+            run.standby = Room(
                 chosen.endpoint, tokens, 0, 0, context.loads
             ).hold()
--- a/rhubarbwinch/gateway/router.py
+++ b/rhubarbwinch/gateway/router.py
@@ -6,7 +6,7 @@
 from rhubarbwinch.gateway.answers import send_failure
 from rhubarbwinch.gateway.context import Context, make_job
 from rhubarbwinch.gateway.edge import EdgeRequest, EdgeResponder
-from rhubarbwinch.gateway.plaincalls import PlainCalls, answer_failure
+from rhubarbwinch.gateway.plaincalls import PlainCalls, send_job_failure
 from rhubarbwinch.gateway.routes import CallKind, Route, RoutingTable
 from rhubarbwinch.gateway.streams import StreamCalls
 from rhubarbwinch.gateway.wire import CallHead
@@ -56,19 +56,19 @@
         self, request: EdgeRequest, call: CallHead, responder: EdgeResponder
     ) -> None:
         context = self._context
-        found = self._admit(call)
-        if isinstance(found, Failure):
+        admitted = self._admit(call)
+        if isinstance(admitted, Failure):
             await send_failure(
-                context.platform, responder, call.request_id, found
+                context.platform, responder, call.request_id, admitted
             )
             return
-        route, account, priority = found
+        route, account, priority = admitted
         job = make_job(
-            request, call, route, account, priority, self._target(route)
+            request, call, route, account, priority, self._choose_service(route)
         )
         if context.crashes.is_refused(job.fingerprint, context.clock.now()):
             failure = not_run(Reason.QUARANTINED, "endpoints crash under it")
-            await answer_failure(context, job, responder, failure)
+            await send_job_failure(context, job, responder, failure)
             return
         context.budget.add_request(job.service, context.clock.now())
         try:
@@ -115,7 +115,7 @@
             )
         return route, account, priority
 
-    def _target(self, route: Route) -> str:
+    def _choose_service(self, route: Route) -> str:
         """Returns one of a route's services, chosen by weight."""
         if len(route.targets) == 1:
             return route.targets[0].service
@@ -125,11 +125,11 @@
         )[0]
 
     def _log_unknown(
-        self, call: CallHead, table: RoutingTable, what: str
+        self, call: CallHead, table: RoutingTable, unknown: str
     ) -> None:
         events.NOT_ALLOWED.log(
             request=call.request_id,
-            missing=what,
+            missing=unknown,
             host=call.host,
             path=call.path,
             version=table.version,
--- a/rhubarbwinch/gateway/runs.py
+++ b/rhubarbwinch/gateway/runs.py
@@ -8,21 +8,21 @@
 from rhubarbwinch.gateway.edge import EdgeResponder
 from rhubarbwinch.gateway.endpoints import Endpoint
 from rhubarbwinch.gateway.loads import Room
-from rhubarbwinch.gateway.wire import MemoryCopy
+from rhubarbwinch.gateway.wire import KvCacheLocation
 
 
 @attrs.define(eq=False)
-class NewHome:
+class MigrationTarget:
     """The engine at which a run can resume, and the KV cache to resume from.
 
     Attributes:
-        room: The reservation at the target engine.
-        copy: The location of the run's KV cache.
+        reservation: The reservation at the target engine.
+        location: The location of the run's KV cache.
         source: The engine that the run leaves.
     """
 
-    room: Room
-    copy: MemoryCopy
+    reservation: Room
+    location: KvCacheLocation
     source: Endpoint
 
 
@@ -34,33 +34,33 @@
         job: The request.
         responder: Sends the events to the caller.
         tasks: Tasks that are cancelled when the run ends.
-        room: The reservation at the engine that executes the run; None before
-            the run is placed.
-        backup: The reservation at the hot standby, or None.
+        reservation: The reservation at the engine that executes the run; None
+            before the run is placed.
+        standby: The reservation at the hot standby, or None.
         last_event_id: The id of the last event sent to the caller, or None.
         events: Number of events sent to the caller.
         head_sent: Whether the response head was sent.
         last_event_ms: When the last event was received.
-        home: Where the run resumes if its engine ends; None without a migrated
-            copy.
-        copying: Cancels the task that maintains the migrated copy; None without
-            such a task.
-        has_copy: Set when the first migrated copy is complete, or when no copy
-            can be made.
+        target: Where the run resumes if its engine ends; None without a
+            migrated copy.
+        migration_scope: Cancels the task that maintains the migrated copy; None
+            without such a task.
+        first_copy_settled: Set when the first migrated copy is complete, or
+            when no copy can be made.
     """
 
     job: Job
     responder: EdgeResponder
     tasks: anyio.abc.TaskGroup
-    room: Room | None = None
-    backup: Room | None = None
+    reservation: Room | None = None
+    standby: Room | None = None
     last_event_id: str | None = None
     events: int = 0
     head_sent: bool = False
     last_event_ms: int = 0
-    home: NewHome | None = None
-    copying: anyio.CancelScope | None = None
-    has_copy: anyio.Event = attrs.field(factory=anyio.Event)
+    target: MigrationTarget | None = None
+    migration_scope: anyio.CancelScope | None = None
+    first_copy_settled: anyio.Event = attrs.field(factory=anyio.Event)
 
     @property
     def id(self) -> str:
@@ -71,14 +71,14 @@
     def expected_tokens(self) -> int:
         """The KV cache that the whole run is predicted to need, in tokens."""
         call = self.job.call
-        likely = call.likely_output_tokens or call.max_output_tokens
+        likely = call.estimated_output_tokens or call.max_output_tokens
         if call.max_output_tokens:
             likely = min(likely, call.max_output_tokens)
         return call.prompt_tokens + likely
 
     def release(self) -> None:
         """Releases the reservations at the engine and at the standby."""
-        for room in (self.room, self.backup):
-            if room is not None:
-                room.release()
-        self.backup = None
+        for reservation in (self.reservation, self.standby):
+            if reservation is not None:
+                reservation.release()
+        self.standby = None
--- a/rhubarbwinch/gateway/streams.py
+++ b/rhubarbwinch/gateway/streams.py
@@ -3,23 +3,23 @@
 import anyio
 
 from rhubarbwinch.gateway import statistics
-from rhubarbwinch.gateway.carrying import Carrier
+from rhubarbwinch.gateway.carrying import Migrator
 from rhubarbwinch.gateway.context import Context, Job
-from rhubarbwinch.gateway.continuing import Continuation
+from rhubarbwinch.gateway.continuing import Failover
 from rhubarbwinch.gateway.edge import EdgeResponder
 from rhubarbwinch.gateway.endpoints import Endpoint
-from rhubarbwinch.gateway.enginesends import EngineSends
-from rhubarbwinch.gateway.plaincalls import answer_failure
+from rhubarbwinch.gateway.enginesends import GenerationSender
+from rhubarbwinch.gateway.plaincalls import send_job_failure
 from rhubarbwinch.gateway.relaying import EventRelay
-from rhubarbwinch.gateway.rooms import RoomKeeper
+from rhubarbwinch.gateway.rooms import RunPlacer
 from rhubarbwinch.gateway.runs import Run
 from rhubarbwinch.gateway.suspicion import Outcome
-from rhubarbwinch.gateway.upstream import Answer
+from rhubarbwinch.gateway.upstream import UpstreamResponse
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.verdict import Failure, Reason, Verdict
 
 # Attempts to start one generation, as long as engines refuse it as not run.
-MAX_REFUSED_SENDS = 4
+MAX_REFUSED_ATTEMPTS = 4
 
 
 class StreamCalls:
@@ -31,12 +31,12 @@
 
     def __init__(self, context: Context) -> None:
         self._context = context
-        self._rooms = RoomKeeper(context)
-        self._carrier = Carrier(context)
-        self._sends = EngineSends(context)
-        self._relay = EventRelay(context, self._rooms, self._carrier)
-        self._continuation = Continuation(
-            context, self._rooms, self._carrier, self._sends
+        self._placer = RunPlacer(context)
+        self._migrator = Migrator(context)
+        self._sender = GenerationSender(context)
+        self._relay = EventRelay(context, self._placer, self._migrator)
+        self._failover = Failover(
+            context, self._placer, self._migrator, self._sender
         )
         self._runs: set[Run] = set()
 
@@ -54,19 +54,19 @@
             finally:
                 self._runs.discard(run)
                 run.release()
-                self._rooms.note_change()
+                self._placer.note_change()
                 tasks.cancel_scope.cancel()
         if failed:
             raise failed[0]
 
     def note_change(self) -> None:
         """Wakes the queued requests and publishes the loads to the peers."""
-        self._rooms.note_change()
+        self._placer.note_change()
 
     def note_leaving(self, endpoint: Endpoint) -> None:
         """Migrates the runs of an engine that leaves."""
         for run in list(self._runs):
-            self._carrier.note_leaving(run, endpoint)
+            self._migrator.note_leaving(run, endpoint)
 
     async def _serve(self, run: Run) -> None:
         failure = await self._start(run)
@@ -82,7 +82,7 @@
             )
             statistics.REQUESTS.labels(run.job.route.name, "broken").inc()
             return
-        await answer_failure(self._context, run.job, run.responder, failure)
+        await send_job_failure(self._context, run.job, run.responder, failure)
 
     async def _start(self, run: Run) -> Failure | None:
         """Places a generation until an engine accepts it or none can.
@@ -92,34 +92,38 @@
         """
         job = run.job
         failure: Failure | None = None
-        for _ in range(MAX_REFUSED_SENDS):
-            if failure is not None and not self._sends.may_send_again(run):
+        for _ in range(MAX_REFUSED_ATTEMPTS):
+            if failure is not None and not self._sender.acquire_retry(run):
                 return failure
-            refusal = await self._rooms.place(run)
+            refusal = await self._placer.place(run)
             if refusal is not None:
                 return failure or refusal
-            assert run.room is not None
-            result = await self._sends.open(run, run.room.endpoint, None)
-            if isinstance(result, Answer):
+            assert run.reservation is not None
+            result = await self._sender.open(
+                run, run.reservation.endpoint, None
+            )
+            if isinstance(result, UpstreamResponse):
                 return await self._relay_all(run, result)
             run.release()
             if result is None:
                 return None
             failure = result
-            job.tried.add(run.room.endpoint.id)
+            job.tried.add(run.reservation.endpoint.id)
             if failure.verdict is not Verdict.NOT_RUN and not (
                 job.route.may_repeat and job.sends < job.route.max_attempts
             ):
                 return failure
         return failure
 
-    async def _relay_all(self, run: Run, answer: Answer) -> Failure | None:
+    async def _relay_all(
+        self, run: Run, response: UpstreamResponse
+    ) -> Failure | None:
         """Relays a generation to its end, with failovers if needed."""
         while True:
-            assert run.room is not None
-            source = run.room.endpoint
+            assert run.reservation is not None
+            source = run.reservation.endpoint
             with anyio.move_on_after(self._left_ms(run) / 1000):
-                if await self._relay.relay(run, answer):
+                if await self._relay.relay(run, response):
                     self._context.note(
                         run.job, run.job.service, source.id, Outcome.GOOD
                     )
@@ -129,15 +133,15 @@
                 return Failure(
                     Verdict.MAY_HAVE_RUN, Reason.DEADLINE, "out of time"
                 )
-            self._context.note_break(run.job, source.id, source.address)
-            following = await self._continuation.go_on(run, source)
-            if following is None:
+            self._context.check_crash(run.job, source.id, source.address)
+            next_response = await self._failover.resume(run, source)
+            if next_response is None:
                 return Failure(
                     Verdict.MAY_HAVE_RUN,
                     Reason.STREAM_BROKEN,
                     f"the stream broke at {source.id}",
                 )
-            answer = following
+            response = next_response
 
     def _left_ms(self, run: Run) -> int:
         return run.job.deadline_ms - self._context.clock.now()
--- a/rhubarbwinch/gateway/upstream.py
+++ b/rhubarbwinch/gateway/upstream.py
@@ -9,33 +9,33 @@
 from rhubarbwinch.gateway.endpoints import Endpoint
 from rhubarbwinch.gateway.hops import Tracer
 from rhubarbwinch.gateway.wire import (
-    AnswerHead,
+    AttemptOptions,
     CallHead,
     Platform,
-    SendOptions,
+    ResponseHead,
 )
 from rhubarbwinch.http.transport import Transport
 from rhubarbwinch.shared.exceptions import EndpointError
 
 # Round trips take a few milliseconds, and a lost packet is retransmitted after
 # 200 ms. A longer timeout would take time from a second attempt.
-CONNECT_S = 0.25
+CONNECT_TIMEOUT_S = 0.25
 # Endpoints close idle connections at any time. A request that is sent during
 # such a close is lost, so a request that may not be repeated only reuses a
 # connection that was idle for less than this.
-FRESH_IDLE_S = 0.3
-MAX_ANSWER_BYTES = 8 << 20
+NOT_REPEATABLE_MAX_IDLE_S = 0.3
+MAX_RESPONSE_BYTES = 8 << 20
 
 
 @attrs.define
-class Answer:
+class UpstreamResponse:
     """An endpoint's response whose body is still to be read.
 
     Attributes:
         head: The decoded head.
     """
 
-    head: AnswerHead
+    head: ResponseHead
     _response: httpx.Response
 
     async def read(self) -> bytes:
@@ -49,7 +49,7 @@
         async for data in self.chunks():
             parts.append(data)
             size += len(data)
-            if size > MAX_ANSWER_BYTES:
+            if size > MAX_RESPONSE_BYTES:
                 raise EndpointError("the answer is too long", sent=True)
         if self.head.is_altered:
             raise EndpointError("the answer has an encoding", sent=True)
@@ -99,9 +99,9 @@
         endpoint: Endpoint,
         call: CallHead,
         body: bytes,
-        options: SendOptions,
+        options: AttemptOptions,
         may_repeat: bool,
-    ) -> Answer:
+    ) -> UpstreamResponse:
         """Sends a request; returns the response when its head is received.
 
         Raises:
@@ -111,24 +111,24 @@
         with hops.send_span(self._tracer, endpoint.id):
             request = self._request(endpoint, call, body, options)
             if not may_repeat:
-                request.extensions["max_idle_s"] = FRESH_IDLE_S
+                request.extensions["max_idle_s"] = NOT_REPEATABLE_MAX_IDLE_S
             try:
                 response = await self._transport.handle_async_request(request)
             except (httpx.ConnectError, httpx.ConnectTimeout) as error:
                 raise EndpointError(repr(error), sent=False) from error
             except httpx.HTTPError as error:
                 raise EndpointError(repr(error), sent=True) from error
-        head = self._platform.decode_answer(
+        head = self._platform.decode_response(
             response.status_code, response.headers.raw
         )
-        return Answer(head, response)
+        return UpstreamResponse(head, response)
 
     def _request(
         self,
         endpoint: Endpoint,
         call: CallHead,
         body: bytes,
-        options: SendOptions,
+        options: AttemptOptions,
     ) -> httpx.Request:
         headers = self._platform.endpoint_headers(call, options, len(body))
         return httpx.Request(
@@ -138,8 +138,8 @@
             stream=httpx.ByteStream(body),
             extensions={
                 "target": call.target,
-                "timeout": {"connect": CONNECT_S},
-                "is_answer": lambda head: self._platform.is_answer_to(
+                "timeout": {"connect": CONNECT_TIMEOUT_S},
+                "is_answer": lambda head: self._platform.is_response_to(
                     call.request_id, list(head.headers.raw_items())
                 ),
             },
--- a/rhubarbwinch/gateway/wire.py
+++ b/rhubarbwinch/gateway/wire.py
@@ -25,7 +25,7 @@
         deadline_ms: How long the caller waits; None if not specified.
         prompt_tokens: The length of the prompt; 0 if not specified.
         max_output_tokens: The maximum length of the output; 0 if not specified.
-        likely_output_tokens: The caller's estimate of the output length; 0
+        estimated_output_tokens: The caller's estimate of the output length; 0
             without one.
         last_event_id: The event after which a stream resumes, or None.
         headers: The headers that are relayed to the endpoint unchanged.
@@ -39,7 +39,7 @@
     deadline_ms: int | None
     prompt_tokens: int
     max_output_tokens: int
-    likely_output_tokens: int
+    estimated_output_tokens: int
     last_event_id: str | None
     headers: Headers
 
@@ -50,7 +50,7 @@
 
 
 @attrs.frozen
-class MemoryCopy:
+class KvCacheLocation:
     """Where an engine can fetch the KV cache of a run.
 
     Attributes:
@@ -63,7 +63,7 @@
 
 
 @attrs.frozen
-class SendOptions:
+class AttemptOptions:
     """The parameters that the gateway adds to one attempt at an endpoint.
 
     Attributes:
@@ -73,7 +73,7 @@
         time_left_ms: The time until the caller's deadline.
         last_event_id: The last event that was sent to the caller, or None.
         resume_from: The KV cache from which the run resumes, or None.
-        backup_address: The hot standby of the run, or None.
+        standby_address: The hot standby of the run, or None.
         priority: The rank at the engine; 0 is the most urgent, None is the
             default rank.
     """
@@ -82,13 +82,13 @@
     account: str | None
     time_left_ms: int
     last_event_id: str | None = None
-    resume_from: MemoryCopy | None = None
-    backup_address: str | None = None
+    resume_from: KvCacheLocation | None = None
+    standby_address: str | None = None
     priority: int | None = None
 
 
 @attrs.frozen
-class AnswerHead:
+class ResponseHead:
     """The head of an endpoint's response.
 
     Attributes:
@@ -129,7 +129,7 @@
 
 
 @attrs.frozen
-class MoveResult:
+class CopyResult:
     """The result of a call that copies a run's KV cache.
 
     Attributes:
@@ -159,13 +159,13 @@
 class EngineCalls(Protocol):
     """Control calls to engines, apart from the requests of callers."""
 
-    async def move(
-        self, address: str, request_id: str, to: str, is_last: bool
-    ) -> MoveResult:
-        """Copies a run's KV cache to the engine at `to`.
+    async def copy_run(
+        self, address: str, request_id: str, target: str, stop_first: bool
+    ) -> CopyResult:
+        """Copies a run's KV cache to the engine at `target`.
 
-        With `is_last` the engine stops the run first. A failed call is returned
-        as a state and raises nothing.
+        With `stop_first` the engine stops the run before it copies. A failed
+        call is returned as a state and raises nothing.
         """
         ...
 
@@ -204,20 +204,20 @@
         ...
 
     def endpoint_headers(
-        self, call: CallHead, options: SendOptions, body_bytes: int
+        self, call: CallHead, options: AttemptOptions, body_bytes: int
     ) -> Headers:
         """Returns the headers of a request to an endpoint."""
         ...
 
-    def decode_answer(self, status: int, headers: Headers) -> AnswerHead:
+    def decode_response(self, status: int, headers: Headers) -> ResponseHead:
         """Decodes the head of an endpoint's response."""
         ...
 
-    def is_answer_to(self, request_id: str, headers: Headers) -> bool:
+    def is_response_to(self, request_id: str, headers: Headers) -> bool:
         """Returns whether a response belongs to a request."""
         ...
 
-    def refusal_headers(
+    def failure_headers(
         self, request_id: str, retry_after_ms: int | None
     ) -> Headers:
         """Returns the headers of a response of the gateway itself."""
--- a/rhubarbwinch/platform/adapter.py
+++ b/rhubarbwinch/platform/adapter.py
@@ -20,9 +20,9 @@
 
     decode_call = staticmethod(headers.decode_call)
     endpoint_headers = staticmethod(headers.endpoint_headers)
-    decode_answer = staticmethod(headers.decode_answer)
-    is_answer_to = staticmethod(headers.is_answer_to)
-    refusal_headers = staticmethod(headers.refusal_headers)
+    decode_response = staticmethod(headers.decode_response)
+    is_response_to = staticmethod(headers.is_response_to)
+    failure_headers = staticmethod(headers.failure_headers)
     event_id = staticmethod(headers.event_id)
     decode_config = staticmethod(documents.decode_config)
     decode_endpoint = staticmethod(documents.decode_endpoint)
--- a/rhubarbwinch/platform/bootfile.py
+++ b/rhubarbwinch/platform/bootfile.py
@@ -36,14 +36,14 @@
         name, equals, value = line.strip().partition("=")
         if equals:
             fields[name.strip()] = value.strip()
-    return _Reader(fields).settings(metrics_port)
+    return _SettingsReader(fields).settings(metrics_port)
 
 
 def _peer_address(ip: str, link_port: int) -> PeerAddress:
     return PeerAddress(f"{ip}:{link_port}", f"{ip}:{link_port + 1}")
 
 
-class _Reader:
+class _SettingsReader:
     """Validates and converts fields.
 
     Args:
--- a/rhubarbwinch/platform/documents.py
+++ b/rhubarbwinch/platform/documents.py
@@ -22,40 +22,43 @@
 
 JSON = dict[str, Any]
 
-KINDS = {
+CALL_KINDS = {
     "idempotent": CallKind.IDEMPOTENT,
     "non_idempotent": CallKind.NON_IDEMPOTENT,
     "stream": CallKind.STREAM,
 }
-STATES = {"ready": EndpointState.READY, "draining": EndpointState.DRAINING}
+ENDPOINT_STATES = {
+    "ready": EndpointState.READY,
+    "draining": EndpointState.DRAINING,
+}
 DEFAULT_TIMEOUT_MS = 60_000
 
 
-def _load(data: bytes) -> JSON:
+def _parse_object(data: bytes) -> JSON:
     try:
-        found = orjson.loads(data)
+        document = orjson.loads(data)
     except orjson.JSONDecodeError as error:
         raise PlatformFormatError(f"not JSON: {error}") from error
-    if not isinstance(found, dict):
+    if not isinstance(document, dict):
         raise PlatformFormatError("not a JSON object")
-    return found
+    return document
 
 
-def _read(build: Callable[[JSON], Any], data: bytes) -> Any:
+def _decode(build: Callable[[JSON], Any], data: bytes) -> Any:
     """Decodes a document with `build`.
 
     Raises:
         PlatformFormatError: The document is not a JSON object, or a field is
             missing or has an invalid value.
     """
-    found = _load(data)
+    document = _parse_object(data)
     try:
-        return build(found)
+        return build(document)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise PlatformFormatError(f"{type(error).__name__}: {error}") from error
 
 
-def _whole(value: Any) -> int:
+def _non_negative_int(value: Any) -> int:
     """Returns `value` if it is a non-negative integer.
 
     Raises:
@@ -66,7 +69,7 @@
     return value
 
 
-def _text(value: Any) -> str:
+def _non_empty_text(value: Any) -> str:
     """Returns `value` if it is a non-empty string.
 
     Raises:
@@ -83,45 +86,45 @@
     Raises:
         PlatformFormatError: The document is malformed.
     """
-    return _read(_table, data)
+    return _decode(_decode_table, data)
 
 
-def _table(found: JSON) -> RoutingTable:
+def _decode_table(document: JSON) -> RoutingTable:
     routes: dict[str, dict[str, Route]] = {}
-    for item in found["routes"]:
-        route = _route(item)
+    for item in document["routes"]:
+        route = _decode_route(item)
         routes.setdefault(route.host, {})[route.prefix] = route
-    services = [_service(item) for item in found["services"]]
+    services = [_decode_service(item) for item in document["services"]]
     accounts = {
-        key: Account(_text(item["name"]), item.get("priority"))
-        for item in found.get("tenants", [])
+        key: Account(_non_empty_text(item["name"]), item.get("priority"))
+        for item in document.get("tenants", [])
         for key in item["api_keys"]
     }
     return RoutingTable(
-        version=int(found["version"]),
+        version=int(document["version"]),
         routes=routes,
         services={service.name: service for service in services},
         accounts=accounts,
-        needs_key="tenants" in found,
-        limits=_limits(found.get("limits", {})),
+        needs_key="tenants" in document,
+        limits=_decode_limits(document.get("limits", {})),
     )
 
 
-def _route(item: JSON) -> Route:
+def _decode_route(item: JSON) -> Route:
     if item.get("traffic_split"):
         targets = tuple(
-            Target(_text(part["service"]), float(part["weight"]))
+            Target(_non_empty_text(part["service"]), float(part["weight"]))
             for part in item["traffic_split"]
         )
     else:
-        targets = (Target(_text(item["service"]), 1.0),)
+        targets = (Target(_non_empty_text(item["service"]), 1.0),)
     timeout_ms = int(item.get("timeout_ms") or DEFAULT_TIMEOUT_MS)
     return Route(
         name=str(item.get("name", "")),
-        host=_text(item["host"]).lower(),
-        prefix=_text(item["prefix"]),
+        host=_non_empty_text(item["host"]).lower(),
+        prefix=_non_empty_text(item["prefix"]),
         # Requests of an unknown kind are treated as not repeatable.
-        kind=KINDS.get(item["kind"], CallKind.NON_IDEMPOTENT),
+        kind=CALL_KINDS.get(item["kind"], CallKind.NON_IDEMPOTENT),
         timeout_ms=timeout_ms,
         objective_ms=int(item.get("target_latency_ms") or timeout_ms),
         gap_ms=int(item.get("target_gap_ms") or 0),
@@ -134,16 +137,16 @@
     )
 
 
-def _service(item: JSON) -> ServiceSpec:
+def _decode_service(item: JSON) -> ServiceSpec:
     engine = item.get("engine")
     return ServiceSpec(
-        name=_text(item["name"]),
+        name=_non_empty_text(item["name"]),
         max_connections=int(item.get("max_connections") or 0),
-        engine=_engine(engine) if engine else None,
+        engine=_decode_engine(engine) if engine else None,
     )
 
 
-def _engine(item: JSON) -> EngineSpec:
+def _decode_engine(item: JSON) -> EngineSpec:
     return EngineSpec(
         slots=int(item["slots"]),
         kv_tokens=int(item["kv_tokens"]),
@@ -153,13 +156,13 @@
     )
 
 
-def _limits(item: JSON) -> HttpLimits:
-    usual = HttpLimits()
+def _decode_limits(item: JSON) -> HttpLimits:
+    defaults = HttpLimits()
     return HttpLimits(
-        head_bytes=int(item.get("max_header_bytes") or usual.head_bytes),
-        body_bytes=int(item.get("max_body_bytes") or usual.body_bytes),
-        head_ms=int(item.get("header_timeout_ms") or usual.head_ms),
-        idle_ms=int(item.get("idle_timeout_ms") or usual.idle_ms),
+        head_bytes=int(item.get("max_header_bytes") or defaults.head_bytes),
+        body_bytes=int(item.get("max_body_bytes") or defaults.body_bytes),
+        head_ms=int(item.get("header_timeout_ms") or defaults.head_ms),
+        idle_ms=int(item.get("idle_timeout_ms") or defaults.idle_ms),
     )
 
 
@@ -171,21 +174,21 @@
             something other than an endpoint.
     """
 
-    def build(found: JSON) -> Endpoint:
-        address = _text(found["address"])
+    def build(document: JSON) -> Endpoint:
+        address = _non_empty_text(document["address"])
         misc.split_address(address)
         return Endpoint(
             id=endpoint_id,
-            service=_text(found["service"]),
+            service=_non_empty_text(document["service"]),
             address=address,
-            data_center=_text(found["zone"]),
-            slots=_whole(found["slots"]),
-            state=STATES[found["state"]],
-            warmup_ms=_whole(found.get("cold_remaining_ms", 0)),
-            started_ms=_whole(found.get("born", 0)),
+            data_center=_non_empty_text(document["zone"]),
+            slots=_non_negative_int(document["slots"]),
+            state=ENDPOINT_STATES[document["state"]],
+            warmup_ms=_non_negative_int(document.get("cold_remaining_ms", 0)),
+            started_ms=_non_negative_int(document.get("born", 0)),
         )
 
-    return _read(build, data)
+    return _decode(build, data)
 
 
 def decode_report(data: bytes) -> EngineReport:
@@ -195,11 +198,11 @@
         PlatformFormatError: The document is malformed.
     """
 
-    def build(found: JSON) -> EngineReport:
-        leaves = found.get("leaves_ms")
+    def build(document: JSON) -> EngineReport:
+        leaves = document.get("leaves_ms")
         return EngineReport(
             leaves_ms=None if leaves is None else int(leaves),
-            is_leaving=found.get("state") == "draining",
+            is_leaving=document.get("state") == "draining",
         )
 
-    return _read(build, data)
+    return _decode(build, data)
--- a/rhubarbwinch/platform/enginecalls.py
+++ b/rhubarbwinch/platform/enginecalls.py
@@ -6,9 +6,9 @@
 import orjson
 
 from rhubarbwinch.gateway.wire import (
+    CopyResult,
     EngineReport,
     FreeState,
-    MoveResult,
     MoveState,
 )
 from rhubarbwinch.platform import documents
@@ -17,12 +17,12 @@
 
 # The copy of a large run takes some hundred milliseconds, and other copies may
 # be queued before it on the engine's network link.
-MOVE_TIMEOUT_S = 3.0
-CONNECT_S = 0.3
+COPY_TIMEOUT_S = 3.0
+CONNECT_TIMEOUT_S = 0.3
 REPORT_TIMEOUT_S = 1.0
 FREE_TIMEOUT_S = 0.5
 
-_STATES: dict[int, MoveState] = {
+_STATES_BY_STATUS: dict[int, MoveState] = {
     httpx.codes.OK: MoveState.COPIED,
     httpx.codes.NOT_FOUND: MoveState.NO_RUN,
     httpx.codes.CONFLICT: MoveState.BUSY,
@@ -40,43 +40,47 @@
     def __init__(self, transport: httpx.AsyncBaseTransport) -> None:
         self._client = httpx.AsyncClient(transport=transport)
 
-    async def move(
-        self, address: str, request_id: str, to: str, is_last: bool
-    ) -> MoveResult:
-        """Copies a run's KV cache to the engine at `to`."""
-        body: dict[str, object] = {"id": request_id, "to": to}
-        if is_last:
+    async def copy_run(
+        self, address: str, request_id: str, target: str, stop_first: bool
+    ) -> CopyResult:
+        """Copies a run's KV cache to the engine at `target`."""
+        body: dict[str, object] = {"id": request_id, "to": target}
+        if stop_first:
             body["last"] = True
         try:
             response = await self._client.post(
                 f"http://{address}/kv-move",
                 content=orjson.dumps(body),
                 headers={"Content-Type": "application/json"},
-                timeout=httpx.Timeout(MOVE_TIMEOUT_S, connect=CONNECT_S),
+                timeout=httpx.Timeout(
+                    COPY_TIMEOUT_S, connect=CONNECT_TIMEOUT_S
+                ),
             )
-            found = orjson.loads(response.content or b"{}")
+            reply = orjson.loads(response.content or b"{}")
         except (httpx.HTTPError, orjson.JSONDecodeError) as error:
             events.MOVE_CALL_FAILED.log(
                 request=request_id, endpoint=address, error=repr(error)
             )
-            return MoveResult(MoveState.FAILED)
-        state = _STATES.get(response.status_code, MoveState.FAILED)
-        if not isinstance(found, dict):
-            found = {}
-        created = found.get("created")
-        return MoveResult(
+            return CopyResult(MoveState.FAILED)
+        state = _STATES_BY_STATUS.get(response.status_code, MoveState.FAILED)
+        if not isinstance(reply, dict):
+            reply = {}
+        event_count = reply.get("created")
+        return CopyResult(
             state,
-            str(found.get("handle") or ""),
-            created if isinstance(created, int) else 0,
+            str(reply.get("handle") or ""),
+            event_count if isinstance(event_count, int) else 0,
         )
 
     async def free_copy(self, address: str, handle: str) -> FreeState:
         """Frees a copy: at both engines if called at the source."""
-        name = urllib.parse.quote(handle, safe="")
+        quoted_handle = urllib.parse.quote(handle, safe="")
         try:
             response = await self._client.delete(
-                f"http://{address}/kv-handle/{name}",
-                timeout=httpx.Timeout(FREE_TIMEOUT_S, connect=CONNECT_S),
+                f"http://{address}/kv-handle/{quoted_handle}",
+                timeout=httpx.Timeout(
+                    FREE_TIMEOUT_S, connect=CONNECT_TIMEOUT_S
+                ),
             )
         except httpx.HTTPError as error:
             events.FREE_CALL_FAILED.log(
@@ -101,7 +105,9 @@
         try:
             response = await self._client.get(
                 f"http://{address}/report",
-                timeout=httpx.Timeout(REPORT_TIMEOUT_S, connect=CONNECT_S),
+                timeout=httpx.Timeout(
+                    REPORT_TIMEOUT_S, connect=CONNECT_TIMEOUT_S
+                ),
             )
             return documents.decode_report(response.content)
         except (httpx.HTTPError, PlatformFormatError) as error:
--- a/rhubarbwinch/platform/headers.py
+++ b/rhubarbwinch/platform/headers.py
@@ -3,10 +3,10 @@
 import re
 
 from rhubarbwinch.gateway.wire import (
-    AnswerHead,
+    AttemptOptions,
     CallHead,
     Headers,
-    SendOptions,
+    ResponseHead,
 )
 from rhubarbwinch.shared.exceptions import BadCallError
 
@@ -18,10 +18,10 @@
 EXPECTED_ENDPOINT = b"expect-instance"
 # The sizes announced by the caller: prompt tokens, maximum output tokens.
 SIZES = b"token-usage"
-LENGTH_ESTIMATE = b"length-hint"
+OUTPUT_ESTIMATE = b"length-hint"
 LAST_EVENT = b"last-event-id"
 SIGNATURE = b"server-signature"
-REFUSED = b"not-executed"
+NOT_RUN = b"not-executed"
 BACKUP = b"kv-backup"
 RESUME_FROM = b"kv-from"
 PRIORITY = b"request-priority"
@@ -29,7 +29,7 @@
 BEARER = "bearer "
 
 # Hop-by-hop headers: they concern one connection and are not relayed.
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -46,7 +46,7 @@
 )
 # Headers from callers that are not relayed: the gateway sets them itself, or
 # endpoints must not receive them.
-OWN_HEADERS = frozenset(
+RESERVED_HEADERS = frozenset(
     {
         DEADLINE,
         ACCOUNT,
@@ -63,7 +63,7 @@
     }
 )
 _DIGITS = re.compile(r"\d{1,12}")
-MISDIRECTED = 421
+MISDIRECTED_REQUEST = 421
 
 
 def _values(headers: Headers, name: bytes) -> list[str]:
@@ -72,24 +72,24 @@
     ]
 
 
-def _value(headers: Headers, name: bytes) -> str | None:
+def _first_value(headers: Headers, name: bytes) -> str | None:
     found = _values(headers, name)
     return found[0] if found else None
 
 
-def _number(text: str | None) -> int | None:
+def _parse_number(text: str | None) -> int | None:
     """Parses a whole number; None if `text` is None or not a number."""
     if text is None or not _DIGITS.fullmatch(text):
         return None
     return int(text)
 
 
-def _hop_names(headers: Headers) -> set[bytes]:
+def _hop_by_hop_names(headers: Headers) -> set[bytes]:
     """Returns the names of all hop-by-hop headers in a head.
 
     These include the headers that the head's `Connection` header names.
     """
-    found = set(HOP_HEADERS)
+    found = set(HOP_BY_HOP_HEADERS)
     for value in _values(headers, b"connection"):
         found |= {part.strip().lower().encode() for part in value.split(",")}
     return found
@@ -108,11 +108,11 @@
     hosts = _values(headers, b"host")
     if len(hosts) != 1:
         raise BadCallError("a request needs one host")
-    deadline = _value(headers, DEADLINE)
-    if deadline is not None and _number(deadline) is None:
+    deadline = _first_value(headers, DEADLINE)
+    if deadline is not None and _parse_number(deadline) is None:
         raise BadCallError("the deadline is not a whole number")
-    sizes = (_value(headers, SIZES) or "0,0").split(",")
-    skipped = _hop_names(headers) | OWN_HEADERS
+    token_counts = (_first_value(headers, SIZES) or "0,0").split(",")
+    skipped = _hop_by_hop_names(headers) | RESERVED_HEADERS
     return CallHead(
         method=method,
         target=target,
@@ -121,24 +121,27 @@
         else hosts[0].lower(),
         request_id=ids[0],
         api_key=_api_key(headers),
-        deadline_ms=_number(deadline),
-        prompt_tokens=_number(sizes[0].strip()) or 0,
-        max_output_tokens=_number(sizes[-1].strip()) or 0,
-        likely_output_tokens=_number(_value(headers, LENGTH_ESTIMATE)) or 0,
-        last_event_id=_value(headers, LAST_EVENT),
+        deadline_ms=_parse_number(deadline),
+        prompt_tokens=_parse_number(token_counts[0].strip()) or 0,
+        max_output_tokens=_parse_number(token_counts[-1].strip()) or 0,
+        estimated_output_tokens=_parse_number(
+            _first_value(headers, OUTPUT_ESTIMATE)
+        )
+        or 0,
+        last_event_id=_first_value(headers, LAST_EVENT),
         headers=[(n, v) for n, v in headers if n.lower() not in skipped],
     )
 
 
 def _api_key(headers: Headers) -> str | None:
-    value = _value(headers, AUTHORIZATION)
+    value = _first_value(headers, AUTHORIZATION)
     if value is None or not value.lower().startswith(BEARER):
         return None
     return value[len(BEARER) :].strip()
 
 
 def endpoint_headers(
-    call: CallHead, options: SendOptions, body_bytes: int
+    call: CallHead, options: AttemptOptions, body_bytes: int
 ) -> Headers:
     """Returns the headers of a request to an endpoint."""
     found = list(call.headers)
@@ -149,10 +152,12 @@
     if options.last_event_id is not None:
         found.append((b"Last-Event-Id", options.last_event_id.encode()))
     if options.resume_from is not None:
-        copy = options.resume_from
-        found.append((b"Kv-From", f"{copy.address}/{copy.handle}".encode()))
-    if options.backup_address is not None:
-        found.append((b"Kv-Backup", options.backup_address.encode()))
+        location = options.resume_from
+        found.append(
+            (b"Kv-From", f"{location.address}/{location.handle}".encode())
+        )
+    if options.standby_address is not None:
+        found.append((b"Kv-Backup", options.standby_address.encode()))
     if options.priority is not None:
         found.append((b"Request-Priority", str(options.priority).encode()))
     if body_bytes or call.method not in ("GET", "HEAD", "DELETE"):
@@ -160,29 +165,30 @@
     return found
 
 
-def decode_answer(status: int, headers: Headers) -> AnswerHead:
+def decode_response(status: int, headers: Headers) -> ResponseHead:
     """Decodes the head of an endpoint's response."""
-    hop = _hop_names(headers)
+    hop_by_hop = _hop_by_hop_names(headers)
     encodings = _values(headers, b"content-encoding")
-    return AnswerHead(
+    return ResponseHead(
         status=status,
-        is_refusal=status == MISDIRECTED or bool(_values(headers, REFUSED)),
-        is_signed=bool(_value(headers, SIGNATURE)),
+        is_refusal=status == MISDIRECTED_REQUEST
+        or bool(_values(headers, NOT_RUN)),
+        is_signed=bool(_first_value(headers, SIGNATURE)),
         is_altered=any(e.lower() != "identity" for e in encodings),
-        headers=[(n, v) for n, v in headers if n.lower() not in hop],
+        headers=[(n, v) for n, v in headers if n.lower() not in hop_by_hop],
     )
 
 
-def is_answer_to(request_id: str, headers: Headers) -> bool:
+def is_response_to(request_id: str, headers: Headers) -> bool:
     """Returns whether a response belongs to a request.
 
     A response without an id is taken to belong to it.
     """
-    found = _value(headers, REQUEST_ID)
+    found = _first_value(headers, REQUEST_ID)
     return found is None or found == request_id
 
 
-def refusal_headers(request_id: str, retry_after_ms: int | None) -> Headers:
+def failure_headers(request_id: str, retry_after_ms: int | None) -> Headers:
     """Returns the headers of a response of the gateway itself."""
     found: Headers = []
     if request_id:
--- a/rhubarbwinch/platform/kvstore.py
+++ b/rhubarbwinch/platform/kvstore.py
@@ -28,13 +28,16 @@
 # How long the server waits for an event before it responds with none.
 WATCH_WAIT_MS = 1_000
 # A connection on which the store acknowledges no data for this time is closed.
-DEAD_PEER_MS = 2_000
+ACK_TIMEOUT_MS = 2_000
 _PRECONDITION_FAILED = httpx.codes.PRECONDITION_FAILED
 # Statuses which mean that the store did nothing.
-_REFUSED = (httpx.codes.TOO_MANY_REQUESTS, httpx.codes.SERVICE_UNAVAILABLE)
+_NO_EFFECT_STATUSES = (
+    httpx.codes.TOO_MANY_REQUESTS,
+    httpx.codes.SERVICE_UNAVAILABLE,
+)
 
 
-def _entry(item: JSON) -> Entry:
+def _decode_entry(item: JSON) -> Entry:
     """Decodes an item.
 
     Raises:
@@ -44,11 +47,11 @@
     return Entry(item["key"], value, int(item["revision"]))
 
 
-def _change(event: JSON) -> Change:
+def _decode_change(event: JSON) -> Change:
     key, revision = event["key"], int(event["revision"])
     if event.get("tombstone"):
         return Change(key, revision, None)
-    return Change(key, revision, _entry(event))
+    return Change(key, revision, _decode_entry(event))
 
 
 class PlatformStore:
@@ -60,11 +63,11 @@
     """
 
     def __init__(self, address: str, timeout_ms: int) -> None:
-        self._timeout = timeout_ms / 1000
+        self._timeout_s = timeout_ms / 1000
         self._client = httpx.AsyncClient(
             base_url=f"http://{address}",
-            timeout=self._timeout,
-            transport=Transport(TransportOptions(dead_peer_ms=DEAD_PEER_MS)),
+            timeout=self._timeout_s,
+            transport=Transport(TransportOptions(dead_peer_ms=ACK_TIMEOUT_MS)),
         )
 
     async def get(self, key: str) -> Entry | None:
@@ -72,7 +75,7 @@
         response = await self._send("GET", "/kv-key", params={"key": key})
         if response.status_code == httpx.codes.NOT_FOUND:
             return None
-        return _parse(response, _entry)
+        return _parse(response, _decode_entry)
 
     async def scan(self, prefix: str) -> Listing:
         """Returns all entries whose keys start with `prefix`, by key.
@@ -86,7 +89,7 @@
         while True:
             response = await self._send("GET", "/kv-range", params=params)
             page = _parse(response, dict)
-            entries += _parse_all(page["items"])
+            entries += _decode_entries(page["items"])
             revision = revision or int(page["at"])
             if not page.get("has_more") or not page["items"]:
                 return Listing(entries, revision)
@@ -111,14 +114,14 @@
         """Returns the id of a new lease."""
         body = {"ttl_ms": ttl_ms}
         response = await self._send("POST", "/kv-lease", content=body)
-        return _parse(response, lambda found: int(found["lease"]))
+        return _parse(response, lambda reply: int(reply["lease"]))
 
     async def keep_lease(self, lease: int) -> int:
         """Renews a lease; returns its remaining milliseconds, 0 if expired."""
         response = await self._send("POST", f"/kv-keep/{lease}", content={})
         if response.status_code == httpx.codes.NOT_FOUND:
             return 0
-        return _parse(response, lambda found: int(found["ttl_ms"]))
+        return _parse(response, lambda reply: int(reply["ttl_ms"]))
 
     async def revoke_lease(self, lease: int) -> None:
         """Revokes a lease; the store deletes the keys attached to it."""
@@ -145,19 +148,19 @@
             "GET",
             "/kv-watch",
             params=params,
-            timeout_s=self._timeout + wait_ms / 1000,
+            timeout_s=self._timeout_s + wait_ms / 1000,
         )
         if response.status_code == httpx.codes.GONE:
             raise StoreCompacted(
                 f"the changes after revision {after} are compacted"
             )
-        found = _parse(response, dict)
+        reply = _parse(response, dict)
         changes = [
             change
-            for change in map(_change_or_none, found["events"])
+            for change in map(_decode_change_or_none, reply["events"])
             if change is not None
         ]
-        return ChangeBatch(after, int(found["at"]), changes)
+        return ChangeBatch(after, int(reply["at"]), changes)
 
     async def watch(self, prefix: str, after: int) -> AsyncIterator[Change]:
         """Yields every change under `prefix` after the revision `after`."""
@@ -182,12 +185,12 @@
         response = await self._send(
             "POST", "/kv-txn", content=body, is_write=True
         )
-        found = _parse(response, dict, also=_PRECONDITION_FAILED)
+        reply = _parse(response, dict, accepted_status=_PRECONDITION_FAILED)
         if response.status_code == httpx.codes.OK:
-            return Swap(True, int(found["revision"]))
+            return Swap(True, int(reply["revision"]))
         # An absent key has the revision 0.
-        rows = [row for row in found.get("items", []) if row.get("revision")]
-        current = _entry(rows[0]) if rows else None
+        rows = [row for row in reply.get("items", []) if row.get("revision")]
+        current = _decode_entry(rows[0]) if rows else None
         return Swap(False, current.revision if current else 0, current)
 
     async def _send(
@@ -205,9 +208,9 @@
             StoreUnavailable: The call had no effect, or it was a read.
             StoreUncertain: A write may have taken effect.
         """
-        uncertain = StoreUncertain if is_write else StoreUnavailable
+        error_type = StoreUncertain if is_write else StoreUnavailable
         timeout = httpx.Timeout(
-            timeout_s or self._timeout, connect=self._timeout
+            timeout_s or self._timeout_s, connect=self._timeout_s
         )
         try:
             response = await self._client.request(
@@ -221,27 +224,27 @@
         except (httpx.ConnectError, httpx.ConnectTimeout) as error:
             raise StoreUnavailable(f"{path}: {error!r}") from error
         except httpx.HTTPError as error:
-            raise uncertain(f"{path}: {error!r}") from error
-        if response.status_code in _REFUSED:
+            raise error_type(f"{path}: {error!r}") from error
+        if response.status_code in _NO_EFFECT_STATUSES:
             raise StoreUnavailable(f"{path}: status {response.status_code}")
         return response
 
 
 def _parse(
-    response: httpx.Response, build: Any, also: int = httpx.codes.OK
+    response: httpx.Response, build: Any, accepted_status: int = httpx.codes.OK
 ) -> Any:
     """Decodes the JSON body of a response with `build`.
 
     Args:
         response: The response.
         build: Converts the decoded JSON.
-        also: A status that is accepted besides 200.
+        accepted_status: A status that is accepted besides 200.
 
     Raises:
         StoreError: The response has another status or format.
     """
     path = response.request.url.path
-    if response.status_code not in (httpx.codes.OK, also):
+    if response.status_code not in (httpx.codes.OK, accepted_status):
         raise StoreUnavailable(f"{path}: status {response.status_code}")
     try:
         return build(orjson.loads(response.content))
@@ -249,20 +252,20 @@
         raise StoreError(f"{path}: malformed response: {error!r}") from error
 
 
-def _parse_all(items: list[JSON]) -> list[Entry]:
+def _decode_entries(items: list[JSON]) -> list[Entry]:
     """Returns the entries of items; skips items that are malformed."""
-    found = [_change_or_none(item) for item in items]
-    return [c.entry for c in found if c is not None and c.entry is not None]
+    body = [_decode_change_or_none(item) for item in items]
+    return [c.entry for c in body if c is not None and c.entry is not None]
 
 
-def _change_or_none(event: JSON) -> Change | None:
+def _decode_change_or_none(event: JSON) -> Change | None:
     """Decodes an event; None if it has no valid key and revision.
 
     Other writers may store malformed values. Such an event is returned with an
     empty value, because its key still tells which entry has changed.
     """
     try:
-        return _change(event)
+        return _decode_change(event)
     except (KeyError, TypeError, ValueError, binascii.Error):
         if not isinstance(event, dict) or not isinstance(event.get("key"), str):
             return None
--- a/tests/gateway/test_copies.py
+++ b/tests/gateway/test_copies.py
@@ -5,9 +5,9 @@
 
 import anyio
 
-from rhubarbwinch.gateway.copies import EXPIRY_FACTOR, CopyKeeper, RunCopy
+from rhubarbwinch.gateway.copies import EXPIRY_FACTOR, CopyManager, MigratedCopy
 from rhubarbwinch.gateway.loads import LoadBook, Room
-from rhubarbwinch.gateway.wire import FreeState, MoveResult, MoveState
+from rhubarbwinch.gateway.wire import CopyResult, FreeState, MoveState
 from rhubarbwinch.shared.clock import ManualClock
 from tests.gatewaybuilders import endpoint
 from tests.helpers import asynchronous
@@ -22,98 +22,98 @@
     """Engine calls with results that are set by a test."""
 
     def __init__(self):
-        self.result = MoveResult(MoveState.COPIED, "h-q1")
-        self.frees = {}
+        self.result = CopyResult(MoveState.COPIED, "h-q1")
+        self.free_results = {}
         self.freed = []
-        self.may_answer = anyio.Event()
-        self.may_answer.set()
+        self.may_respond = anyio.Event()
+        self.may_respond.set()
 
-    async def move(self, address, request_id, to, is_last):
-        await self.may_answer.wait()
+    async def copy_run(self, address, request_id, target, stop_first):
+        await self.may_respond.wait()
         return self.result
 
     async def free_copy(self, address, handle):
         self.freed.append((address, handle))
-        return self.frees.get(address, FreeState.FREED)
+        return self.free_results.get(address, FreeState.FREED)
 
 
-class CopyKeeperTest(unittest.TestCase):
+class CopyManagerTest(unittest.TestCase):
     """One run is copied from one engine to another."""
 
     @asynccontextmanager
-    async def _keeper(self):
+    async def _running_manager(self):
         self.calls = Calls()
         self.clock = ManualClock()
         self.loads = LoadBook()
-        room = Room(TARGET, TOKENS, 0, 1, self.loads).hold()
-        self.copy = RunCopy("q1", SOURCE, TARGET, room, EXPIRY_MS)
-        keeper = CopyKeeper(self.calls, self.clock)
+        reservation = Room(TARGET, TOKENS, 0, 1, self.loads).hold()
+        self.copy = MigratedCopy("q1", SOURCE, TARGET, reservation, EXPIRY_MS)
+        manager = CopyManager(self.calls, self.clock)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(keeper.run)
+            tasks.start_soon(manager.run)
             await anyio.wait_all_tasks_blocked()
-            yield keeper
+            yield manager
             tasks.cancel_scope.cancel()
 
     @property
-    def _counted(self):
+    def _reserved_tokens(self):
         return self.loads.total(TARGET.id).tokens
 
     @asynchronous
     async def test_a_copy_is_freed_at_its_source(self):
-        async with self._keeper() as keeper:
-            await keeper.renew(self.copy, False, 3)
-            self.assertEqual(self._counted, TOKENS)
-            keeper.drop(self.copy)
+        async with self._running_manager() as manager:
+            await manager.refresh(self.copy, False, 3)
+            self.assertEqual(self._reserved_tokens, TOKENS)
+            manager.free(self.copy)
             await anyio.wait_all_tasks_blocked()
             self.assertEqual(self.calls.freed, [(SOURCE.address, "h-q1")])
-            self.assertEqual(self._counted, 0)
+            self.assertEqual(self._reserved_tokens, 0)
 
     @asynchronous
     async def test_a_copy_whose_source_is_gone_is_freed_where_it_is(self):
         for gone in (FreeState.FAILED, FreeState.UNKNOWN):
-            async with self._keeper() as keeper:
-                self.calls.frees = {SOURCE.address: gone}
-                await keeper.renew(self.copy, False, 3)
-                keeper.drop(self.copy)
+            async with self._running_manager() as manager:
+                self.calls.free_results = {SOURCE.address: gone}
+                await manager.refresh(self.copy, False, 3)
+                manager.free(self.copy)
                 await anyio.wait_all_tasks_blocked()
                 self.assertEqual(self.calls.freed[-1], (TARGET.address, "h-q1"))
-                self.assertEqual(self._counted, 0)
+                self.assertEqual(self._reserved_tokens, 0)
 
     @asynchronous
     async def test_a_run_that_ends_under_the_call_leaves_no_copy(self):
-        async with self._keeper() as keeper:
-            self.calls.may_answer = anyio.Event()
+        async with self._running_manager() as manager:
+            self.calls.may_respond = anyio.Event()
             with anyio.CancelScope() as scope:
                 async with anyio.create_task_group() as tasks:
-                    tasks.start_soon(keeper.renew, self.copy, False, 3)
+                    tasks.start_soon(manager.refresh, self.copy, False, 3)
                     await anyio.wait_all_tasks_blocked()
                     scope.cancel()
-            keeper.drop(self.copy)
+            manager.free(self.copy)
             await anyio.wait_all_tasks_blocked()
             # The handle is not known yet, and the copy may occupy KV cache.
-            self.assertEqual(self._counted, TOKENS)
-            self.calls.may_answer.set()
+            self.assertEqual(self._reserved_tokens, TOKENS)
+            self.calls.may_respond.set()
             await anyio.wait_all_tasks_blocked()
             self.assertEqual(self.calls.freed, [(SOURCE.address, "h-q1")])
-            self.assertEqual(self._counted, 0)
+            self.assertEqual(self._reserved_tokens, 0)
 
     @asynchronous
     async def test_what_can_not_be_freed_counts_until_it_expires(self):
-        async with self._keeper() as keeper:
-            self.calls.result = MoveResult(MoveState.FAILED)
-            await keeper.renew(self.copy, False, 3)
-            keeper.drop(self.copy)
+        async with self._running_manager() as manager:
+            self.calls.result = CopyResult(MoveState.FAILED)
+            await manager.refresh(self.copy, False, 3)
+            manager.free(self.copy)
             await self.clock.advance(int(EXPIRY_FACTOR * EXPIRY_MS) - 1)
-            self.assertEqual(self._counted, TOKENS)
+            self.assertEqual(self._reserved_tokens, TOKENS)
             await self.clock.advance(1)
-            self.assertEqual(self._counted, 0)
+            self.assertEqual(self._reserved_tokens, 0)
 
     @asynchronous
     async def test_a_copy_that_was_refused_counts_no_longer(self):
-        async with self._keeper() as keeper:
-            self.calls.result = MoveResult(MoveState.NO_ROOM)
-            await keeper.renew(self.copy, False, 3)
-            keeper.drop(self.copy)
+        async with self._running_manager() as manager:
+            self.calls.result = CopyResult(MoveState.NO_ROOM)
+            await manager.refresh(self.copy, False, 3)
+            manager.free(self.copy)
             await anyio.wait_all_tasks_blocked()
             self.assertEqual(self.calls.freed, [])
-            self.assertEqual(self._counted, 0)
+            self.assertEqual(self._reserved_tokens, 0)
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -220,10 +220,10 @@
 
     async def _end_under_an_open_request(self, *later):
         """Stops a gateway that waits for a response, then sends `later`."""
-        go_on = anyio.Event()
+        proceed = anyio.Event()
 
         async def wait(arrival, responder):
-            await go_on.wait()
+            await proceed.wait()
             await answer_ok(arrival, responder)
 
         async with deployment() as d:
@@ -249,7 +249,7 @@
                     d.processes.signal("g1", number)
                     # Signals sent without a pause may be merged into one.
                     await anyio.sleep(0.1)
-                go_on.set()
+                proceed.set()
             self.assertEqual(answers[0].text, "q1")
             status = await anyio.to_thread.run_sync(d.processes.wait, "g1")
             self.assertEqual(status, 0)
--- a/tests/gateway/test_plaincalls.py
+++ b/tests/gateway/test_plaincalls.py
@@ -10,7 +10,7 @@
 from tests.gatewayworld import world
 from tests.helpers import asynchronous
 
-UNSAFE = build.table(build.route(CallKind.NON_IDEMPOTENT))
+NOT_REPEATABLE = build.table(build.route(CallKind.NON_IDEMPOTENT))
 
 
 async def cut(arrival, responder):
@@ -75,7 +75,7 @@
     return run
 
 
-BAD = (cut, cut_midway, unsigned, encoded, busy, nonsense)
+BROKEN_BEHAVIOURS = (cut, cut_midway, unsigned, encoded, busy, nonsense)
 
 
 class PlainCallsTest(unittest.TestCase):
@@ -91,7 +91,7 @@
 
     @asynchronous
     async def test_a_repeatable_call_is_served_by_the_other_endpoint(self):
-        for behaviour in (*BAD, refuse, fail):
+        for behaviour in (*BROKEN_BEHAVIOURS, refuse, fail):
             async with world() as w:
                 once = _once(behaviour)
                 for engine in w.engines:
@@ -102,8 +102,8 @@
 
     @asynchronous
     async def test_a_call_that_may_have_run_once_is_never_sent_again(self):
-        for behaviour in BAD:
-            async with world(table=UNSAFE) as w:
+        for behaviour in BROKEN_BEHAVIOURS:
+            async with world(table=NOT_REPEATABLE) as w:
                 for engine in w.engines:
                     engine.behaviour = behaviour
                 found = await w.call()
@@ -113,7 +113,7 @@
 
     @asynchronous
     async def test_a_refused_call_goes_elsewhere_and_is_not_run_twice(self):
-        async with world(table=UNSAFE) as w:
+        async with world(table=NOT_REPEATABLE) as w:
             w.engines[0].behaviour = w.engines[1].behaviour = refuse
             found = await w.call()
             self.assertEqual(found.status, 503)
@@ -122,7 +122,7 @@
 
     @asynchronous
     async def test_an_endpoint_that_is_gone_is_passed_by(self):
-        async with world(table=UNSAFE) as w:
+        async with world(table=NOT_REPEATABLE) as w:
             known = w.context.fleet.get("e1")
             gone = build.endpoint("e1", address="127.0.0.1:1")
             known.endpoint = gone
@@ -132,7 +132,7 @@
 
     @asynchronous
     async def test_an_address_used_by_another_endpoint_runs_nothing(self):
-        async with world(engines=1, table=UNSAFE) as w:
+        async with world(engines=1, table=NOT_REPEATABLE) as w:
             w.engines[0].name = "e9"
             found = await w.call()
             self.assertEqual(found.status, 503)
@@ -147,7 +147,7 @@
 
     @asynchronous
     async def test_an_endpoints_own_failure_is_passed_on_as_it_is(self):
-        async with world(table=UNSAFE) as w:
+        async with world(table=NOT_REPEATABLE) as w:
             w.engines[0].behaviour = w.engines[1].behaviour = fail
             found = await w.call()
             self.assertEqual((found.status, found.body), (500, b"no"))
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -11,11 +11,11 @@
 from tests.gatewayworld import read_answer, world
 from tests.helpers import asynchronous
 
-NO_BACKUPS = attrs.evolve(build.ENGINE, can_back_up=False)
-ONCE = build.table(
-    build.route(CallKind.STREAM, timeout_ms=20_000), engine=NO_BACKUPS
+NO_STANDBY = attrs.evolve(build.ENGINE, can_back_up=False)
+NOT_REPEATABLE = build.table(
+    build.route(CallKind.STREAM, timeout_ms=20_000), engine=NO_STANDBY
 )
-FOLLOWED = build.table(build.route(CallKind.STREAM, timeout_ms=20_000))
+WITH_STANDBY = build.table(build.route(CallKind.STREAM, timeout_ms=20_000))
 RESUMABLE = build.table(
     build.route(
         CallKind.STREAM, timeout_ms=20_000, is_resumable=True, max_attempts=2
@@ -31,8 +31,8 @@
         self.break_after = None
         self.tail = b""
         self.reached = anyio.Event()
-        self.go_on = anyio.Event()
-        self.go_on.set()
+        self.proceed = anyio.Event()
+        self.proceed.set()
 
     async def run(self, arrival, responder):
         """Responds to a request as an engine."""
@@ -44,7 +44,7 @@
                 self.break_after = None
                 await responder.write(self.tail) if self.tail else None
                 self.reached.set()
-                await self.go_on.wait()
+                await self.proceed.wait()
                 return
         await responder.end_stream()
 
@@ -63,7 +63,7 @@
 
     @asynchronous
     async def test_a_stream_is_passed_on_whole(self):
-        async with world(table=ONCE) as w:
+        async with world(table=NOT_REPEATABLE) as w:
             self._script(w, Generation())
             found = await w.call()
         self.assertEqual(found.body, ALL)
@@ -72,10 +72,10 @@
 
     @asynchronous
     async def test_a_run_goes_on_from_its_copy_when_its_engine_ends(self):
-        async with world(table=ONCE) as w:
+        async with world(table=NOT_REPEATABLE) as w:
             generation = Generation()
             generation.break_after = 3
-            generation.go_on = anyio.Event()
+            generation.proceed = anyio.Event()
             self._script(w, generation)
             reader, writer = await _start(w)
             await generation.reached.wait()
@@ -86,9 +86,9 @@
                 await anyio.sleep(0)
             self.assertEqual(source.moves[0]["to"], other.address)
             # The first copy is complete before the source engine ends.
-            while not next(iter(w.streams._runs)).home:
+            while not next(iter(w.streams._runs)).target:
                 await anyio.sleep(0)
-            generation.go_on.set()
+            generation.proceed.set()
             found = await read_answer(reader)
             writer.close()
         self.assertEqual(found.body, ALL)
@@ -101,16 +101,16 @@
 
     @asynchronous
     async def test_a_copy_of_a_run_that_ends_before_its_engine_is_freed(self):
-        async with world(table=ONCE) as w:
+        async with world(table=NOT_REPEATABLE) as w:
             generation = Generation()
-            generation.go_on = anyio.Event()
+            generation.proceed = anyio.Event()
 
             async def finish(arrival, responder):
                 await responder.start_stream(200, head_of(arrival))
                 for number in range(1, 4):
                     await responder.write(event(number))
                 generation.reached.set()
-                await generation.go_on.wait()
+                await generation.proceed.wait()
                 for number in range(4, 7):
                     await responder.write(event(number))
                 await responder.end_stream()
@@ -121,9 +121,9 @@
             await generation.reached.wait()
             source = next(e for e in w.engines if e.arrivals)
             w.announce_leaving(source)
-            while not next(iter(w.streams._runs)).home:
+            while not next(iter(w.streams._runs)).target:
                 await anyio.sleep(0)
-            generation.go_on.set()
+            generation.proceed.set()
             found = await read_answer(reader)
             writer.close()
             while w.context.loads.own():
@@ -133,23 +133,23 @@
 
     @asynchronous
     async def test_a_copy_is_good_though_copying_again_fails(self):
-        async with world(table=ONCE) as w:
+        async with world(table=NOT_REPEATABLE) as w:
             generation = Generation()
             generation.break_after = 3
-            generation.go_on = anyio.Event()
+            generation.proceed = anyio.Event()
             self._script(w, generation)
             reader, writer = await _start(w)
             await generation.reached.wait()
             source = next(e for e in w.engines if e.arrivals)
             w.announce_leaving(source)
-            while not next(iter(w.streams._runs)).home:
+            while not next(iter(w.streams._runs)).target:
                 await anyio.sleep(0)
             # The engine is about to end: from here on all its calls fail.
             source.move_status = 500
             copies = len(source.moves)
             while len(source.moves) < copies + 2:
                 await anyio.sleep(0.01)
-            generation.go_on.set()
+            generation.proceed.set()
             found = await read_answer(reader)
             writer.close()
         self.assertEqual(found.body, ALL)
@@ -157,7 +157,7 @@
 
     @asynchronous
     async def test_a_run_without_a_copy_is_never_run_again(self):
-        async with world(table=ONCE) as w:
+        async with world(table=NOT_REPEATABLE) as w:
             generation = Generation()
             generation.break_after = 3
             self._script(w, generation)
@@ -168,7 +168,7 @@
 
     @asynchronous
     async def test_a_followed_run_goes_on_where_it_is_followed(self):
-        async with world(table=FOLLOWED) as w:
+        async with world(table=WITH_STANDBY) as w:
             generation = Generation()
             generation.break_after = 3
             self._script(w, generation)
@@ -192,7 +192,7 @@
         async def cut(arrival, responder):
             """Closes the connection without a response."""
 
-        async with world(table=ONCE) as w:
+        async with world(table=NOT_REPEATABLE) as w:
             for engine in w.engines:
                 engine.behaviour = cut
             found = await w.call()
@@ -201,7 +201,7 @@
 
     @asynchronous
     async def test_a_refused_run_is_placed_elsewhere(self):
-        async with world(table=ONCE) as w:
+        async with world(table=NOT_REPEATABLE) as w:
             generation = Generation()
             seen = []
 
@@ -220,7 +220,7 @@
 
     @asynchronous
     async def test_a_run_that_is_placed_anew_gives_up_its_old_backup(self):
-        async with world(engines=3, table=FOLLOWED) as w:
+        async with world(engines=3, table=WITH_STANDBY) as w:
             generation = Generation()
             held = []
 
@@ -285,7 +285,7 @@
                 await responder.write(event(number))
             await responder.end_stream()
 
-        async with world(engines=1, table=ONCE) as w:
+        async with world(engines=1, table=NOT_REPEATABLE) as w:
             w.engines[0].behaviour = repeat
             found = await w.call()
         self.assertEqual(found.body, event(1) + event(2) + event(3))
@@ -298,7 +298,7 @@
                 await responder.write(event(number))
             await responder.end_stream()
 
-        async with world(engines=1, table=ONCE) as w:
+        async with world(engines=1, table=NOT_REPEATABLE) as w:
             w.engines[0].behaviour = skip
             found = await w.call()
         self.assertFalse(found.is_complete)
@@ -316,10 +316,10 @@
 
     @asynchronous
     async def test_a_caller_that_leaves_ends_its_run(self):
-        async with world(engines=1, table=ONCE) as w:
+        async with world(engines=1, table=NOT_REPEATABLE) as w:
             generation = Generation()
             generation.break_after = 2
-            generation.go_on = anyio.Event()
+            generation.proceed = anyio.Event()
             self._script(w, generation)
             _, writer = await _start(w)
             await generation.reached.wait()
@@ -330,7 +330,7 @@
 
     @asynchronous
     async def test_a_gateway_that_leaves_takes_no_generation(self):
-        async with world(table=ONCE) as w:
+        async with world(table=NOT_REPEATABLE) as w:
             w.context.is_draining = True
             found = await w.call()
             self.assertEqual((found.status, w.arrivals), (503, []))
--- a/tests/gatewayworld.py
+++ b/tests/gatewayworld.py
@@ -8,7 +8,7 @@
 
 from lab.standins.platformengine import ScriptedEngine
 from rhubarbwinch.gateway.context import Context
-from rhubarbwinch.gateway.copies import CopyKeeper
+from rhubarbwinch.gateway.copies import CopyManager
 from rhubarbwinch.gateway.crashes import CrashLedger
 from rhubarbwinch.gateway.edge import EdgeServer
 from rhubarbwinch.gateway.failurereports import FailureReports
@@ -44,7 +44,7 @@
 
 
 @attrs.define
-class Answer:
+class Response:
     """A response as the caller received it."""
 
     status: int
@@ -77,7 +77,7 @@
             peers=NoPeers(),
             upstream=Upstream(self.platform, self.transport, tracer),
             tracer=tracer,
-            copies=CopyKeeper(
+            copies=CopyManager(
                 PlatformEngineCalls(self.transport), SystemClock()
             ),
             crashes=CrashLedger(
@@ -155,9 +155,9 @@
         headers[name.lower()] = value.strip()
     status = int(lines[0].split()[1]) if lines[0] else 0
     if headers.get("transfer-encoding") == "chunked":
-        return Answer(status, headers, *_unchunk(body))
+        return Response(status, headers, *_unchunk(body))
     size = int(headers.get("content-length", -1))
-    return Answer(status, headers, body, len(body) == size)
+    return Response(status, headers, body, len(body) == size)
 
 
 def _unchunk(data):
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rhubarbwinch.gateway.wire import MemoryCopy, SendOptions
+from rhubarbwinch.gateway.wire import AttemptOptions, KvCacheLocation
 from rhubarbwinch.platform import headers
 from rhubarbwinch.shared.exceptions import BadCallError
 
@@ -25,7 +25,9 @@
 
 def _sent(call, **options):
     base = {"endpoint_id": "i-1", "account": "t1", "time_left_ms": 777}
-    found = headers.endpoint_headers(call, SendOptions(**(base | options)), 5)
+    found = headers.endpoint_headers(
+        call, AttemptOptions(**(base | options)), 5
+    )
     return {n.lower(): v for n, v in found}
 
 
@@ -42,7 +44,7 @@
         self.assertEqual(
             (call.prompt_tokens, call.max_output_tokens), (1_460, 80)
         )
-        self.assertEqual(call.likely_output_tokens, 40)
+        self.assertEqual(call.estimated_output_tokens, 40)
         self.assertEqual(call.last_event_id, "9")
 
     def test_a_head_without_one_id_and_one_host_is_refused(self):
@@ -103,7 +105,7 @@
         sent = _sent(
             _decode(),
             last_event_id="12",
-            resume_from=MemoryCopy("10.0.0.1:80", "h7"),
+            resume_from=KvCacheLocation("10.0.0.1:80", "h7"),
         )
         self.assertEqual(sent[b"kv-from"], b"10.0.0.1:80/h7")
         self.assertEqual(sent[b"last-event-id"], b"12")
@@ -121,17 +123,17 @@
             (429, [], False),
             (200, [], False),
         ):
-            found = headers.decode_answer(status, more)
+            found = headers.decode_response(status, more)
             self.assertEqual(found.is_refusal, expected, (status, more))
 
     def test_an_answer_with_an_encoding_is_not_the_endpoints(self):
-        found = headers.decode_answer(200, [(b"Content-Encoding", b"gzip")])
+        found = headers.decode_response(200, [(b"Content-Encoding", b"gzip")])
         self.assertTrue(found.is_altered)
 
     def test_an_answer_to_another_request_is_recognised(self):
-        self.assertTrue(headers.is_answer_to("a", [(b"Attempt-Id", b"a")]))
-        self.assertTrue(headers.is_answer_to("a", []))
-        self.assertFalse(headers.is_answer_to("a", [(b"Attempt-Id", b"b")]))
+        self.assertTrue(headers.is_response_to("a", [(b"Attempt-Id", b"a")]))
+        self.assertTrue(headers.is_response_to("a", []))
+        self.assertFalse(headers.is_response_to("a", [(b"Attempt-Id", b"b")]))
 
     def test_the_id_of_an_event_may_stand_on_any_line(self):
         event = b"weight-versions: 2\nid: 17\ndata: x\n\n"
@@ -139,8 +141,8 @@
         self.assertIsNone(headers.event_id(b"data: id\n\n"))
 
     def test_a_refusal_tells_when_to_come_back(self):
-        found = dict(headers.refusal_headers("a1", 250))
+        found = dict(headers.failure_headers("a1", 250))
         self.assertEqual(found[b"Retry-After"], b"0.250")
         self.assertNotIn(
-            b"Retry-After", dict(headers.refusal_headers("", None))
+            b"Retry-After", dict(headers.failure_headers("", None))
         )
