--- a/tests/gateway/test_copies.py
+++ b/tests/gateway/test_copies.py
@@ -69,7 +69,7 @@
             self.assertEqual(self._reserved_tokens, 0)
 
     @asynchronous
-    async def test_a_copy_whose_source_is_gone_is_freed_where_it_is(self):
+    async def test_a_copy_is_freed_at_its_target_if_its_source_is_gone(self):
         for gone in (FreeState.FAILED, FreeState.UNKNOWN):
             async with self._running_manager() as manager:
                 self.calls.free_results = {SOURCE.address: gone}
@@ -80,7 +80,7 @@
                 self.assertEqual(self._reserved_tokens, 0)
 
     @asynchronous
-    async def test_a_run_that_ends_under_the_call_leaves_no_copy(self):
+    async def test_a_copy_is_freed_if_its_run_ends_during_the_call(self):
         async with self._running_manager() as manager:
             self.calls.may_respond = anyio.Event()
             with anyio.CancelScope() as scope:
@@ -98,7 +98,7 @@
             self.assertEqual(self._reserved_tokens, 0)
 
     @asynchronous
-    async def test_what_can_not_be_freed_counts_until_it_expires(self):
+    async def test_a_copy_that_cannot_be_freed_counts_until_it_expires(self):
         async with self._running_manager() as manager:
             self.calls.result = CopyResult(MoveState.FAILED)
             await manager.refresh(self.copy, False, 3)
@@ -109,7 +109,7 @@
             self.assertEqual(self._reserved_tokens, 0)
 
     @asynchronous
-    async def test_a_copy_that_was_refused_counts_no_longer(self):
+    async def test_a_refused_copy_releases_its_reservation(self):
         async with self._running_manager() as manager:
             self.calls.result = CopyResult(MoveState.NO_ROOM)
             await manager.refresh(self.copy, False, 3)
--- a/tests/gateway/test_edge.py
+++ b/tests/gateway/test_edge.py
@@ -79,7 +79,7 @@
     """One server on a real socket."""
 
     @asynchronous
-    async def test_requests_on_one_connection_get_their_own_answers(self):
+    async def test_requests_on_one_connection_get_their_own_responses(self):
         async with edge() as server:
             reader, writer = await server.connect()
             for data in (
@@ -97,7 +97,7 @@
         )
 
     @asynchronous
-    async def test_requests_that_could_be_read_in_two_ways_are_refused(self):
+    async def test_ambiguous_requests_are_refused(self):
         smuggled = b"GET /evil HTTP/1.1\r\nHost: h\r\n\r\n"
         cases = [
             b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n"
@@ -119,7 +119,7 @@
         self.assertNotIn(b"/evil", paths)
 
     @asynchronous
-    async def test_a_body_that_holds_a_request_is_a_body(self):
+    async def test_a_request_inside_a_body_is_not_parsed(self):
         inner = b"GET /evil HTTP/1.1\r\nHost: h\r\n\r\n"
         head = b"POST /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n"
         data = head + b"Content-Length: %d\r\n\r\n" % len(inner) + inner
@@ -129,7 +129,7 @@
             self.assertEqual(len(server.seen), 1)
 
     @asynchronous
-    async def test_what_is_over_the_limits_is_refused(self):
+    async def test_requests_over_the_limits_are_refused(self):
         limits = HttpLimits(head_bytes=500, body_bytes=10)
         long_head = b"GET /a HTTP/1.1\r\nHost: h\r\nX: " + b"x" * 900
         post = b"POST /a HTTP/1.1\r\nHost: h\r\n"
@@ -149,14 +149,14 @@
             self.assertIn(b" 408 ", answer)
 
     @asynchronous
-    async def test_an_idle_connection_is_closed_without_a_word(self):
+    async def test_an_idle_connection_is_closed_without_a_response(self):
         async with edge(HttpLimits(idle_ms=50)) as server:
             reader, writer = await server.connect()
             self.assertEqual(await reader.read(), b"")
             writer.close()
 
     @asynchronous
-    async def test_the_work_ends_when_the_caller_leaves(self):
+    async def test_the_handler_is_cancelled_when_the_caller_disconnects(self):
         async with edge() as server:
             server.handler = server.hang
             _, writer = await server.connect()
@@ -202,7 +202,7 @@
             self.assertIn(b"GET /a", await server.talk(closing))
 
     @asynchronous
-    async def test_a_connection_ends_after_its_answer_while_draining(self):
+    async def test_a_connection_closes_after_its_response_while_draining(self):
         async with edge() as server:
             server.server.status.is_closing = True
             answer = await server.talk(GET)
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -128,7 +128,7 @@
     """Requests through real gateway processes."""
 
     @asynchronous
-    async def test_a_request_is_served_and_its_way_is_logged(self):
+    async def test_a_request_is_served_and_logged(self):
         async with deployment() as d:
             d.start(1)
             await d.until(lambda: d.is_ready(1))
@@ -153,7 +153,7 @@
             )
 
     @asynchronous
-    async def test_a_key_that_is_taken_away_is_refused_at_all(self):
+    async def test_a_revoked_key_is_refused_by_all_gateways(self):
         async with deployment() as d:
             for number in (1, 2, 3):
                 d.start(number)
@@ -169,7 +169,7 @@
             self.assertEqual((await d.call(2, "q9", "k2")).status_code, 200)
 
     @asynchronous
-    async def test_one_that_starts_while_the_store_is_down_serves(self):
+    async def test_a_gateway_started_while_the_store_is_down_serves(self):
         async with deployment() as d:
             d.start(1)
             await d.until(lambda: d.is_ready(1))
@@ -180,7 +180,7 @@
             self.assertEqual((found.status_code, found.text), (200, "q1"))
 
     @asynchronous
-    async def test_one_that_starts_in_an_outage_knows_which_engines_leave(self):
+    async def test_a_gateway_started_in_an_outage_knows_leaving_engines(self):
         async with deployment() as d:
             await d.store.put(
                 platformfiles.CONFIG_KEY, config(2, engine=ENGINE)
@@ -201,11 +201,11 @@
             self.assertEqual(len(d.engine.arrivals), served)
 
     @asynchronous
-    async def test_an_end_by_sigterm_finishes_what_is_open(self):
+    async def test_sigterm_lets_open_requests_finish(self):
         await self._end_under_an_open_request()
 
     @asynchronous
-    async def test_signals_while_it_ends_leave_what_is_open_alone(self):
+    async def test_signals_during_a_drain_do_not_end_open_requests(self):
         await self._end_under_an_open_request(signal.SIGHUP, signal.SIGTERM)
 
     @asynchronous
--- a/tests/gateway/test_plaincalls.py
+++ b/tests/gateway/test_plaincalls.py
@@ -82,7 +82,7 @@
     """One caller, two endpoints."""
 
     @asynchronous
-    async def test_a_whole_answer_is_passed_on(self):
+    async def test_a_whole_response_is_relayed(self):
         async with world() as w:
             found = await w.call()
         self.assertEqual((found.status, found.body), (200, b"q1"))
@@ -112,7 +112,7 @@
                 self.assertNotIn("server-signature", found.headers)
 
     @asynchronous
-    async def test_a_refused_call_goes_elsewhere_and_is_not_run_twice(self):
+    async def test_a_refused_call_is_sent_to_each_endpoint_once(self):
         async with world(table=NOT_REPEATABLE) as w:
             w.engines[0].behaviour = w.engines[1].behaviour = refuse
             found = await w.call()
@@ -121,7 +121,7 @@
             self.assertEqual(sorted(w.arrivals), ["e1", "e2"])
 
     @asynchronous
-    async def test_an_endpoint_that_is_gone_is_passed_by(self):
+    async def test_an_unreachable_endpoint_is_skipped(self):
         async with world(table=NOT_REPEATABLE) as w:
             known = w.context.fleet.get("e1")
             gone = build.endpoint("e1", address="127.0.0.1:1")
@@ -131,7 +131,7 @@
                 self.assertEqual(found.status, 200)
 
     @asynchronous
-    async def test_an_address_used_by_another_endpoint_runs_nothing(self):
+    async def test_another_endpoint_at_a_reused_address_runs_nothing(self):
         async with world(engines=1, table=NOT_REPEATABLE) as w:
             w.engines[0].name = "e9"
             found = await w.call()
@@ -139,14 +139,14 @@
             self.assertEqual(w.arrivals, [])
 
     @asynchronous
-    async def test_an_answer_to_another_request_is_passed_over(self):
+    async def test_a_response_to_another_request_is_skipped(self):
         async with world(engines=1) as w:
             w.engines[0].behaviour = stale_first
             found = await w.call()
             self.assertEqual((found.status, found.body), (200, b"q1"))
 
     @asynchronous
-    async def test_an_endpoints_own_failure_is_passed_on_as_it_is(self):
+    async def test_an_endpoints_own_error_is_relayed_unchanged(self):
         async with world(table=NOT_REPEATABLE) as w:
             w.engines[0].behaviour = w.engines[1].behaviour = fail
             found = await w.call()
@@ -155,7 +155,7 @@
             self.assertEqual(len(w.arrivals), 1)
 
     @asynchronous
-    async def test_the_endpoints_work_ends_when_the_caller_leaves(self):
+    async def test_the_attempt_is_cancelled_when_the_caller_disconnects(self):
         async def hang(arrival, responder):
             await anyio.sleep_forever()
 
@@ -170,7 +170,7 @@
             self.assertEqual(w.context.loads.own(), [])
 
     @asynchronous
-    async def test_the_deadline_is_what_is_left(self):
+    async def test_the_endpoint_gets_the_remaining_deadline(self):
         async with world(engines=1) as w:
             await w.call()
             headers = w.engines[0].arrivals[0].headers
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -62,7 +62,7 @@
             engine.behaviour = generation.run
 
     @asynchronous
-    async def test_a_stream_is_passed_on_whole(self):
+    async def test_a_stream_is_relayed_completely(self):
         async with world(table=NOT_REPEATABLE) as w:
             self._script(w, Generation())
             found = await w.call()
@@ -71,7 +71,7 @@
         self.assertEqual(w.context.loads.own(), [])
 
     @asynchronous
-    async def test_a_run_goes_on_from_its_copy_when_its_engine_ends(self):
+    async def test_a_run_resumes_from_its_copy_when_its_engine_ends(self):
         async with world(table=NOT_REPEATABLE) as w:
             generation = Generation()
             generation.break_after = 3
@@ -132,7 +132,7 @@
         self.assertEqual(source.freed, ["h-q1"])
 
     @asynchronous
-    async def test_a_copy_is_good_though_copying_again_fails(self):
+    async def test_a_copy_stays_usable_when_its_refresh_fails(self):
         async with world(table=NOT_REPEATABLE) as w:
             generation = Generation()
             generation.break_after = 3
@@ -167,7 +167,7 @@
         self.assertFalse(found.is_complete)
 
     @asynchronous
-    async def test_a_followed_run_goes_on_where_it_is_followed(self):
+    async def test_a_run_with_a_standby_resumes_at_the_standby(self):
         async with world(table=WITH_STANDBY) as w:
             generation = Generation()
             generation.break_after = 3
@@ -219,7 +219,7 @@
         self.assertEqual(sorted(w.arrivals), ["e1", "e2"])
 
     @asynchronous
-    async def test_a_run_that_is_placed_anew_gives_up_its_old_backup(self):
+    async def test_a_run_that_is_placed_again_releases_its_old_standby(self):
         async with world(engines=3, table=WITH_STANDBY) as w:
             generation = Generation()
             held = []
@@ -242,7 +242,7 @@
         self.assertEqual(held[1], held[0])
 
     @asynchronous
-    async def test_a_resumable_run_begins_anew_after_its_last_event(self):
+    async def test_a_resumable_run_restarts_after_its_last_event(self):
         async with world(table=RESUMABLE) as w:
             generation = Generation()
             generation.break_after = 2
@@ -253,7 +253,7 @@
             self.assertEqual(sorted(w.arrivals), ["e1", "e2"])
 
     @asynchronous
-    async def test_a_resumable_run_is_sent_no_more_than_the_route_allows(self):
+    async def test_attempts_of_a_resumable_run_are_limited_by_the_route(self):
         async def break_always(arrival, responder):
             start = int(arrival.headers.get("last-event-id", 0))
             await responder.start_stream(200, head_of(arrival))
@@ -268,7 +268,7 @@
         self.assertEqual(found.body, event(1) + event(2))
 
     @asynchronous
-    async def test_a_part_of_an_event_is_not_passed_on(self):
+    async def test_a_partial_event_is_not_relayed(self):
         async with world(table=RESUMABLE) as w:
             generation = Generation()
             generation.break_after = 2
@@ -278,7 +278,7 @@
         self.assertEqual(found.body, ALL)
 
     @asynchronous
-    async def test_events_that_came_before_are_dropped(self):
+    async def test_duplicate_events_are_dropped(self):
         async def repeat(arrival, responder):
             await responder.start_stream(200, head_of(arrival))
             for number in (1, 2, 2, 1, 3):
@@ -315,7 +315,7 @@
         self.assertIn("retry-after", found.headers)
 
     @asynchronous
-    async def test_a_caller_that_leaves_ends_its_run(self):
+    async def test_a_run_is_cancelled_when_its_caller_disconnects(self):
         async with world(engines=1, table=NOT_REPEATABLE) as w:
             generation = Generation()
             generation.break_after = 2
@@ -329,7 +329,7 @@
             self.assertEqual(w.context.loads.own(), [])
 
     @asynchronous
-    async def test_a_gateway_that_leaves_takes_no_generation(self):
+    async def test_a_draining_gateway_refuses_generations(self):
         async with world(table=NOT_REPEATABLE) as w:
             w.context.is_draining = True
             found = await w.call()
--- a/tests/platform/test_bootfile.py
+++ b/tests/platform/test_bootfile.py
@@ -22,7 +22,7 @@
 class BootFileTest(unittest.TestCase):
     """Settings parsed from a text."""
 
-    def test_the_settings_are_read(self):
+    def test_settings_are_parsed(self):
         found = bootfile.parse(TEXT, 9464)
         self.assertEqual(
             found.address, PeerAddress("10.1.0.19:7200", "10.1.0.19:7201")
@@ -48,6 +48,6 @@
             bootfile.parse(wrong, 9464)
         self.assertEqual(caught.exception.name, "bounds.grace_s")
 
-    def test_a_file_that_is_not_there_is_an_error_of_the_setting(self):
+    def test_a_missing_file_raises_a_setting_error(self):
         with self.assertRaises(SettingError):
             bootfile.load("/no/such/file", 9464)
--- a/tests/platform/test_boundary.py
+++ b/tests/platform/test_boundary.py
@@ -17,7 +17,7 @@
 class BoundaryTest(unittest.TestCase):
     """The source files of the package."""
 
-    def test_no_name_of_the_wire_is_outside_its_folder(self):
+    def test_wire_names_occur_only_in_the_platform_folder(self):
         package = ROOT / "rhubarbwinch"
         found = [
             f"{path.relative_to(ROOT)}: {match[0]}"
@@ -27,7 +27,7 @@
         ]
         self.assertEqual(found, [])
 
-    def test_nothing_but_the_command_line_imports_the_folder(self):
+    def test_only_the_command_line_imports_the_platform_folder(self):
         importers = {
             path.name
             for path in (ROOT / "rhubarbwinch").rglob("*.py")
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -84,7 +84,7 @@
         self.assertIs(found.state, EndpointState.READY)
         self.assertEqual(found.incarnation, ("i-1", 1_786_000_000_000))
 
-    def test_what_another_writer_left_names_no_endpoint(self):
+    def test_a_malformed_registration_is_rejected(self):
         bad = [
             b"",
             b"\xff\x00",
@@ -126,7 +126,7 @@
         self.assertEqual(table.services["s1"].engine.kv_tokens, 34_261)
         self.assertIsNone(table.services["s2"].engine)
 
-    def test_a_kind_that_is_not_known_is_never_repeated(self):
+    def test_a_route_of_an_unknown_kind_is_not_repeatable(self):
         table = documents.decode_config(orjson.dumps(CONFIG))
         found = table.find("h.example", "/b/")
         self.assertIs(found.kind, CallKind.NON_IDEMPOTENT)
@@ -138,7 +138,7 @@
             documents.decode_config(orjson.dumps(document)).needs_key
         )
 
-    def test_a_document_that_cannot_be_read_is_refused(self):
+    def test_a_malformed_document_is_rejected(self):
         for data in (b"{", b"[]", b'{"version": 1}', b'{"routes": 3}'):
             with self.assertRaises(PlatformFormatError, msg=data):
                 documents.decode_config(data)
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -60,7 +60,7 @@
         with self.assertRaises(BadCallError):
             _decode((b"Deadline-Ms", b"soon"), without=(b"Deadline-Ms",))
 
-    def test_what_the_gateway_sets_is_not_taken_from_the_caller(self):
+    def test_reserved_headers_of_a_caller_are_dropped(self):
         forged = [
             (b"Tenant", b"rich"),
             (b"Expect-Instance", b"i-9"),
@@ -94,14 +94,14 @@
         ):
             self.assertNotIn(name, sent)
 
-    def test_the_rest_is_passed_on_unchanged(self):
+    def test_other_headers_are_relayed_unchanged(self):
         sent = _sent(_decode())
         for name, value in HEAD[:5]:
             self.assertEqual(sent[name.lower()], value)
         self.assertEqual(sent[b"x-own"], b"kept")
         self.assertEqual(sent[b"content-length"], b"5")
 
-    def test_a_run_that_goes_on_names_the_copy_and_the_last_event(self):
+    def test_a_resumed_run_names_its_kv_cache_and_last_event(self):
         sent = _sent(
             _decode(),
             last_event_id="12",
@@ -111,10 +111,10 @@
         self.assertEqual(sent[b"last-event-id"], b"12")
 
 
-class AnswerTest(unittest.TestCase):
+class ResponseTest(unittest.TestCase):
     """Response heads."""
 
-    def test_only_the_endpoint_itself_says_that_nothing_ran(self):
+    def test_only_the_header_or_status_421_means_not_run(self):
         for status, more, expected in (
             (503, [(b"Not-Executed", b"1")], True),
             (400, [(b"Not-Executed", b"1")], True),
@@ -126,21 +126,21 @@
             found = headers.decode_response(status, more)
             self.assertEqual(found.is_refusal, expected, (status, more))
 
-    def test_an_answer_with_an_encoding_is_not_the_endpoints(self):
+    def test_a_response_with_an_encoding_is_altered(self):
         found = headers.decode_response(200, [(b"Content-Encoding", b"gzip")])
         self.assertTrue(found.is_altered)
 
-    def test_an_answer_to_another_request_is_recognised(self):
+    def test_a_response_to_another_request_is_recognised(self):
         self.assertTrue(headers.is_response_to("a", [(b"Attempt-Id", b"a")]))
         self.assertTrue(headers.is_response_to("a", []))
         self.assertFalse(headers.is_response_to("a", [(b"Attempt-Id", b"b")]))
 
-    def test_the_id_of_an_event_may_stand_on_any_line(self):
+    def test_the_id_of_an_event_may_be_on_any_line(self):
         event = b"weight-versions: 2\nid: 17\ndata: x\n\n"
         self.assertEqual(headers.event_id(event), "17")
         self.assertIsNone(headers.event_id(b"data: id\n\n"))
 
-    def test_a_refusal_tells_when_to_come_back(self):
+    def test_a_failure_response_has_a_retry_after_header(self):
         found = dict(headers.failure_headers("a1", 250))
         self.assertEqual(found[b"Retry-After"], b"0.250")
         self.assertNotIn(
--- a/tests/platform/test_kvstore.py
+++ b/tests/platform/test_kvstore.py
@@ -36,7 +36,7 @@
     """The behaviour that the program expects of a store."""
 
     @asynchronous
-    async def test_values_are_written_under_a_condition(self):
+    async def test_values_are_written_conditionally(self):
         async with platform() as (_, store):
             self.assertIsNone(await store.get("a"))
             first = await store.swap("a", 0, b"\x00\xff")
@@ -49,7 +49,7 @@
             self.assertIsNone(await store.get("a"))
 
     @asynchronous
-    async def test_a_listing_of_many_pages_is_whole(self):
+    async def test_a_listing_of_many_pages_is_complete(self):
         async with platform() as (server, store):
             server.faults.page = 3
             for i in range(8):
@@ -60,7 +60,7 @@
             )
 
     @asynchronous
-    async def test_a_poll_tells_changes_and_how_far_they_go(self):
+    async def test_a_poll_returns_changes_and_their_revision(self):
         async with platform() as (server, store):
             await server.put("a", b"1")
             await server.remove("a")
@@ -86,7 +86,7 @@
             self.assertEqual(await store.keep_lease(lease), 0)
 
     @asynchronous
-    async def test_a_refusal_says_that_nothing_was_done(self):
+    async def test_a_refused_write_is_reported_as_not_done(self):
         async with platform() as (server, store):
             for status in (429, 503):
                 server.faults.status = status
@@ -94,7 +94,7 @@
                     await store.swap("a", 0, b"1")
 
     @asynchronous
-    async def test_a_lost_answer_to_a_write_is_uncertain(self):
+    async def test_a_lost_response_to_a_write_is_uncertain(self):
         async with platform(timeout_ms=200) as (server, store):
             server.faults.is_silent = True
             with self.assertRaises(StoreUncertain):
@@ -103,7 +103,7 @@
                 await store.get("a")
 
     @asynchronous
-    async def test_a_value_of_another_writer_is_an_entry_that_is_empty(self):
+    async def test_a_malformed_value_is_an_empty_entry(self):
         async with platform() as (server, store):
             await server.put("a", b"1")
             original = server._range
