--- a/rhubarbwinch/gateway/copies.py
+++ b/rhubarbwinch/gateway/copies.py
@@ -1,10 +1,10 @@
 """Migrated copies of KV caches at other engines: made, refreshed and freed.
 
-During rolling restarts engines leave one after another, and most copied runs
-finish before their engine ends. A copy that is neither used nor freed occupies
-KV cache and a slot of the target for seconds, so engines with free capacity in
-the local count are in fact full. A call that makes a copy is not cancelled when
-its run ends, because the copy can be freed only by the handle in the response.
+When engines leave one after another, most copied runs finish before their
+engine ends. A copy that is neither used nor freed occupies KV cache and a slot
+of the target for seconds, so engines look free while they are full. A call that
+makes a copy is not cancelled when its run ends, because the copy can be freed
+only by the handle in the response.
 """
 
 import anyio
@@ -23,8 +23,8 @@
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.clock import Clock
 
-# Engines keep an unused copy for longer than the configured expiry time. This
-# factor of the expiry time is the upper bound.
+# Engines keep an unused copy for longer than the announced expiry time: up to
+# this multiple of the time.
 EXPIRY_FACTOR = 1.5
 
 
--- a/rhubarbwinch/gateway/edge.py
+++ b/rhubarbwinch/gateway/edge.py
@@ -341,7 +341,7 @@
             raise _RefusedError(error.error_status_hint, str(error)) from error
 
     async def _wait_first_byte(self) -> bool:
-        """Waits for a request; False if it was closed or idle too long."""
+        """Waits for a request; False after a close or the idle timeout."""
         limits = self._server.status.limits
         with anyio.move_on_after(limits.idle_ms / 1000):
             while self.is_open and not self._buffer:
@@ -430,6 +430,6 @@
         try:
             await connection.serve(self._handler, self._clock)
         except Exception as error:
-            # A fault in one connection must not stop the server.
+            # An error in one connection must not stop the others.
             events.CONNECTION_FAILED.log(error=repr(error))
             connection.abort()
--- a/rhubarbwinch/gateway/plaincalls.py
+++ b/rhubarbwinch/gateway/plaincalls.py
@@ -37,7 +37,7 @@
 
     @property
     def is_success(self) -> bool:
-        """Whether the status is no server error."""
+        """Whether the status is not a server error."""
         return self.head.status < _SERVER_ERROR
 
 
--- a/rhubarbwinch/gateway/program.py
+++ b/rhubarbwinch/gateway/program.py
@@ -260,7 +260,7 @@
                     tasks.start_soon(self._watch_signals, signals, tasks)
                     await supervisor.run()
             except* Exception as group:
-                # The task group wraps the exception of the supervisor.
+                # The task group wraps the supervisor's exception in a group.
                 raise group.exceptions[0] from None
             finally:
                 with (
@@ -302,7 +302,7 @@
         return attrs.evolve(snapshot, leaving=self._beliefs.leaving_notices())
 
     def _own_expired_engines(self) -> list[Endpoint]:
-        """Returns the engines of this gateway with an expired lease."""
+        """Returns those of the polled engines whose lease has expired."""
         return [k.endpoint for k in self._own_engines() if k.lapse_due_ms]
 
     def _own_engines(self) -> list[Known]:
--- a/rhubarbwinch/gateway/rooms.py
+++ b/rhubarbwinch/gateway/rooms.py
@@ -1,4 +1,4 @@
-"""Reserves engine capacity for runs, queues them while there is none."""
+"""Reserves engine capacity for runs and queues runs that have to wait."""
 
 import anyio
 
@@ -13,8 +13,8 @@
 # With less time left, a generation cannot produce a useful response.
 MIN_ATTEMPT_MS = 50
 # When the wait limit is reached, a KV cache may be overcommitted up to this
-# share while slots are free: engines have a queue of their own, and a refused
-# request gets no response at all.
+# share while slots are free: engines have a queue of their own, and a refusal
+# would help no other request.
 OVERCOMMIT_MEMORY_SHARE = 1.25
 
 
--- a/rhubarbwinch/gateway/router.py
+++ b/rhubarbwinch/gateway/router.py
@@ -15,8 +15,8 @@
 from rhubarbwinch.shared.verdict import Failure, Reason, not_run
 
 RETRY_AFTER_MS = 300
-# A generation may take longer than this process still lives, so callers should
-# send it to another gateway soon.
+# While draining, this process may end before a generation would, so callers
+# should soon retry it at another gateway.
 DRAIN_RETRY_AFTER_MS = 50
 
 
--- a/rhubarbwinch/gateway/streams.py
+++ b/rhubarbwinch/gateway/streams.py
@@ -18,7 +18,7 @@
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.verdict import Failure, Reason, Verdict
 
-# Attempts to start one generation, as long as engines refuse it as not run.
+# Maximum attempts to start a generation that engines refuse as not run.
 MAX_REFUSED_ATTEMPTS = 4
 
 
--- a/rhubarbwinch/gateway/upstream.py
+++ b/rhubarbwinch/gateway/upstream.py
@@ -71,7 +71,7 @@
             raise EndpointError(repr(error), sent=True) from error
 
     async def close(self) -> None:
-        """Returns the connection to the pool, or closes it mid-body."""
+        """Returns the connection to the pool; closes it on a partial body."""
         await self._response.aclose()
 
 
--- a/rhubarbwinch/platform/headers.py
+++ b/rhubarbwinch/platform/headers.py
@@ -182,7 +182,7 @@
 def is_response_to(request_id: str, headers: Headers) -> bool:
     """Returns whether a response belongs to a request.
 
-    A response without an id is taken to belong to it.
+    A response without an id counts as belonging to the request.
     """
     found = _first_value(headers, REQUEST_ID)
     return found is None or found == request_id
--- a/rhubarbwinch/platform/kvstore.py
+++ b/rhubarbwinch/platform/kvstore.py
@@ -152,7 +152,7 @@
         )
         if response.status_code == httpx.codes.GONE:
             raise StoreCompacted(
-                f"the changes after revision {after} are compacted"
+                f"the changes after revision {after} were compacted"
             )
         reply = _parse(response, dict)
         changes = [
@@ -253,7 +253,7 @@
 
 
 def _decode_entries(items: list[JSON]) -> list[Entry]:
-    """Returns the entries of items; skips items that are malformed."""
+    """Returns the entries of items; skips those without key or revision."""
     body = [_decode_change_or_none(item) for item in items]
     return [c.entry for c in body if c is not None and c.entry is not None]
 
