--- a/rhubarbwinch/gateway/runs.py
+++ b/rhubarbwinch/gateway/runs.py
@@ -71,10 +71,10 @@
     def expected_tokens(self) -> int:
         """The KV cache that the whole run is predicted to need, in tokens."""
         call = self.job.call
-        likely = call.estimated_output_tokens or call.max_output_tokens
+        output_tokens = call.estimated_output_tokens or call.max_output_tokens
         if call.max_output_tokens:
-            likely = min(likely, call.max_output_tokens)
-        return call.prompt_tokens + likely
+            output_tokens = min(output_tokens, call.max_output_tokens)
+        return call.prompt_tokens + output_tokens
 
     def release(self) -> None:
         """Releases the reservations at the engine and at the standby."""
--- a/rhubarbwinch/platform/headers.py
+++ b/rhubarbwinch/platform/headers.py
@@ -73,8 +73,8 @@
 
 
 def _first_value(headers: Headers, name: bytes) -> str | None:
-    found = _values(headers, name)
-    return found[0] if found else None
+    values = _values(headers, name)
+    return values[0] if values else None
 
 
 def _parse_number(text: str | None) -> int | None:
@@ -89,10 +89,10 @@
 
     These include the headers that the head's `Connection` header names.
     """
-    found = set(HOP_BY_HOP_HEADERS)
+    names = set(HOP_BY_HOP_HEADERS)
     for value in _values(headers, b"connection"):
-        found |= {part.strip().lower().encode() for part in value.split(",")}
-    return found
+        names |= {part.strip().lower().encode() for part in value.split(",")}
+    return names
 
 
 def decode_call(method: str, target: bytes, headers: Headers) -> CallHead:
@@ -144,25 +144,25 @@
     call: CallHead, options: AttemptOptions, body_bytes: int
 ) -> Headers:
     """Returns the headers of a request to an endpoint."""
-    found = list(call.headers)
-    found.append((b"Deadline-Ms", str(options.time_left_ms).encode()))
-    found.append((b"Expect-Instance", options.endpoint_id.encode()))
+    result = list(call.headers)
+    result.append((b"Deadline-Ms", str(options.time_left_ms).encode()))
+    result.append((b"Expect-Instance", options.endpoint_id.encode()))
     if options.account is not None:
-        found.append((b"Tenant", options.account.encode()))
+        result.append((b"Tenant", options.account.encode()))
     if options.last_event_id is not None:
-        found.append((b"Last-Event-Id", options.last_event_id.encode()))
+        result.append((b"Last-Event-Id", options.last_event_id.encode()))
     if options.resume_from is not None:
         location = options.resume_from
-        found.append(
+        result.append(
             (b"Kv-From", f"{location.address}/{location.handle}".encode())
         )
     if options.standby_address is not None:
-        found.append((b"Kv-Backup", options.standby_address.encode()))
+        result.append((b"Kv-Backup", options.standby_address.encode()))
     if options.priority is not None:
-        found.append((b"Request-Priority", str(options.priority).encode()))
+        result.append((b"Request-Priority", str(options.priority).encode()))
     if body_bytes or call.method not in ("GET", "HEAD", "DELETE"):
-        found.append((b"Content-Length", str(body_bytes).encode()))
-    return found
+        result.append((b"Content-Length", str(body_bytes).encode()))
+    return result
 
 
 def decode_response(status: int, headers: Headers) -> ResponseHead:
@@ -184,19 +184,19 @@
 
     A response without an id counts as belonging to the request.
     """
-    found = _first_value(headers, REQUEST_ID)
-    return found is None or found == request_id
+    response_id = _first_value(headers, REQUEST_ID)
+    return response_id is None or response_id == request_id
 
 
 def failure_headers(request_id: str, retry_after_ms: int | None) -> Headers:
     """Returns the headers of a response of the gateway itself."""
-    found: Headers = []
+    result: Headers = []
     if request_id:
-        found.append((b"Attempt-Id", request_id.encode("latin-1")))
+        result.append((b"Attempt-Id", request_id.encode("latin-1")))
     if retry_after_ms is not None:
         seconds = f"{retry_after_ms / 1000:.3f}"
-        found.append((b"Retry-After", seconds.encode()))
-    return found
+        result.append((b"Retry-After", seconds.encode()))
+    return result
 
 
 def event_id(event: bytes) -> str | None:
--- a/rhubarbwinch/platform/kvstore.py
+++ b/rhubarbwinch/platform/kvstore.py
@@ -254,8 +254,8 @@
 
 def _decode_entries(items: list[JSON]) -> list[Entry]:
     """Returns the entries of items; skips those without key or revision."""
-    body = [_decode_change_or_none(item) for item in items]
-    return [c.entry for c in body if c is not None and c.entry is not None]
+    changes = [_decode_change_or_none(item) for item in items]
+    return [c.entry for c in changes if c is not None and c.entry is not None]
 
 
 def _decode_change_or_none(event: JSON) -> Change | None:
