--- a/tests/gateway/test_copies.py
+++ b/tests/gateway/test_copies.py
@@ -70,9 +70,9 @@
 
     @asynchronous
     async def test_a_copy_is_freed_at_its_target_if_its_source_is_gone(self):
-        for gone in (FreeState.FAILED, FreeState.UNKNOWN):
+        for source_state in (FreeState.FAILED, FreeState.UNKNOWN):
             async with self._running_manager() as manager:
-                self.calls.free_results = {SOURCE.address: gone}
+                self.calls.free_results = {SOURCE.address: source_state}
                 await manager.refresh(self.copy, False, 3)
                 manager.free(self.copy)
                 await anyio.wait_all_tasks_blocked()
--- a/tests/gateway/test_edge.py
+++ b/tests/gateway/test_edge.py
@@ -69,7 +69,7 @@
             tasks.cancel_scope.cancel()
 
 
-async def _read_answer(reader):
+async def _read_response(reader):
     head = await reader.readuntil(b"\r\n\r\n")
     size = int(head.lower().split(b"content-length:")[1].split(b"\r\n")[0])
     return head, await reader.readexactly(size)
@@ -90,7 +90,7 @@
                 b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n",
             ):
                 writer.write(data)
-            found = [(await _read_answer(reader))[1] for _ in range(4)]
+            found = [(await _read_response(reader))[1] for _ in range(4)]
             writer.close()
         self.assertEqual(
             found, [b"GET /a", b"GET /b", b"POST /cxyz", b"POST /dabc"]
@@ -113,8 +113,8 @@
         ]
         async with edge() as server:
             for data in cases:
-                answer = await server.talk(data)
-                self.assertIn(answer[9:10], (b"4", b"5", b""), data)
+                response = await server.talk(data)
+                self.assertIn(response[9:10], (b"4", b"5", b""), data)
             paths = {request.target for request in server.seen}
         self.assertNotIn(b"/evil", paths)
 
@@ -124,8 +124,8 @@
         head = b"POST /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n"
         data = head + b"Content-Length: %d\r\n\r\n" % len(inner) + inner
         async with edge() as server:
-            answer = await server.talk(data)
-            self.assertTrue(answer.endswith(b"POST /a" + inner))
+            response = await server.talk(data)
+            self.assertTrue(response.endswith(b"POST /a" + inner))
             self.assertEqual(len(server.seen), 1)
 
     @asynchronous
@@ -138,15 +138,15 @@
             announced = post + b"Content-Length: 11\r\n\r\n"
             self.assertIn(b" 413 ", await server.talk(announced))
             chunked = post + b"Transfer-Encoding: chunked\r\n\r\nb\r\n"
-            answer = await server.talk(chunked + b"x" * 11 + b"\r\n")
-            self.assertIn(b" 413 ", answer)
+            response = await server.talk(chunked + b"x" * 11 + b"\r\n")
+            self.assertIn(b" 413 ", response)
             self.assertEqual(server.seen, [])
 
     @asynchronous
     async def test_a_head_that_comes_too_slowly_is_refused(self):
         async with edge(HttpLimits(head_ms=50)) as server:
-            answer = await server.talk(b"GET /a HTTP/1.1\r\n")
-            self.assertIn(b" 408 ", answer)
+            response = await server.talk(b"GET /a HTTP/1.1\r\n")
+            self.assertIn(b" 408 ", response)
 
     @asynchronous
     async def test_an_idle_connection_is_closed_without_a_response(self):
@@ -205,27 +205,27 @@
     async def test_a_connection_closes_after_its_response_while_draining(self):
         async with edge() as server:
             server.server.status.is_closing = True
-            answer = await server.talk(GET)
-            self.assertIn(b"Connection: close", answer)
+            response = await server.talk(GET)
+            self.assertIn(b"Connection: close", response)
 
     @asynchronous
     async def test_random_bytes_never_reach_the_handler_as_another_request(
         self,
     ):
-        whole = b"POST /ok HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nGET "
+        valid = b"POST /ok HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nGET "
         async with edge(HttpLimits(head_ms=30, idle_ms=30)) as server:
             for seed in range(120):
                 rng = random.Random(seed)
-                data = bytearray(whole * 2)
+                data = bytearray(valid * 2)
                 for _ in range(rng.randrange(1, 4)):
-                    place = rng.randrange(len(data))
+                    position = rng.randrange(len(data))
                     action = rng.randrange(3)
                     if action == 0:
-                        data[place] = rng.randrange(256)
+                        data[position] = rng.randrange(256)
                     elif action == 1:
-                        del data[place]
+                        del data[position]
                     else:
-                        data[place:place] = rng.choice(
+                        data[position:position] = rng.choice(
                             [b"\r\n", b"\n", b"\x00", b": ", b"0", b" "]
                         )
                 await server.talk(bytes(data))
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -230,10 +230,10 @@
             d.start(1)
             await d.until(lambda: d.is_ready(1))
             d.engine.behaviour = wait
-            answers = []
+            responses = []
 
             async def call():
-                answers.append(await d.call(1, "q1"))
+                responses.append(await d.call(1, "q1"))
 
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(call)
@@ -250,7 +250,7 @@
                     # Signals sent without a pause may be merged into one.
                     await anyio.sleep(0.1)
                 proceed.set()
-            self.assertEqual(answers[0].text, "q1")
+            self.assertEqual(responses[0].text, "q1")
             status = await anyio.to_thread.run_sync(d.processes.wait, "g1")
             self.assertEqual(status, 0)
             self.assertEqual(d.events(1)[-1]["name"], "stopped")
--- a/tests/gateway/test_plaincalls.py
+++ b/tests/gateway/test_plaincalls.py
@@ -54,7 +54,7 @@
     await responder._connection.write(b"\x00\x01 what?\r\n\r\n")
 
 
-async def stale_first(arrival, responder):
+async def stale_response_first(arrival, responder):
     """Sends a response to another request before the right one."""
     await responder._connection.write(
         b"HTTP/1.1 200 OK\r\nAttempt-Id: other\r\nServer-Signature: s\r\n"
@@ -124,8 +124,8 @@
     async def test_an_unreachable_endpoint_is_skipped(self):
         async with world(table=NOT_REPEATABLE) as w:
             known = w.context.fleet.get("e1")
-            gone = build.endpoint("e1", address="127.0.0.1:1")
-            known.endpoint = gone
+            unreachable = build.endpoint("e1", address="127.0.0.1:1")
+            known.endpoint = unreachable
             for i in range(6):
                 found = await w.call(f"q{i}")
                 self.assertEqual(found.status, 200)
@@ -141,7 +141,7 @@
     @asynchronous
     async def test_a_response_to_another_request_is_skipped(self):
         async with world(engines=1) as w:
-            w.engines[0].behaviour = stale_first
+            w.engines[0].behaviour = stale_response_first
             found = await w.call()
             self.assertEqual((found.status, found.body), (200, b"q1"))
 
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -8,7 +8,7 @@
 from lab.standins.platformengine import event, head_of, refuse
 from rhubarbwinch.gateway.routes import CallKind
 from tests import gatewaybuilders as build
-from tests.gatewayworld import read_answer, world
+from tests.gatewayworld import read_response, world
 from tests.helpers import asynchronous
 
 NO_STANDBY = attrs.evolve(build.ENGINE, can_back_up=False)
@@ -89,7 +89,7 @@
             while not next(iter(w.streams._runs)).target:
                 await anyio.sleep(0)
             generation.proceed.set()
-            found = await read_answer(reader)
+            found = await read_response(reader)
             writer.close()
         self.assertEqual(found.body, ALL)
         self.assertTrue(found.is_complete)
@@ -124,7 +124,7 @@
             while not next(iter(w.streams._runs)).target:
                 await anyio.sleep(0)
             generation.proceed.set()
-            found = await read_answer(reader)
+            found = await read_response(reader)
             writer.close()
             while w.context.loads.own():
                 await anyio.sleep(0)
@@ -150,7 +150,7 @@
             while len(source.moves) < copies + 2:
                 await anyio.sleep(0.01)
             generation.proceed.set()
-            found = await read_answer(reader)
+            found = await read_response(reader)
             writer.close()
         self.assertEqual(found.body, ALL)
         self.assertTrue(found.is_complete)
--- a/tests/gatewayworld.py
+++ b/tests/gatewayworld.py
@@ -130,12 +130,12 @@
         """Sends a request and returns the whole response."""
         reader, writer = await self.open(*args, **more)
         try:
-            return await read_answer(reader)
+            return await read_response(reader)
         finally:
             writer.close()
 
 
-async def read_answer(reader):
+async def read_response(reader):
     """Reads a response to its end, complete or not."""
     data = b""
     try:
--- a/tests/platform/test_kvstore.py
+++ b/tests/platform/test_kvstore.py
@@ -109,9 +109,9 @@
             original = server._range
 
             async def spoilt(params):
-                status, answer = await original(params)
-                answer["items"][0]["value"] = "*not base64*"
-                return status, answer
+                status, response = await original(params)
+                response["items"][0]["value"] = "*not base64*"
+                return status, response
 
             server._range = spoilt
             listing = await store.scan("")
