--- a/rhubarbwinch/gateway/answers.py
+++ b/rhubarbwinch/gateway/answers.py
@@ -1,4 +1,4 @@
-"""Answers of the gateway's own: refusals and failures with their verdicts."""
+"""Responses of the gateway itself: refusals and failures."""
 
 from rhubarbwinch.gateway import statistics
 from rhubarbwinch.gateway.edge import EdgeResponder
@@ -6,7 +6,7 @@
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.verdict import Failure, Reason, Verdict
 
-# Statuses by reason, where they differ from those of the verdict.
+# Statuses by reason, where they differ from the status of the verdict.
 _STATUS = {
     Reason.BAD_REQUEST: 400,
     Reason.UNAUTHENTICATED: 401,
@@ -17,11 +17,11 @@
 _STATUS_FAILED = 502
 
 
-def status_of(failure: Failure) -> int:
+def http_status(failure: Failure) -> int:
     """Returns the HTTP status of a failure.
 
-    503 says that the request has not run and will not; so it is used only
-    where the verdict says so.
+    To callers 503 means that the request has not run and will not run, so it
+    is used only with that verdict.
     """
     if failure.verdict is Verdict.NOT_RUN:
         return _STATUS.get(failure.reason, _STATUS_NOT_RUN)
@@ -36,8 +36,8 @@
     request_id: str,
     failure: Failure,
 ) -> None:
-    """Answers by a failure and logs it."""
-    status = status_of(failure)
+    """Logs a failure and sends it as the response."""
+    status = http_status(failure)
     events.REQUEST_FAILED.log(
         request=request_id,
         verdict=failure.verdict,
@@ -47,9 +47,11 @@
         retry_after_ms=failure.retry_after_ms,
     )
     statistics.REQUESTS.labels("-", failure.reason).inc()
-    retry = failure.retry_after_ms if status == _STATUS_NOT_RUN else None
+    retry_hint_ms = (
+        failure.retry_after_ms if status == _STATUS_NOT_RUN else None
+    )
     await responder.send(
         status,
-        platform.refusal_headers(request_id, retry),
+        platform.failure_headers(request_id, retry_hint_ms),
         failure.detail.encode(),
     )
--- a/rhubarbwinch/gateway/copies.py
+++ b/rhubarbwinch/gateway/copies.py
@@ -1,10 +1,10 @@
-"""Copies of generations' memory at other engines, freed when nobody needs them.
+"""Migrated copies of KV caches at other engines: made, refreshed and freed.
 
-It answers engines that leave in turn: most copied runs end before their engine
-does, and a copy that is neither used nor freed occupies memory and a slot for
-seconds, so that engines look free and are full. A call that makes a copy goes
-on when its run ends, since the copy can be freed only by the name that the
-answer tells.
+When engines leave one after another, most copied runs finish before their
+engine ends. A copy that is neither used nor freed occupies KV cache and a slot
+of the target for seconds, so engines look free while they are full. A call that
+makes a copy is not cancelled when its run ends, because the copy can be freed
+only by the handle in the response.
 """
 
 import anyio
@@ -15,64 +15,66 @@
 from rhubarbwinch.gateway.endpoints import Endpoint
 from rhubarbwinch.gateway.loads import Room
 from rhubarbwinch.gateway.wire import (
+    CopyResult,
     EngineCalls,
     FreeState,
-    MoveResult,
     MoveState,
 )
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.clock import Clock
 
-# Engines keep an unused copy for longer than they say, in parts of that time.
+# Engines keep an unused copy for longer than the announced expiry time: up to
+# this multiple of the time.
 EXPIRY_FACTOR = 1.5
 
 
 @attrs.define(eq=False)
-class RunCopy:
-    """A run's memory at another engine.
+class MigratedCopy:
+    """A copy of a run's KV cache at another engine.
 
     Attributes:
-        request_id: The caller's id of the run.
-        source: The engine that runs it.
-        target: The engine that has the copy.
-        room: The room that is counted for it; None for none.
+        request_id: The caller's id of the request attempt.
+        source: The engine that executes the run.
+        target: The engine that stores the copy.
+        reservation: The reservation for the copy at the target, or None.
         expiry_ms: How long engines keep a copy that is not used.
-        handle: Its name at the source; empty before the first answer.
-        may_exist: Whether a call has made it, or may have.
+        handle: The name of the copy at the source; empty before the first
+            response.
+        may_exist: Whether a call has made the copy, or may have made it.
     """
 
     request_id: str
     source: Endpoint
     target: Endpoint
-    room: Room | None
+    reservation: Room | None
     expiry_ms: int
     handle: str = ""
     may_exist: bool = False
-    _calls: int = 0
+    _open_calls: int = 0
     _is_idle: anyio.Event = attrs.field(factory=anyio.Event)
 
     def begin_call(self) -> None:
-        """Notes that a call about it is under way."""
-        self._calls += 1
+        """Records that a call about the copy is in flight."""
+        self._open_calls += 1
 
     def end_call(self) -> None:
-        """Notes that the call has ended."""
-        self._calls -= 1
-        if not self._calls:
+        """Records that a call about the copy has ended."""
+        self._open_calls -= 1
+        if not self._open_calls:
             self._is_idle.set()
             self._is_idle = anyio.Event()
 
     async def wait_idle(self) -> None:
-        """Waits until no call about it is under way."""
-        if self._calls:
+        """Waits until no call about the copy is in flight."""
+        if self._open_calls:
             await self._is_idle.wait()
 
 
-class CopyKeeper:
-    """Has copies made, and frees them.
+class CopyManager:
+    """Makes, refreshes and frees copies of KV caches at engines.
 
     Args:
-        calls: Calls engines.
+        calls: The calls to engines.
         clock: The source of time.
     """
 
@@ -82,91 +84,94 @@
         self._tasks: anyio.abc.TaskGroup | None = None
 
     async def run(self) -> None:
-        """Carries calls on whose runs have ended, until cancelled."""
+        """Runs the calls to engines, which may outlive their runs."""
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             await anyio.sleep_forever()
 
-    async def renew(
-        self, copy: RunCopy, is_last: bool, relayed: int
-    ) -> MoveResult:
-        """Makes a copy, or brings it up to date.
+    async def refresh(
+        self, copy: MigratedCopy, stop_first: bool, relayed: int
+    ) -> CopyResult:
+        """Makes a copy, or updates an existing one.
+
+        The call to the engine continues if this method is cancelled.
 
         Args:
             copy: The copy.
-            is_last: Whether the run is stopped first.
-            relayed: Events that the caller has, for the log.
+            stop_first: Whether the engine stops the run before it copies.
+            relayed: Number of events sent to the caller, for the log.
 
         Returns:
-            The engine's answer. The call goes on if the caller is cancelled.
+            The engine's reply.
         """
         assert self._tasks is not None
-        found: list[MoveResult] = []
+        results: list[CopyResult] = []
         copy.begin_call()
-        self._tasks.start_soon(self._call, copy, is_last, relayed, found)
+        self._tasks.start_soon(self._call, copy, stop_first, relayed, results)
         await copy.wait_idle()
-        return found[0] if found else MoveResult(MoveState.FAILED)
+        return results[0] if results else CopyResult(MoveState.FAILED)
 
-    def drop(self, copy: RunCopy) -> None:
-        """Frees a copy that nobody needs; its room is counted until then."""
+    def free(self, copy: MigratedCopy) -> None:
+        """Frees a copy and then releases its reservation, in the background."""
         assert self._tasks is not None
         self._tasks.start_soon(self._free, copy)
 
     async def _call(
         self,
-        copy: RunCopy,
-        is_last: bool,
+        copy: MigratedCopy,
+        stop_first: bool,
         relayed: int,
-        found: list[MoveResult],
+        results: list[CopyResult],
     ) -> None:
-        started = self._clock.now()
+        started_ms = self._clock.now()
         try:
-            result = await self._calls.move(
+            result = await self._calls.copy_run(
                 copy.source.address,
                 copy.request_id,
                 copy.target.address,
-                is_last,
+                stop_first,
             )
             copy.handle = result.handle or copy.handle
             if result.state in (MoveState.COPIED, MoveState.FAILED):
                 copy.may_exist = True
-            found.append(result)
+            results.append(result)
         finally:
             copy.end_call()
         statistics.MOVES.labels(
-            "stop" if is_last else "copy", result.state
+            "stop" if stop_first else "copy", result.state
         ).inc()
         events.MOVED.log(
             request=copy.request_id,
             source=copy.source.id,
             target=copy.target.id,
-            last=is_last,
+            last=stop_first,
             state=result.state,
-            took_ms=self._clock.now() - started,
+            took_ms=self._clock.now() - started_ms,
             events=result.events,
             relayed=relayed,
         )
 
-    async def _free(self, copy: RunCopy) -> None:
+    async def _free(self, copy: MigratedCopy) -> None:
         await copy.wait_idle()
-        is_free = not copy.may_exist
+        is_freed = not copy.may_exist
         if copy.handle:
-            is_free = await self._free_anywhere(copy)
+            is_freed = await self._free_anywhere(copy)
             events.COPY_DROPPED.log(
                 request=copy.request_id,
                 source=copy.source.id,
                 target=copy.target.id,
-                freed=is_free,
+                freed=is_freed,
             )
-        if copy.room is None:
+        if copy.reservation is None:
             return
-        if not is_free:
-            # Where a call was cut, the part that arrived stays for a while.
+        if not is_freed:
+            # After a broken call the target keeps the received part of the copy
+            # until the expiry time.
             await self._clock.sleep(int(EXPIRY_FACTOR * copy.expiry_ms))
-        copy.room.release()
+        copy.reservation.release()
 
-    async def _free_anywhere(self, copy: RunCopy) -> bool:
-        """Frees a copy at its source, or where it is if that is gone."""
+    async def _free_anywhere(self, copy: MigratedCopy) -> bool:
+        """Frees a copy at its source, or at its target if that fails."""
         at_source = await self._calls.free_copy(
             copy.source.address, copy.handle
         )
--- a/rhubarbwinch/gateway/router.py
+++ b/rhubarbwinch/gateway/router.py
@@ -1,4 +1,4 @@
-"""Takes callers' requests: configuration, route, account, and who serves."""
+"""Routes callers' requests to the part that serves them."""
 
 import anyio
 
@@ -6,7 +6,7 @@
 from rhubarbwinch.gateway.answers import send_failure
 from rhubarbwinch.gateway.context import Context, make_job
 from rhubarbwinch.gateway.edge import EdgeRequest, EdgeResponder
-from rhubarbwinch.gateway.plaincalls import PlainCalls, answer_failure
+from rhubarbwinch.gateway.plaincalls import PlainCalls, send_job_failure
 from rhubarbwinch.gateway.routes import CallKind, Route, RoutingTable
 from rhubarbwinch.gateway.streams import StreamCalls
 from rhubarbwinch.gateway.wire import CallHead
@@ -15,16 +15,16 @@
 from rhubarbwinch.shared.verdict import Failure, Reason, not_run
 
 RETRY_AFTER_MS = 300
-# A generation may run longer than what is left until the process ends, so
-# callers go elsewhere with it.
+# While draining, this process may end before a generation would, so callers
+# should soon retry it at another gateway.
 DRAIN_RETRY_AFTER_MS = 50
 
 
 class Router:
-    """Answers callers' requests.
+    """Authenticates and routes callers' requests.
 
     Args:
-        context: What all requests share.
+        context: The objects shared by all requests.
         plain: Serves plain calls.
         streams: Serves generations.
     """
@@ -39,7 +39,7 @@
     async def handle(
         self, request: EdgeRequest, responder: EdgeResponder
     ) -> None:
-        """Answers one request."""
+        """Handles one request."""
         context = self._context
         try:
             call = context.platform.decode_call(
@@ -56,19 +56,19 @@
         self, request: EdgeRequest, call: CallHead, responder: EdgeResponder
     ) -> None:
         context = self._context
-        found = self._admit(call)
-        if isinstance(found, Failure):
+        admitted = self._admit(call)
+        if isinstance(admitted, Failure):
             await send_failure(
-                context.platform, responder, call.request_id, found
+                context.platform, responder, call.request_id, admitted
             )
             return
-        route, account, priority = found
+        route, account, priority = admitted
         job = make_job(
-            request, call, route, account, priority, self._target(route)
+            request, call, route, account, priority, self._choose_service(route)
         )
         if context.crashes.is_refused(job.fingerprint, context.clock.now()):
             failure = not_run(Reason.QUARANTINED, "endpoints crash under it")
-            await answer_failure(context, job, responder, failure)
+            await send_job_failure(context, job, responder, failure)
             return
         context.budget.add_request(job.service, context.clock.now())
         try:
@@ -115,8 +115,8 @@
             )
         return route, account, priority
 
-    def _target(self, route: Route) -> str:
-        """Returns one of a route's services, by their weights."""
+    def _choose_service(self, route: Route) -> str:
+        """Returns one of a route's services, chosen by weight."""
         if len(route.targets) == 1:
             return route.targets[0].service
         return self._context.rng.choices(
@@ -125,11 +125,11 @@
         )[0]
 
     def _log_unknown(
-        self, call: CallHead, table: RoutingTable, what: str
+        self, call: CallHead, table: RoutingTable, unknown: str
     ) -> None:
         events.NOT_ALLOWED.log(
             request=call.request_id,
-            missing=what,
+            missing=unknown,
             host=call.host,
             path=call.path,
             version=table.version,
--- a/rhubarbwinch/gateway/runs.py
+++ b/rhubarbwinch/gateway/runs.py
@@ -1,4 +1,4 @@
-"""Generations that are being relayed, and the room that they hold."""
+"""The state of runs that are being relayed, with their reservations."""
 
 import anyio
 import anyio.abc
@@ -8,73 +8,77 @@
 from rhubarbwinch.gateway.edge import EdgeResponder
 from rhubarbwinch.gateway.endpoints import Endpoint
 from rhubarbwinch.gateway.loads import Room
-from rhubarbwinch.gateway.wire import MemoryCopy
+from rhubarbwinch.gateway.wire import KvCacheLocation
 
 
 @attrs.define(eq=False)
-class NewHome:
-    """Where a run goes on after it was copied.
+class MigrationTarget:
+    """The engine at which a run can resume, and the KV cache to resume from.
 
     Attributes:
-        room: The room at the new engine.
-        copy: The copy of its memory.
-        source: The engine that it left.
+        reservation: The reservation at the target engine.
+        location: The location of the run's KV cache.
+        source: The engine that the run leaves.
     """
 
-    room: Room
-    copy: MemoryCopy
+    reservation: Room
+    location: KvCacheLocation
     source: Endpoint
 
 
 @attrs.define(eq=False)
 class Run:
-    """One generation.
+    """One generation that is being relayed to its caller.
 
     Attributes:
         job: The request.
         responder: Sends the events to the caller.
-        tasks: Tasks that end with the run.
-        room: The room at the engine that runs it; None before it is placed.
-        backup: The room at the engine that follows it, or None.
-        last_event_id: The last event that the caller has, or None.
-        events: Events that the caller has.
-        head_sent: Whether the head of the answer was sent.
-        last_event_ms: When the last event came.
-        home: Where it goes on when its engine ends; None without a copy.
-        copying: Ends the task that keeps the copy; None without one.
-        has_copy: Set when the first copy is there, or none is to be had.
+        tasks: Tasks that are cancelled when the run ends.
+        reservation: The reservation at the engine that executes the run; None
+            before the run is placed.
+        standby: The reservation at the hot standby, or None.
+        last_event_id: The id of the last event sent to the caller, or None.
+        events: Number of events sent to the caller.
+        head_sent: Whether the response head was sent.
+        last_event_ms: When the last event was received.
+        target: Where the run resumes if its engine ends; None without a
+            migrated copy.
+        migration_scope: Cancels the task that maintains the migrated copy; None
+            without such a task.
+        first_copy_settled: Set when the first migrated copy is complete, or
+            when no copy can be made.
     """
 
     job: Job
     responder: EdgeResponder
     tasks: anyio.abc.TaskGroup
-    room: Room | None = None
-    backup: Room | None = None
+    reservation: Room | None = None
+    standby: Room | None = None
     last_event_id: str | None = None
     events: int = 0
     head_sent: bool = False
     last_event_ms: int = 0
-    home: NewHome | None = None
-    copying: anyio.CancelScope | None = None
-    has_copy: anyio.Event = attrs.field(factory=anyio.Event)
+    target: MigrationTarget | None = None
+    migration_scope: anyio.CancelScope | None = None
+    first_copy_settled: anyio.Event = attrs.field(factory=anyio.Event)
 
     @property
     def id(self) -> str:
-        """The caller's id of the request."""
+        """The caller's id of the request attempt."""
         return self.job.call.request_id
 
     @property
     def expected_tokens(self) -> int:
-        """The memory that the whole run is expected to need, in tokens."""
+        """The KV cache that the whole run is predicted to need, in tokens."""
         call = self.job.call
-        likely = call.likely_output_tokens or call.max_output_tokens
+        output_tokens = call.estimated_output_tokens or call.max_output_tokens
         if call.max_output_tokens:
-            likely = min(likely, call.max_output_tokens)
-        return call.prompt_tokens + likely
+            output_tokens = min(output_tokens, call.max_output_tokens)
+        return call.prompt_tokens + output_tokens
 
     def release(self) -> None:
-        """Gives all room back."""
-        for room in (self.room, self.backup):
-            if room is not None:
-                room.release()
-        self.backup = None
+        """Releases the reservations at the engine and at the standby."""
+        for reservation in (self.reservation, self.standby):
+            if reservation is not None:
+                reservation.release()
+        self.standby = None
--- a/rhubarbwinch/gateway/upstream.py
+++ b/rhubarbwinch/gateway/upstream.py
@@ -1,4 +1,4 @@
-"""Sends requests to endpoints and tells whether they may have run."""
+"""Sends requests to endpoints; errors say whether a byte was sent."""
 
 from collections.abc import AsyncGenerator
 
@@ -9,58 +9,60 @@
 from rhubarbwinch.gateway.endpoints import Endpoint
 from rhubarbwinch.gateway.hops import Tracer
 from rhubarbwinch.gateway.wire import (
-    AnswerHead,
+    AttemptOptions,
     CallHead,
     Platform,
-    SendOptions,
+    ResponseHead,
 )
 from rhubarbwinch.http.transport import Transport
 from rhubarbwinch.shared.exceptions import EndpointError
 
-# Round trips are a few milliseconds, and a lost packet is sent again after
-# 200 ms; a longer wait takes time from a second try.
-CONNECT_S = 0.25
-# An endpoint closes idle connections as it likes. A request that may not be
-# repeated and crosses such a close is lost, so it gets a fresh connection.
-FRESH_IDLE_S = 0.3
-MAX_ANSWER_BYTES = 8 << 20
+# Round trips take a few milliseconds, and a lost packet is retransmitted after
+# 200 ms. A longer timeout would take time from a second attempt.
+CONNECT_TIMEOUT_S = 0.25
+# Endpoints close idle connections at any time. A request that is sent during
+# such a close is lost, so a request that may not be repeated only reuses a
+# connection that was idle for less than this.
+NOT_REPEATABLE_MAX_IDLE_S = 0.3
+MAX_RESPONSE_BYTES = 8 << 20
 
 
 @attrs.define
-class Answer:
-    """An endpoint's answer whose body is still to be read.
+class UpstreamResponse:
+    """An endpoint's response whose body is still to be read.
 
     Attributes:
-        head: What its head says.
+        head: The decoded head.
     """
 
-    head: AnswerHead
+    head: ResponseHead
     _response: httpx.Response
 
     async def read(self) -> bytes:
         """Returns the whole body.
 
         Raises:
-            EndpointError: It was cut, garbled, altered or too long.
+            EndpointError: The body was cut, garbled, altered or too long.
         """
         parts: list[bytes] = []
         size = 0
         async for data in self.chunks():
             parts.append(data)
             size += len(data)
-            if size > MAX_ANSWER_BYTES:
+            if size > MAX_RESPONSE_BYTES:
                 raise EndpointError("the answer is too long", sent=True)
         if self.head.is_altered:
             raise EndpointError("the answer has an encoding", sent=True)
         return b"".join(parts)
 
     async def chunks(self) -> AsyncGenerator[bytes]:
-        """Yields the body as it comes.
+        """Yields the body as it is received.
 
         Raises:
-            EndpointError: It was cut or garbled.
+            EndpointError: The body was cut or garbled.
         """
-        # The stream itself is read: httpx's own layers add to each event.
+        # Reads the raw stream: httpx's own layers would add CPU time to each
+        # event.
         assert isinstance(self._response.stream, httpx.AsyncByteStream)
         try:
             async for data in self._response.stream:
@@ -69,7 +71,7 @@
             raise EndpointError(repr(error), sent=True) from error
 
     async def close(self) -> None:
-        """Returns the connection, or closes it when the body is not whole."""
+        """Returns the connection to the pool; closes it on a partial body."""
         await self._response.aclose()
 
 
@@ -77,9 +79,9 @@
     """Sends requests to endpoints.
 
     Args:
-        platform: Translates heads.
-        transport: Keeps the connections.
-        tracer: Makes a span for each send; None for none.
+        platform: Encodes and decodes heads.
+        transport: Owns the connections.
+        tracer: Creates a span for each attempt; None if tracing is off.
     """
 
     def __init__(
@@ -97,35 +99,36 @@
         endpoint: Endpoint,
         call: CallHead,
         body: bytes,
-        options: SendOptions,
+        options: AttemptOptions,
         may_repeat: bool,
-    ) -> Answer:
-        """Sends a request; returns the answer when its head has come.
+    ) -> UpstreamResponse:
+        """Sends a request; returns the response when its head is received.
 
         Raises:
-            EndpointError: No head came; it tells whether a byte was sent.
+            EndpointError: No head was received. Its attribute `sent` tells
+                whether a byte was sent.
         """
         with hops.send_span(self._tracer, endpoint.id):
             request = self._request(endpoint, call, body, options)
             if not may_repeat:
-                request.extensions["max_idle_s"] = FRESH_IDLE_S
+                request.extensions["max_idle_s"] = NOT_REPEATABLE_MAX_IDLE_S
             try:
                 response = await self._transport.handle_async_request(request)
             except (httpx.ConnectError, httpx.ConnectTimeout) as error:
                 raise EndpointError(repr(error), sent=False) from error
             except httpx.HTTPError as error:
                 raise EndpointError(repr(error), sent=True) from error
-        head = self._platform.decode_answer(
+        head = self._platform.decode_response(
             response.status_code, response.headers.raw
         )
-        return Answer(head, response)
+        return UpstreamResponse(head, response)
 
     def _request(
         self,
         endpoint: Endpoint,
         call: CallHead,
         body: bytes,
-        options: SendOptions,
+        options: AttemptOptions,
     ) -> httpx.Request:
         headers = self._platform.endpoint_headers(call, options, len(body))
         return httpx.Request(
@@ -135,8 +138,8 @@
             stream=httpx.ByteStream(body),
             extensions={
                 "target": call.target,
-                "timeout": {"connect": CONNECT_S},
-                "is_answer": lambda head: self._platform.is_answer_to(
+                "timeout": {"connect": CONNECT_TIMEOUT_S},
+                "is_answer": lambda head: self._platform.is_response_to(
                     call.request_id, list(head.headers.raw_items())
                 ),
             },
--- a/rhubarbwinch/platform/kvstore.py
+++ b/rhubarbwinch/platform/kvstore.py
@@ -1,4 +1,4 @@
-"""The platform's key-value store, behind the interface `store.Store`."""
+"""The client of the platform's key-value store, as a `store.Store`."""
 
 import base64
 import binascii
@@ -25,17 +25,20 @@
 
 JSON = dict[str, Any]
 
-# The server waits so long for an event before it answers a watch with none.
+# How long the server waits for an event before it responds with none.
 WATCH_WAIT_MS = 1_000
-# A connection to the store that acknowledges nothing for so long is closed.
-DEAD_PEER_MS = 2_000
+# A connection on which the store acknowledges no data for this time is closed.
+ACK_TIMEOUT_MS = 2_000
 _PRECONDITION_FAILED = httpx.codes.PRECONDITION_FAILED
-# Answers which say that nothing was done.
-_REFUSED = (httpx.codes.TOO_MANY_REQUESTS, httpx.codes.SERVICE_UNAVAILABLE)
+# Statuses which mean that the store did nothing.
+_NO_EFFECT_STATUSES = (
+    httpx.codes.TOO_MANY_REQUESTS,
+    httpx.codes.SERVICE_UNAVAILABLE,
+)
 
 
-def _entry(item: JSON) -> Entry:
-    """Reads an item.
+def _decode_entry(item: JSON) -> Entry:
+    """Decodes an item.
 
     Raises:
         ValueError: The value is not base64.
@@ -44,27 +47,27 @@
     return Entry(item["key"], value, int(item["revision"]))
 
 
-def _change(event: JSON) -> Change:
+def _decode_change(event: JSON) -> Change:
     key, revision = event["key"], int(event["revision"])
     if event.get("tombstone"):
         return Change(key, revision, None)
-    return Change(key, revision, _entry(event))
+    return Change(key, revision, _decode_entry(event))
 
 
 class PlatformStore:
-    """A store spoken to over HTTP/1.1 and JSON.
+    """A store that is accessed over HTTP/1.1 with JSON bodies.
 
     Args:
         address: `a.b.c.d:port`.
-        timeout_ms: The longest wait for an answer.
+        timeout_ms: The timeout of each call.
     """
 
     def __init__(self, address: str, timeout_ms: int) -> None:
-        self._timeout = timeout_ms / 1000
+        self._timeout_s = timeout_ms / 1000
         self._client = httpx.AsyncClient(
             base_url=f"http://{address}",
-            timeout=self._timeout,
-            transport=Transport(TransportOptions(dead_peer_ms=DEAD_PEER_MS)),
+            timeout=self._timeout_s,
+            transport=Transport(TransportOptions(dead_peer_ms=ACK_TIMEOUT_MS)),
         )
 
     async def get(self, key: str) -> Entry | None:
@@ -72,13 +75,13 @@
         response = await self._send("GET", "/kv-key", params={"key": key})
         if response.status_code == httpx.codes.NOT_FOUND:
             return None
-        return _parse(response, _entry)
+        return _parse(response, _decode_entry)
 
     async def scan(self, prefix: str) -> Listing:
         """Returns all entries whose keys start with `prefix`, by key.
 
-        The pages are of several moments; the revision is that of the first,
-        so a watch from there misses nothing.
+        The pages are read at different revisions. The listing gets the revision
+        of the first page, so a watch from there misses no change.
         """
         entries: list[Entry] = []
         revision = 0
@@ -86,7 +89,7 @@
         while True:
             response = await self._send("GET", "/kv-range", params=params)
             page = _parse(response, dict)
-            entries += _parse_all(page["items"])
+            entries += _decode_entries(page["items"])
             revision = revision or int(page["at"])
             if not page.get("has_more") or not page["items"]:
                 return Listing(entries, revision)
@@ -95,7 +98,7 @@
     async def swap(
         self, key: str, expected: int, value: bytes, lease: int = 0
     ) -> Swap:
-        """Writes `value` if the key's revision is `expected`; 0 is absent."""
+        """Writes `value` if the key's revision is `expected` (0: absent)."""
         write = {
             "key": key,
             "value": base64.b64encode(value).decode(),
@@ -111,17 +114,17 @@
         """Returns the id of a new lease."""
         body = {"ttl_ms": ttl_ms}
         response = await self._send("POST", "/kv-lease", content=body)
-        return _parse(response, lambda found: int(found["lease"]))
+        return _parse(response, lambda reply: int(reply["lease"]))
 
     async def keep_lease(self, lease: int) -> int:
-        """Renews a lease; returns the milliseconds it has left, 0 if gone."""
+        """Renews a lease; returns its remaining milliseconds, 0 if expired."""
         response = await self._send("POST", f"/kv-keep/{lease}", content={})
         if response.status_code == httpx.codes.NOT_FOUND:
             return 0
-        return _parse(response, lambda found: int(found["ttl_ms"]))
+        return _parse(response, lambda reply: int(reply["ttl_ms"]))
 
     async def revoke_lease(self, lease: int) -> None:
-        """Ends a lease; the keys under it are deleted."""
+        """Revokes a lease; the store deletes the keys attached to it."""
         await self._send("DELETE", f"/kv-lease-end/{lease}")
 
     async def poll(self, prefix: str, after: int, wait_ms: int) -> ChangeBatch:
@@ -129,12 +132,12 @@
 
         Args:
             prefix: The keys to watch.
-            after: The revision after which changes are told.
+            after: The revision after which changes are returned.
             wait_ms: How long the store waits for the first change.
 
         Raises:
-            StoreCompacted: The changes are no longer known.
-            StoreUnavailable: The store did not answer.
+            StoreCompacted: The store no longer has these changes.
+            StoreUnavailable: The store did not respond.
         """
         params = {
             "prefix": prefix,
@@ -145,17 +148,19 @@
             "GET",
             "/kv-watch",
             params=params,
-            timeout_s=self._timeout + wait_ms / 1000,
+            timeout_s=self._timeout_s + wait_ms / 1000,
         )
         if response.status_code == httpx.codes.GONE:
-            raise StoreCompacted(f"nothing is known after revision {after}")
-        found = _parse(response, dict)
+            raise StoreCompacted(
+                f"the changes after revision {after} were compacted"
+            )
+        reply = _parse(response, dict)
         changes = [
             change
-            for change in map(_change_or_none, found["events"])
+            for change in map(_decode_change_or_none, reply["events"])
             if change is not None
         ]
-        return ChangeBatch(after, int(found["at"]), changes)
+        return ChangeBatch(after, int(reply["at"]), changes)
 
     async def watch(self, prefix: str, after: int) -> AsyncIterator[Change]:
         """Yields every change under `prefix` after the revision `after`."""
@@ -180,12 +185,12 @@
         response = await self._send(
             "POST", "/kv-txn", content=body, is_write=True
         )
-        found = _parse(response, dict, also=_PRECONDITION_FAILED)
+        reply = _parse(response, dict, accepted_status=_PRECONDITION_FAILED)
         if response.status_code == httpx.codes.OK:
-            return Swap(True, int(found["revision"]))
-        # Its revision is 0 while the key is absent.
-        rows = [row for row in found.get("items", []) if row.get("revision")]
-        current = _entry(rows[0]) if rows else None
+            return Swap(True, int(reply["revision"]))
+        # An absent key has the revision 0.
+        rows = [row for row in reply.get("items", []) if row.get("revision")]
+        current = _decode_entry(rows[0]) if rows else None
         return Swap(False, current.revision if current else 0, current)
 
     async def _send(
@@ -200,12 +205,12 @@
         """Calls the store.
 
         Raises:
-            StoreUnavailable: Nothing was done, or nothing was to be written.
+            StoreUnavailable: The call had no effect, or it was a read.
             StoreUncertain: A write may have taken effect.
         """
-        uncertain = StoreUncertain if is_write else StoreUnavailable
+        error_type = StoreUncertain if is_write else StoreUnavailable
         timeout = httpx.Timeout(
-            timeout_s or self._timeout, connect=self._timeout
+            timeout_s or self._timeout_s, connect=self._timeout_s
         )
         try:
             response = await self._client.request(
@@ -219,43 +224,48 @@
         except (httpx.ConnectError, httpx.ConnectTimeout) as error:
             raise StoreUnavailable(f"{path}: {error!r}") from error
         except httpx.HTTPError as error:
-            raise uncertain(f"{path}: {error!r}") from error
-        if response.status_code in _REFUSED:
+            raise error_type(f"{path}: {error!r}") from error
+        if response.status_code in _NO_EFFECT_STATUSES:
             raise StoreUnavailable(f"{path}: status {response.status_code}")
         return response
 
 
 def _parse(
-    response: httpx.Response, build: Any, also: int = httpx.codes.OK
+    response: httpx.Response, build: Any, accepted_status: int = httpx.codes.OK
 ) -> Any:
-    """Returns what `build` makes of an answer's JSON.
+    """Decodes the JSON body of a response with `build`.
+
+    Args:
+        response: The response.
+        build: Converts the decoded JSON.
+        accepted_status: A status that is accepted besides 200.
 
     Raises:
-        StoreError: The answer has another status or form.
+        StoreError: The response has another status or format.
     """
     path = response.request.url.path
-    if response.status_code not in (httpx.codes.OK, also):
+    if response.status_code not in (httpx.codes.OK, accepted_status):
         raise StoreUnavailable(f"{path}: status {response.status_code}")
     try:
         return build(orjson.loads(response.content))
     except (KeyError, TypeError, ValueError) as error:
-        raise StoreError(f"{path}: not an answer: {error!r}") from error
+        raise StoreError(f"{path}: malformed response: {error!r}") from error
 
 
-def _parse_all(items: list[JSON]) -> list[Entry]:
-    """Returns the entries among items; others can't be read."""
-    found = [_change_or_none(item) for item in items]
-    return [c.entry for c in found if c is not None and c.entry is not None]
+def _decode_entries(items: list[JSON]) -> list[Entry]:
+    """Returns the entries of items; skips those without key or revision."""
+    changes = [_decode_change_or_none(item) for item in items]
+    return [c.entry for c in changes if c is not None and c.entry is not None]
 
 
-def _change_or_none(event: JSON) -> Change | None:
-    """Reads an event; one that can't be read is a key without a value.
+def _decode_change_or_none(event: JSON) -> Change | None:
+    """Decodes an event; None if it has no valid key and revision.
 
-    Other writers may leave anything in the store; the key still says which
-    entry it was.
+    Other writers may store malformed values. Such an event is returned with an
+    empty value, because its key still tells which entry has changed.
     """
     try:
-        return _change(event)
+        return _decode_change(event)
     except (KeyError, TypeError, ValueError, binascii.Error):
         if not isinstance(event, dict) or not isinstance(event.get("key"), str):
             return None
--- a/tests/gateway/test_edge.py
+++ b/tests/gateway/test_edge.py
@@ -1,4 +1,4 @@
-"""Connections of callers: what is read, what is refused, what is seen."""
+"""Tests the HTTP server for callers on a real socket."""
 
 import asyncio
 import random
@@ -16,7 +16,7 @@
 
 
 class Edge:
-    """An edge whose handler echoes, and what it saw."""
+    """A server with an echo handler, and the requests that it received."""
 
     def __init__(self):
         self.address = free_address()
@@ -44,7 +44,7 @@
         return await asyncio.open_connection(host, int(port))
 
     async def talk(self, data):
-        """Sends bytes; returns all that comes until the connection ends."""
+        """Sends bytes; returns all bytes received until the close."""
         reader, writer = await self.connect()
         writer.write(data)
         writer.write_eof() if not data else None
@@ -56,7 +56,7 @@
 
 @asynccontextmanager
 async def edge(limits=None):
-    """Runs an edge; yields it with what it saw."""
+    """Runs a server."""
     found = Edge()
     if limits is not None:
         found.server.status.limits = limits
@@ -69,7 +69,7 @@
             tasks.cancel_scope.cancel()
 
 
-async def _read_answer(reader):
+async def _read_response(reader):
     head = await reader.readuntil(b"\r\n\r\n")
     size = int(head.lower().split(b"content-length:")[1].split(b"\r\n")[0])
     return head, await reader.readexactly(size)
@@ -79,7 +79,7 @@
     """One server on a real socket."""
 
     @asynchronous
-    async def test_requests_on_one_connection_get_their_own_answers(self):
+    async def test_requests_on_one_connection_get_their_own_responses(self):
         async with edge() as server:
             reader, writer = await server.connect()
             for data in (
@@ -90,14 +90,14 @@
                 b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n",
             ):
                 writer.write(data)
-            found = [(await _read_answer(reader))[1] for _ in range(4)]
+            found = [(await _read_response(reader))[1] for _ in range(4)]
             writer.close()
         self.assertEqual(
             found, [b"GET /a", b"GET /b", b"POST /cxyz", b"POST /dabc"]
         )
 
     @asynchronous
-    async def test_requests_that_could_be_read_in_two_ways_are_refused(self):
+    async def test_ambiguous_requests_are_refused(self):
         smuggled = b"GET /evil HTTP/1.1\r\nHost: h\r\n\r\n"
         cases = [
             b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n"
@@ -113,23 +113,23 @@
         ]
         async with edge() as server:
             for data in cases:
-                answer = await server.talk(data)
-                self.assertIn(answer[9:10], (b"4", b"5", b""), data)
+                response = await server.talk(data)
+                self.assertIn(response[9:10], (b"4", b"5", b""), data)
             paths = {request.target for request in server.seen}
         self.assertNotIn(b"/evil", paths)
 
     @asynchronous
-    async def test_a_body_that_holds_a_request_is_a_body(self):
+    async def test_a_request_inside_a_body_is_not_parsed(self):
         inner = b"GET /evil HTTP/1.1\r\nHost: h\r\n\r\n"
         head = b"POST /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n"
         data = head + b"Content-Length: %d\r\n\r\n" % len(inner) + inner
         async with edge() as server:
-            answer = await server.talk(data)
-            self.assertTrue(answer.endswith(b"POST /a" + inner))
+            response = await server.talk(data)
+            self.assertTrue(response.endswith(b"POST /a" + inner))
             self.assertEqual(len(server.seen), 1)
 
     @asynchronous
-    async def test_what_is_over_the_limits_is_refused(self):
+    async def test_requests_over_the_limits_are_refused(self):
         limits = HttpLimits(head_bytes=500, body_bytes=10)
         long_head = b"GET /a HTTP/1.1\r\nHost: h\r\nX: " + b"x" * 900
         post = b"POST /a HTTP/1.1\r\nHost: h\r\n"
@@ -138,25 +138,25 @@
             announced = post + b"Content-Length: 11\r\n\r\n"
             self.assertIn(b" 413 ", await server.talk(announced))
             chunked = post + b"Transfer-Encoding: chunked\r\n\r\nb\r\n"
-            answer = await server.talk(chunked + b"x" * 11 + b"\r\n")
-            self.assertIn(b" 413 ", answer)
+            response = await server.talk(chunked + b"x" * 11 + b"\r\n")
+            self.assertIn(b" 413 ", response)
             self.assertEqual(server.seen, [])
 
     @asynchronous
     async def test_a_head_that_comes_too_slowly_is_refused(self):
         async with edge(HttpLimits(head_ms=50)) as server:
-            answer = await server.talk(b"GET /a HTTP/1.1\r\n")
-            self.assertIn(b" 408 ", answer)
+            response = await server.talk(b"GET /a HTTP/1.1\r\n")
+            self.assertIn(b" 408 ", response)
 
     @asynchronous
-    async def test_an_idle_connection_is_closed_without_a_word(self):
+    async def test_an_idle_connection_is_closed_without_a_response(self):
         async with edge(HttpLimits(idle_ms=50)) as server:
             reader, writer = await server.connect()
             self.assertEqual(await reader.read(), b"")
             writer.close()
 
     @asynchronous
-    async def test_the_work_ends_when_the_caller_leaves(self):
+    async def test_the_handler_is_cancelled_when_the_caller_disconnects(self):
         async with edge() as server:
             server.handler = server.hang
             _, writer = await server.connect()
@@ -202,34 +202,34 @@
             self.assertIn(b"GET /a", await server.talk(closing))
 
     @asynchronous
-    async def test_a_connection_ends_after_its_answer_while_draining(self):
+    async def test_a_connection_closes_after_its_response_while_draining(self):
         async with edge() as server:
             server.server.status.is_closing = True
-            answer = await server.talk(GET)
-            self.assertIn(b"Connection: close", answer)
+            response = await server.talk(GET)
+            self.assertIn(b"Connection: close", response)
 
     @asynchronous
     async def test_random_bytes_never_reach_the_handler_as_another_request(
         self,
     ):
-        whole = b"POST /ok HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nGET "
+        valid = b"POST /ok HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nGET "
         async with edge(HttpLimits(head_ms=30, idle_ms=30)) as server:
             for seed in range(120):
                 rng = random.Random(seed)
-                data = bytearray(whole * 2)
+                data = bytearray(valid * 2)
                 for _ in range(rng.randrange(1, 4)):
-                    place = rng.randrange(len(data))
+                    position = rng.randrange(len(data))
                     action = rng.randrange(3)
                     if action == 0:
-                        data[place] = rng.randrange(256)
+                        data[position] = rng.randrange(256)
                     elif action == 1:
-                        del data[place]
+                        del data[position]
                     else:
-                        data[place:place] = rng.choice(
+                        data[position:position] = rng.choice(
                             [b"\r\n", b"\n", b"\x00", b": ", b"0", b" "]
                         )
                 await server.talk(bytes(data))
             for request in server.seen:
-                # A changed byte may give another path, never a request whose
-                # first line is the body of another one.
+                # A changed byte may result in another path, but the body of a
+                # request must never be read as the first line of a request.
                 self.assertNotEqual(request.method, "GET")
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -1,4 +1,4 @@
-"""Gateways as processes, before the stand-ins of the platform."""
+"""Tests gateway processes with stand-ins of the platform."""
 
 import json
 import pathlib
@@ -16,7 +16,7 @@
 from lab.standins.platformstore import PlatformStoreServer
 from tests.helpers import Processes, asynchronous, free_address
 
-# What a configuration tells of a service whose endpoints are engines.
+# The part of a configuration that describes the engines of a service.
 ENGINE = {"slots": 24, "kv_tokens": 34_000, "moves": True, "backups": True}
 
 
@@ -28,7 +28,7 @@
 
 
 class Deployment:
-    """Some gateways, a store and an engine."""
+    """Several gateways, a store and an engine."""
 
     def __init__(self, folder):
         self.folder = pathlib.Path(folder)
@@ -73,7 +73,7 @@
         return f"http://127.0.7.{number}:{self.ports[service]}{path}"
 
     async def get(self, url, **headers):
-        """Returns an answer, or None without a connection."""
+        """Returns a response, or None if the connection fails."""
         try:
             async with httpx.AsyncClient(timeout=20) as client:
                 return await client.get(url, headers=headers)
@@ -90,13 +90,13 @@
         )
 
     async def until(self, check):
-        """Waits until an awaited check is true."""
+        """Waits until an async check returns true; at most 20 s."""
         with anyio.fail_after(20):
             while not await check():
                 await anyio.sleep(0.02)
 
     async def is_ready(self, number):
-        """Tells whether a gateway says that it is ready."""
+        """Returns whether a gateway reports that it is ready."""
         found = await self.get(self.url(number, "ready", "/readiness"))
         return found is not None and found.status_code == httpx.codes.OK
 
@@ -108,7 +108,7 @@
 
 @asynccontextmanager
 async def deployment():
-    """Runs the stand-ins; the gateways are started by the test."""
+    """Runs the stand-ins. The test starts the gateways."""
     with tempfile.TemporaryDirectory() as folder:
         found = Deployment(folder)
         async with anyio.create_task_group() as tasks:
@@ -125,10 +125,10 @@
 
 
 class GatewayTest(unittest.TestCase):
-    """The whole path."""
+    """Requests through real gateway processes."""
 
     @asynchronous
-    async def test_a_request_is_served_and_its_way_is_logged(self):
+    async def test_a_request_is_served_and_logged(self):
         async with deployment() as d:
             d.start(1)
             await d.until(lambda: d.is_ready(1))
@@ -153,7 +153,7 @@
             )
 
     @asynchronous
-    async def test_a_key_that_is_taken_away_is_refused_at_all(self):
+    async def test_a_revoked_key_is_refused_by_all_gateways(self):
         async with deployment() as d:
             for number in (1, 2, 3):
                 d.start(number)
@@ -169,7 +169,7 @@
             self.assertEqual((await d.call(2, "q9", "k2")).status_code, 200)
 
     @asynchronous
-    async def test_one_that_starts_while_the_store_is_down_serves(self):
+    async def test_a_gateway_started_while_the_store_is_down_serves(self):
         async with deployment() as d:
             d.start(1)
             await d.until(lambda: d.is_ready(1))
@@ -180,7 +180,7 @@
             self.assertEqual((found.status_code, found.text), (200, "q1"))
 
     @asynchronous
-    async def test_one_that_starts_in_an_outage_knows_which_engines_leave(self):
+    async def test_a_gateway_started_in_an_outage_knows_leaving_engines(self):
         async with deployment() as d:
             await d.store.put(
                 platformfiles.CONFIG_KEY, config(2, engine=ENGINE)
@@ -201,11 +201,11 @@
             self.assertEqual(len(d.engine.arrivals), served)
 
     @asynchronous
-    async def test_an_end_by_sigterm_finishes_what_is_open(self):
+    async def test_sigterm_lets_open_requests_finish(self):
         await self._end_under_an_open_request()
 
     @asynchronous
-    async def test_signals_while_it_ends_leave_what_is_open_alone(self):
+    async def test_signals_during_a_drain_do_not_end_open_requests(self):
         await self._end_under_an_open_request(signal.SIGHUP, signal.SIGTERM)
 
     @asynchronous
@@ -219,21 +219,21 @@
             self.assertEqual(status, 0)
 
     async def _end_under_an_open_request(self, *later):
-        """Ends a gateway that waits for an answer, by more than one signal."""
-        go_on = anyio.Event()
+        """Stops a gateway that waits for a response, then sends `later`."""
+        proceed = anyio.Event()
 
         async def wait(arrival, responder):
-            await go_on.wait()
+            await proceed.wait()
             await answer_ok(arrival, responder)
 
         async with deployment() as d:
             d.start(1)
             await d.until(lambda: d.is_ready(1))
             d.engine.behaviour = wait
-            answers = []
+            responses = []
 
             async def call():
-                answers.append(await d.call(1, "q1"))
+                responses.append(await d.call(1, "q1"))
 
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(call)
@@ -247,10 +247,10 @@
                 await d.until(not_ready)
                 for number in later:
                     d.processes.signal("g1", number)
-                    # Signals that are sent at once may be joined into one.
+                    # Signals sent without a pause may be merged into one.
                     await anyio.sleep(0.1)
-                go_on.set()
-            self.assertEqual(answers[0].text, "q1")
+                proceed.set()
+            self.assertEqual(responses[0].text, "q1")
             status = await anyio.to_thread.run_sync(d.processes.wait, "g1")
             self.assertEqual(status, 0)
             self.assertEqual(d.events(1)[-1]["name"], "stopped")
--- a/tests/gateway/test_plaincalls.py
+++ b/tests/gateway/test_plaincalls.py
@@ -1,4 +1,4 @@
-"""Plain calls before endpoints that fail in every way that they can."""
+"""Tests plain calls to endpoints that fail in different ways."""
 
 import unittest
 
@@ -10,15 +10,15 @@
 from tests.gatewayworld import world
 from tests.helpers import asynchronous
 
-UNSAFE = build.table(build.route(CallKind.NON_IDEMPOTENT))
+NOT_REPEATABLE = build.table(build.route(CallKind.NON_IDEMPOTENT))
 
 
 async def cut(arrival, responder):
-    """Closes the connection without an answer."""
+    """Closes the connection without a response."""
 
 
 async def cut_midway(arrival, responder):
-    """Announces more than it sends."""
+    """Closes the connection before the announced end of the body."""
     headers = [*head_of(arrival), (b"Content-Length", b"100")]
     await responder._connection.write(
         b"HTTP/1.1 200 OK\r\n"
@@ -28,34 +28,34 @@
 
 
 async def fail(arrival, responder):
-    """An error of the endpoint's own."""
+    """Responds with an error of the endpoint itself."""
     await responder.send(500, head_of(arrival), b"no")
 
 
 async def unsigned(arrival, responder):
-    """An answer that is not the endpoint's."""
+    """Sends a response without the endpoint's signature."""
     head = [(b"Attempt-Id", arrival.id.encode())]
     await responder.send(200, head, b"not the endpoint's")
 
 
 async def encoded(arrival, responder):
-    """A body that something on the way has changed."""
+    """Sends a body that was encoded on the way."""
     head = [*head_of(arrival), (b"Content-Encoding", b"gzip")]
     await responder.send(200, head, b"zzz")
 
 
 async def busy(arrival, responder):
-    """Says 503 without saying that nothing ran."""
+    """Responds with 503 without stating that nothing ran."""
     await responder.send(503, head_of(arrival), b"")
 
 
 async def nonsense(arrival, responder):
-    """Bytes that are no answer."""
+    """Sends bytes that are no HTTP response."""
     await responder._connection.write(b"\x00\x01 what?\r\n\r\n")
 
 
-async def stale_first(arrival, responder):
-    """An answer to another request stands before the right one."""
+async def stale_response_first(arrival, responder):
+    """Sends a response to another request before the right one."""
     await responder._connection.write(
         b"HTTP/1.1 200 OK\r\nAttempt-Id: other\r\nServer-Signature: s\r\n"
         b"Content-Length: 5\r\n\r\nother"
@@ -64,7 +64,7 @@
 
 
 def _once(behaviour):
-    """Returns a behaviour that is good from the second request on."""
+    """Returns a behaviour that fails the first request only."""
     seen = []
 
     async def run(arrival, responder):
@@ -75,14 +75,14 @@
     return run
 
 
-BAD = (cut, cut_midway, unsigned, encoded, busy, nonsense)
+BROKEN_BEHAVIOURS = (cut, cut_midway, unsigned, encoded, busy, nonsense)
 
 
 class PlainCallsTest(unittest.TestCase):
     """One caller, two endpoints."""
 
     @asynchronous
-    async def test_a_whole_answer_is_passed_on(self):
+    async def test_a_whole_response_is_relayed(self):
         async with world() as w:
             found = await w.call()
         self.assertEqual((found.status, found.body), (200, b"q1"))
@@ -91,7 +91,7 @@
 
     @asynchronous
     async def test_a_repeatable_call_is_served_by_the_other_endpoint(self):
-        for behaviour in (*BAD, refuse, fail):
+        for behaviour in (*BROKEN_BEHAVIOURS, refuse, fail):
             async with world() as w:
                 once = _once(behaviour)
                 for engine in w.engines:
@@ -102,8 +102,8 @@
 
     @asynchronous
     async def test_a_call_that_may_have_run_once_is_never_sent_again(self):
-        for behaviour in BAD:
-            async with world(table=UNSAFE) as w:
+        for behaviour in BROKEN_BEHAVIOURS:
+            async with world(table=NOT_REPEATABLE) as w:
                 for engine in w.engines:
                     engine.behaviour = behaviour
                 found = await w.call()
@@ -112,8 +112,8 @@
                 self.assertNotIn("server-signature", found.headers)
 
     @asynchronous
-    async def test_a_refused_call_goes_elsewhere_and_is_not_run_twice(self):
-        async with world(table=UNSAFE) as w:
+    async def test_a_refused_call_is_sent_to_each_endpoint_once(self):
+        async with world(table=NOT_REPEATABLE) as w:
             w.engines[0].behaviour = w.engines[1].behaviour = refuse
             found = await w.call()
             self.assertEqual(found.status, 503)
@@ -121,33 +121,33 @@
             self.assertEqual(sorted(w.arrivals), ["e1", "e2"])
 
     @asynchronous
-    async def test_an_endpoint_that_is_gone_is_passed_by(self):
-        async with world(table=UNSAFE) as w:
+    async def test_an_unreachable_endpoint_is_skipped(self):
+        async with world(table=NOT_REPEATABLE) as w:
             known = w.context.fleet.get("e1")
-            gone = build.endpoint("e1", address="127.0.0.1:1")
-            known.endpoint = gone
+            unreachable = build.endpoint("e1", address="127.0.0.1:1")
+            known.endpoint = unreachable
             for i in range(6):
                 found = await w.call(f"q{i}")
                 self.assertEqual(found.status, 200)
 
     @asynchronous
-    async def test_an_address_used_by_another_endpoint_runs_nothing(self):
-        async with world(engines=1, table=UNSAFE) as w:
+    async def test_another_endpoint_at_a_reused_address_runs_nothing(self):
+        async with world(engines=1, table=NOT_REPEATABLE) as w:
             w.engines[0].name = "e9"
             found = await w.call()
             self.assertEqual(found.status, 503)
             self.assertEqual(w.arrivals, [])
 
     @asynchronous
-    async def test_an_answer_to_another_request_is_passed_over(self):
+    async def test_a_response_to_another_request_is_skipped(self):
         async with world(engines=1) as w:
-            w.engines[0].behaviour = stale_first
+            w.engines[0].behaviour = stale_response_first
             found = await w.call()
             self.assertEqual((found.status, found.body), (200, b"q1"))
 
     @asynchronous
-    async def test_an_endpoints_own_failure_is_passed_on_as_it_is(self):
-        async with world(table=UNSAFE) as w:
+    async def test_an_endpoints_own_error_is_relayed_unchanged(self):
+        async with world(table=NOT_REPEATABLE) as w:
             w.engines[0].behaviour = w.engines[1].behaviour = fail
             found = await w.call()
             self.assertEqual((found.status, found.body), (500, b"no"))
@@ -155,7 +155,7 @@
             self.assertEqual(len(w.arrivals), 1)
 
     @asynchronous
-    async def test_the_endpoints_work_ends_when_the_caller_leaves(self):
+    async def test_the_attempt_is_cancelled_when_the_caller_disconnects(self):
         async def hang(arrival, responder):
             await anyio.sleep_forever()
 
@@ -170,11 +170,11 @@
             self.assertEqual(w.context.loads.own(), [])
 
     @asynchronous
-    async def test_the_deadline_is_what_is_left(self):
+    async def test_the_endpoint_gets_the_remaining_deadline(self):
         async with world(engines=1) as w:
             await w.call()
             headers = w.engines[0].arrivals[0].headers
-            # The route's limit of 5 s goes before the caller's 20 s.
+            # The route's limit of 5 s is lower than the caller's 20 s.
             self.assertLessEqual(int(headers["deadline-ms"]), 5_000)
             self.assertEqual(headers["tenant"], "acme")
             self.assertNotIn("authorization", headers)
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -1,4 +1,4 @@
-"""Generations before engines that leave, crash, refuse and break off."""
+"""Tests generations at engines that leave, crash, refuse or break off."""
 
 import unittest
 
@@ -8,14 +8,14 @@
 from lab.standins.platformengine import event, head_of, refuse
 from rhubarbwinch.gateway.routes import CallKind
 from tests import gatewaybuilders as build
-from tests.gatewayworld import read_answer, world
+from tests.gatewayworld import read_response, world
 from tests.helpers import asynchronous
 
-NO_BACKUPS = attrs.evolve(build.ENGINE, can_back_up=False)
-ONCE = build.table(
-    build.route(CallKind.STREAM, timeout_ms=20_000), engine=NO_BACKUPS
+NO_STANDBY = attrs.evolve(build.ENGINE, can_back_up=False)
+NOT_REPEATABLE = build.table(
+    build.route(CallKind.STREAM, timeout_ms=20_000), engine=NO_STANDBY
 )
-FOLLOWED = build.table(build.route(CallKind.STREAM, timeout_ms=20_000))
+WITH_STANDBY = build.table(build.route(CallKind.STREAM, timeout_ms=20_000))
 RESUMABLE = build.table(
     build.route(
         CallKind.STREAM, timeout_ms=20_000, is_resumable=True, max_attempts=2
@@ -25,17 +25,17 @@
 
 
 class Generation:
-    """Makes six events; a test decides when, and where it breaks."""
+    """Generates six events; a test sets where the stream stops or breaks."""
 
     def __init__(self):
         self.break_after = None
         self.tail = b""
         self.reached = anyio.Event()
-        self.go_on = anyio.Event()
-        self.go_on.set()
+        self.proceed = anyio.Event()
+        self.proceed.set()
 
     async def run(self, arrival, responder):
-        """Behaves as an engine."""
+        """Responds to a request as an engine."""
         start = int(arrival.headers.get("last-event-id", 0))
         await responder.start_stream(200, head_of(arrival))
         for number in range(start + 1, 7):
@@ -44,7 +44,7 @@
                 self.break_after = None
                 await responder.write(self.tail) if self.tail else None
                 self.reached.set()
-                await self.go_on.wait()
+                await self.proceed.wait()
                 return
         await responder.end_stream()
 
@@ -62,8 +62,8 @@
             engine.behaviour = generation.run
 
     @asynchronous
-    async def test_a_stream_is_passed_on_whole(self):
-        async with world(table=ONCE) as w:
+    async def test_a_stream_is_relayed_completely(self):
+        async with world(table=NOT_REPEATABLE) as w:
             self._script(w, Generation())
             found = await w.call()
         self.assertEqual(found.body, ALL)
@@ -71,11 +71,11 @@
         self.assertEqual(w.context.loads.own(), [])
 
     @asynchronous
-    async def test_a_run_goes_on_from_its_copy_when_its_engine_ends(self):
-        async with world(table=ONCE) as w:
+    async def test_a_run_resumes_from_its_copy_when_its_engine_ends(self):
+        async with world(table=NOT_REPEATABLE) as w:
             generation = Generation()
             generation.break_after = 3
-            generation.go_on = anyio.Event()
+            generation.proceed = anyio.Event()
             self._script(w, generation)
             reader, writer = await _start(w)
             await generation.reached.wait()
@@ -85,11 +85,11 @@
             while not source.moves:
                 await anyio.sleep(0)
             self.assertEqual(source.moves[0]["to"], other.address)
-            # The first copy is answered before its engine ends.
-            while not next(iter(w.streams._runs)).home:
+            # The first copy is complete before the source engine ends.
+            while not next(iter(w.streams._runs)).target:
                 await anyio.sleep(0)
-            generation.go_on.set()
-            found = await read_answer(reader)
+            generation.proceed.set()
+            found = await read_response(reader)
             writer.close()
         self.assertEqual(found.body, ALL)
         self.assertTrue(found.is_complete)
@@ -101,16 +101,16 @@
 
     @asynchronous
     async def test_a_copy_of_a_run_that_ends_before_its_engine_is_freed(self):
-        async with world(table=ONCE) as w:
+        async with world(table=NOT_REPEATABLE) as w:
             generation = Generation()
-            generation.go_on = anyio.Event()
+            generation.proceed = anyio.Event()
 
             async def finish(arrival, responder):
                 await responder.start_stream(200, head_of(arrival))
                 for number in range(1, 4):
                     await responder.write(event(number))
                 generation.reached.set()
-                await generation.go_on.wait()
+                await generation.proceed.wait()
                 for number in range(4, 7):
                     await responder.write(event(number))
                 await responder.end_stream()
@@ -121,10 +121,10 @@
             await generation.reached.wait()
             source = next(e for e in w.engines if e.arrivals)
             w.announce_leaving(source)
-            while not next(iter(w.streams._runs)).home:
+            while not next(iter(w.streams._runs)).target:
                 await anyio.sleep(0)
-            generation.go_on.set()
-            found = await read_answer(reader)
+            generation.proceed.set()
+            found = await read_response(reader)
             writer.close()
             while w.context.loads.own():
                 await anyio.sleep(0)
@@ -132,32 +132,32 @@
         self.assertEqual(source.freed, ["h-q1"])
 
     @asynchronous
-    async def test_a_copy_is_good_though_copying_again_fails(self):
-        async with world(table=ONCE) as w:
+    async def test_a_copy_stays_usable_when_its_refresh_fails(self):
+        async with world(table=NOT_REPEATABLE) as w:
             generation = Generation()
             generation.break_after = 3
-            generation.go_on = anyio.Event()
+            generation.proceed = anyio.Event()
             self._script(w, generation)
             reader, writer = await _start(w)
             await generation.reached.wait()
             source = next(e for e in w.engines if e.arrivals)
             w.announce_leaving(source)
-            while not next(iter(w.streams._runs)).home:
+            while not next(iter(w.streams._runs)).target:
                 await anyio.sleep(0)
-            # The engine is about to end: it answers no call any more.
+            # The engine is about to end: from here on all its calls fail.
             source.move_status = 500
             copies = len(source.moves)
             while len(source.moves) < copies + 2:
                 await anyio.sleep(0.01)
-            generation.go_on.set()
-            found = await read_answer(reader)
+            generation.proceed.set()
+            found = await read_response(reader)
             writer.close()
         self.assertEqual(found.body, ALL)
         self.assertTrue(found.is_complete)
 
     @asynchronous
     async def test_a_run_without_a_copy_is_never_run_again(self):
-        async with world(table=ONCE) as w:
+        async with world(table=NOT_REPEATABLE) as w:
             generation = Generation()
             generation.break_after = 3
             self._script(w, generation)
@@ -167,8 +167,8 @@
         self.assertFalse(found.is_complete)
 
     @asynchronous
-    async def test_a_followed_run_goes_on_where_it_is_followed(self):
-        async with world(table=FOLLOWED) as w:
+    async def test_a_run_with_a_standby_resumes_at_the_standby(self):
+        async with world(table=WITH_STANDBY) as w:
             generation = Generation()
             generation.break_after = 3
             self._script(w, generation)
@@ -182,7 +182,7 @@
         resumed = other.arrivals[0].headers
         self.assertEqual(resumed["kv-from"], f"{other.address}/q1")
         self.assertEqual(resumed["last-event-id"], "3")
-        # The first engine may live: it was told to stop the run.
+        # The first engine may be alive, so it was told to stop the run.
         self.assertTrue(first.moves[0]["last"])
 
     @asynchronous
@@ -190,9 +190,9 @@
         self,
     ):
         async def cut(arrival, responder):
-            """Closes the connection without an answer."""
+            """Closes the connection without a response."""
 
-        async with world(table=ONCE) as w:
+        async with world(table=NOT_REPEATABLE) as w:
             for engine in w.engines:
                 engine.behaviour = cut
             found = await w.call()
@@ -201,7 +201,7 @@
 
     @asynchronous
     async def test_a_refused_run_is_placed_elsewhere(self):
-        async with world(table=ONCE) as w:
+        async with world(table=NOT_REPEATABLE) as w:
             generation = Generation()
             seen = []
 
@@ -219,8 +219,8 @@
         self.assertEqual(sorted(w.arrivals), ["e1", "e2"])
 
     @asynchronous
-    async def test_a_run_that_is_placed_anew_gives_up_its_old_backup(self):
-        async with world(engines=3, table=FOLLOWED) as w:
+    async def test_a_run_that_is_placed_again_releases_its_old_standby(self):
+        async with world(engines=3, table=WITH_STANDBY) as w:
             generation = Generation()
             held = []
 
@@ -236,12 +236,13 @@
                 engine.behaviour = refuse_first
             found = await w.call()
         self.assertEqual(found.body, ALL)
-        # The run at one engine, its backup at another, nothing at the third.
+        # The run is counted at one engine, its standby at another, and nothing
+        # at the third.
         self.assertEqual(held[0][0], 0)
         self.assertEqual(held[1], held[0])
 
     @asynchronous
-    async def test_a_resumable_run_begins_anew_after_its_last_event(self):
+    async def test_a_resumable_run_restarts_after_its_last_event(self):
         async with world(table=RESUMABLE) as w:
             generation = Generation()
             generation.break_after = 2
@@ -252,7 +253,7 @@
             self.assertEqual(sorted(w.arrivals), ["e1", "e2"])
 
     @asynchronous
-    async def test_a_resumable_run_is_sent_no_more_than_the_route_allows(self):
+    async def test_attempts_of_a_resumable_run_are_limited_by_the_route(self):
         async def break_always(arrival, responder):
             start = int(arrival.headers.get("last-event-id", 0))
             await responder.start_stream(200, head_of(arrival))
@@ -267,7 +268,7 @@
         self.assertEqual(found.body, event(1) + event(2))
 
     @asynchronous
-    async def test_a_part_of_an_event_is_not_passed_on(self):
+    async def test_a_partial_event_is_not_relayed(self):
         async with world(table=RESUMABLE) as w:
             generation = Generation()
             generation.break_after = 2
@@ -277,14 +278,14 @@
         self.assertEqual(found.body, ALL)
 
     @asynchronous
-    async def test_events_that_came_before_are_dropped(self):
+    async def test_duplicate_events_are_dropped(self):
         async def repeat(arrival, responder):
             await responder.start_stream(200, head_of(arrival))
             for number in (1, 2, 2, 1, 3):
                 await responder.write(event(number))
             await responder.end_stream()
 
-        async with world(engines=1, table=ONCE) as w:
+        async with world(engines=1, table=NOT_REPEATABLE) as w:
             w.engines[0].behaviour = repeat
             found = await w.call()
         self.assertEqual(found.body, event(1) + event(2) + event(3))
@@ -297,7 +298,7 @@
                 await responder.write(event(number))
             await responder.end_stream()
 
-        async with world(engines=1, table=ONCE) as w:
+        async with world(engines=1, table=NOT_REPEATABLE) as w:
             w.engines[0].behaviour = skip
             found = await w.call()
         self.assertFalse(found.is_complete)
@@ -314,11 +315,11 @@
         self.assertIn("retry-after", found.headers)
 
     @asynchronous
-    async def test_a_caller_that_leaves_ends_its_run(self):
-        async with world(engines=1, table=ONCE) as w:
+    async def test_a_run_is_cancelled_when_its_caller_disconnects(self):
+        async with world(engines=1, table=NOT_REPEATABLE) as w:
             generation = Generation()
             generation.break_after = 2
-            generation.go_on = anyio.Event()
+            generation.proceed = anyio.Event()
             self._script(w, generation)
             _, writer = await _start(w)
             await generation.reached.wait()
@@ -328,8 +329,8 @@
             self.assertEqual(w.context.loads.own(), [])
 
     @asynchronous
-    async def test_a_gateway_that_leaves_takes_no_generation(self):
-        async with world(table=ONCE) as w:
+    async def test_a_draining_gateway_refuses_generations(self):
+        async with world(table=NOT_REPEATABLE) as w:
             w.context.is_draining = True
             found = await w.call()
             self.assertEqual((found.status, w.arrivals), (503, []))
--- a/tests/gatewayworld.py
+++ b/tests/gatewayworld.py
@@ -1,4 +1,4 @@
-"""A gateway's request path on loopback, before engines that tests script."""
+"""Runs a gateway's request path on loopback, with scripted engines."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -8,7 +8,7 @@
 
 from lab.standins.platformengine import ScriptedEngine
 from rhubarbwinch.gateway.context import Context
-from rhubarbwinch.gateway.copies import CopyKeeper
+from rhubarbwinch.gateway.copies import CopyManager
 from rhubarbwinch.gateway.crashes import CrashLedger
 from rhubarbwinch.gateway.edge import EdgeServer
 from rhubarbwinch.gateway.failurereports import FailureReports
@@ -30,22 +30,22 @@
 
 
 class NoPeers:
-    """Stands for the other gateways where there are none."""
+    """A `Peers` for a gateway without other gateways."""
 
     count = 0
     near_count = 0
 
     def tell_loads(self):
-        """Tells nobody."""
+        """Does nothing."""
 
     def report_failure(self, endpoint):
-        """Returns what peers would be told."""
+        """Returns the notice that peers would receive."""
         return FailureNotice("g1", "dc-a", endpoint)
 
 
 @attrs.define
-class Answer:
-    """What a caller got."""
+class Response:
+    """A response as the caller received it."""
 
     status: int
     headers: dict
@@ -54,7 +54,7 @@
 
 
 class World:
-    """A router before scripted engines."""
+    """A gateway's router with scripted engines behind it."""
 
     def __init__(self, engines, table, tracer=None):
         self.engines = [
@@ -77,7 +77,7 @@
             peers=NoPeers(),
             upstream=Upstream(self.platform, self.transport, tracer),
             tracer=tracer,
-            copies=CopyKeeper(
+            copies=CopyManager(
                 PlatformEngineCalls(self.transport), SystemClock()
             ),
             crashes=CrashLedger(
@@ -100,14 +100,14 @@
         return self.context.fleet.put(endpoint, self.context.clock.now())
 
     def announce_leaving(self, engine):
-        """Lets an engine's notice arrive."""
+        """Delivers the notice that an engine is leaving."""
         assert self.put(engine, "draining")
         known = self.context.fleet.get(engine.name)
         self.streams.note_leaving(known.endpoint)
 
     @property
     def arrivals(self):
-        """The engines that requests reached, in order of the engines."""
+        """The name of the engine of each received request, by engine."""
         return [e.name for e in self.engines for _ in e.arrivals]
 
     async def open(self, request_id="q1", method="POST", path="/r/x", **more):
@@ -127,16 +127,16 @@
         return reader, writer
 
     async def call(self, *args, **more):
-        """Sends a request and returns the whole answer."""
+        """Sends a request and returns the whole response."""
         reader, writer = await self.open(*args, **more)
         try:
-            return await read_answer(reader)
+            return await read_response(reader)
         finally:
             writer.close()
 
 
-async def read_answer(reader):
-    """Reads an answer to its end, complete or not."""
+async def read_response(reader):
+    """Reads a response to its end, complete or not."""
     data = b""
     try:
         while True:
@@ -145,7 +145,7 @@
                 break
             data += part
     except ConnectionError:
-        # What came before the reset counts as an incomplete answer.
+        # The bytes received before the reset count as an incomplete response.
         data += b""
     head, _, body = data.partition(b"\r\n\r\n")
     lines = head.decode("latin-1").split("\r\n")
@@ -155,13 +155,13 @@
         headers[name.lower()] = value.strip()
     status = int(lines[0].split()[1]) if lines[0] else 0
     if headers.get("transfer-encoding") == "chunked":
-        return Answer(status, headers, *_unchunk(body))
+        return Response(status, headers, *_unchunk(body))
     size = int(headers.get("content-length", -1))
-    return Answer(status, headers, body, len(body) == size)
+    return Response(status, headers, body, len(body) == size)
 
 
 def _unchunk(data):
-    """Returns the content of chunks and whether the last one came."""
+    """Returns the content of chunks and whether the last chunk is there."""
     found = b""
     while data:
         size, _, rest = data.partition(b"\r\n")
@@ -174,7 +174,7 @@
 
 @asynccontextmanager
 async def world(engines=2, table=None, tracer=None):
-    """Runs a world."""
+    """Runs a gateway's request path and its engines."""
     found = World(engines, table or build.table(build.route()), tracer)
     async with anyio.create_task_group() as tasks:
         for engine in found.engines:
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""The platform's documents, foreign writers' ones included."""
+"""Tests the decoding of the platform's documents, also malformed ones."""
 
 import unittest
 
@@ -74,7 +74,7 @@
 
 
 class EndpointTest(unittest.TestCase):
-    """Registrations of endpoints."""
+    """The registration documents of endpoints."""
 
     def test_a_registration_is_read(self):
         found = documents.decode_endpoint("i-1", _bytes(ENDPOINT))
@@ -84,7 +84,7 @@
         self.assertIs(found.state, EndpointState.READY)
         self.assertEqual(found.incarnation, ("i-1", 1_786_000_000_000))
 
-    def test_what_another_writer_left_names_no_endpoint(self):
+    def test_a_malformed_registration_is_rejected(self):
         bad = [
             b"",
             b"\xff\x00",
@@ -111,7 +111,7 @@
 
 
 class ConfigTest(unittest.TestCase):
-    """Versions of the configuration."""
+    """The configuration document."""
 
     def test_a_version_is_read(self):
         table = documents.decode_config(orjson.dumps(CONFIG))
@@ -126,7 +126,7 @@
         self.assertEqual(table.services["s1"].engine.kv_tokens, 34_261)
         self.assertIsNone(table.services["s2"].engine)
 
-    def test_a_kind_that_is_not_known_is_never_repeated(self):
+    def test_a_route_of_an_unknown_kind_is_not_repeatable(self):
         table = documents.decode_config(orjson.dumps(CONFIG))
         found = table.find("h.example", "/b/")
         self.assertIs(found.kind, CallKind.NON_IDEMPOTENT)
@@ -138,14 +138,14 @@
             documents.decode_config(orjson.dumps(document)).needs_key
         )
 
-    def test_a_document_that_cannot_be_read_is_refused(self):
+    def test_a_malformed_document_is_rejected(self):
         for data in (b"{", b"[]", b'{"version": 1}', b'{"routes": 3}'):
             with self.assertRaises(PlatformFormatError, msg=data):
                 documents.decode_config(data)
 
 
 class ReportTest(unittest.TestCase):
-    """Reports of engines."""
+    """The report document of engines."""
 
     def test_a_report_is_read(self):
         report = {"stage": "hybrid", "active_requests": 3}
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -1,8 +1,8 @@
-"""Heads of requests and answers on the platform's wire."""
+"""Tests the encoding and decoding of the platform's HTTP heads."""
 
 import unittest
 
-from rhubarbwinch.gateway.wire import MemoryCopy, SendOptions
+from rhubarbwinch.gateway.wire import AttemptOptions, KvCacheLocation
 from rhubarbwinch.platform import headers
 from rhubarbwinch.shared.exceptions import BadCallError
 
@@ -25,12 +25,14 @@
 
 def _sent(call, **options):
     base = {"endpoint_id": "i-1", "account": "t1", "time_left_ms": 777}
-    found = headers.endpoint_headers(call, SendOptions(**(base | options)), 5)
+    found = headers.endpoint_headers(
+        call, AttemptOptions(**(base | options)), 5
+    )
     return {n.lower(): v for n, v in found}
 
 
 class CallTest(unittest.TestCase):
-    """Requests of callers."""
+    """Request heads."""
 
     def test_a_head_is_read(self):
         call = _decode((b"Length-Hint", b"40"), (b"Last-Event-Id", b"9"))
@@ -42,7 +44,7 @@
         self.assertEqual(
             (call.prompt_tokens, call.max_output_tokens), (1_460, 80)
         )
-        self.assertEqual(call.likely_output_tokens, 40)
+        self.assertEqual(call.estimated_output_tokens, 40)
         self.assertEqual(call.last_event_id, "9")
 
     def test_a_head_without_one_id_and_one_host_is_refused(self):
@@ -58,7 +60,7 @@
         with self.assertRaises(BadCallError):
             _decode((b"Deadline-Ms", b"soon"), without=(b"Deadline-Ms",))
 
-    def test_what_the_gateway_sets_is_not_taken_from_the_caller(self):
+    def test_reserved_headers_of_a_caller_are_dropped(self):
         forged = [
             (b"Tenant", b"rich"),
             (b"Expect-Instance", b"i-9"),
@@ -92,27 +94,27 @@
         ):
             self.assertNotIn(name, sent)
 
-    def test_the_rest_is_passed_on_unchanged(self):
+    def test_other_headers_are_relayed_unchanged(self):
         sent = _sent(_decode())
         for name, value in HEAD[:5]:
             self.assertEqual(sent[name.lower()], value)
         self.assertEqual(sent[b"x-own"], b"kept")
         self.assertEqual(sent[b"content-length"], b"5")
 
-    def test_a_run_that_goes_on_names_the_copy_and_the_last_event(self):
+    def test_a_resumed_run_names_its_kv_cache_and_last_event(self):
         sent = _sent(
             _decode(),
             last_event_id="12",
-            resume_from=MemoryCopy("10.0.0.1:80", "h7"),
+            resume_from=KvCacheLocation("10.0.0.1:80", "h7"),
         )
         self.assertEqual(sent[b"kv-from"], b"10.0.0.1:80/h7")
         self.assertEqual(sent[b"last-event-id"], b"12")
 
 
-class AnswerTest(unittest.TestCase):
-    """Answers of endpoints."""
+class ResponseTest(unittest.TestCase):
+    """Response heads."""
 
-    def test_only_the_endpoint_itself_says_that_nothing_ran(self):
+    def test_only_the_header_or_status_421_means_not_run(self):
         for status, more, expected in (
             (503, [(b"Not-Executed", b"1")], True),
             (400, [(b"Not-Executed", b"1")], True),
@@ -121,26 +123,26 @@
             (429, [], False),
             (200, [], False),
         ):
-            found = headers.decode_answer(status, more)
+            found = headers.decode_response(status, more)
             self.assertEqual(found.is_refusal, expected, (status, more))
 
-    def test_an_answer_with_an_encoding_is_not_the_endpoints(self):
-        found = headers.decode_answer(200, [(b"Content-Encoding", b"gzip")])
+    def test_a_response_with_an_encoding_is_altered(self):
+        found = headers.decode_response(200, [(b"Content-Encoding", b"gzip")])
         self.assertTrue(found.is_altered)
 
-    def test_an_answer_to_another_request_is_recognised(self):
-        self.assertTrue(headers.is_answer_to("a", [(b"Attempt-Id", b"a")]))
-        self.assertTrue(headers.is_answer_to("a", []))
-        self.assertFalse(headers.is_answer_to("a", [(b"Attempt-Id", b"b")]))
+    def test_a_response_to_another_request_is_recognised(self):
+        self.assertTrue(headers.is_response_to("a", [(b"Attempt-Id", b"a")]))
+        self.assertTrue(headers.is_response_to("a", []))
+        self.assertFalse(headers.is_response_to("a", [(b"Attempt-Id", b"b")]))
 
-    def test_the_id_of_an_event_may_stand_on_any_line(self):
+    def test_the_id_of_an_event_may_be_on_any_line(self):
         event = b"weight-versions: 2\nid: 17\ndata: x\n\n"
         self.assertEqual(headers.event_id(event), "17")
         self.assertIsNone(headers.event_id(b"data: id\n\n"))
 
-    def test_a_refusal_tells_when_to_come_back(self):
-        found = dict(headers.refusal_headers("a1", 250))
+    def test_a_failure_response_has_a_retry_after_header(self):
+        found = dict(headers.failure_headers("a1", 250))
         self.assertEqual(found[b"Retry-After"], b"0.250")
         self.assertNotIn(
-            b"Retry-After", dict(headers.refusal_headers("", None))
+            b"Retry-After", dict(headers.failure_headers("", None))
         )
