--- a/rhubarbwinch/membership/__init__.py
+++ b/rhubarbwinch/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which processes and VMs there are, and which one owns what."""
+"""Tracks the live processes and VMs, and decides which process owns what."""
--- a/rhubarbwinch/membership/gossip.py
+++ b/rhubarbwinch/membership/gossip.py
@@ -1,8 +1,8 @@
-"""Heartbeats between members, and news that they carry to all of them.
+"""Exchanges heartbeats with neighbours and spreads updates to all members.
 
-Each round goes to a few neighbours only, so what a member sends and receives
-does not grow with the fleet. Fresh news is passed on at once; the rounds make
-good what was lost.
+Each round contacts only a few neighbours, so the traffic of a member does not
+grow with the fleet. New updates are relayed at once; the regular rounds
+repeat updates whose messages were lost.
 """
 
 import random
@@ -21,9 +21,9 @@
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import CodecError, LinkError
 
-# Takes a rumour's key and data.
+# Receives an update's key and data.
 RumourHandler = Callable[[str, bytes], Awaitable[None]]
-# Takes a generation and the link address of a member that has it.
+# Receives a generation and the link address of a member that has it.
 NewerHandler = Callable[[int, str], None]
 
 ROUND_MS = 500
@@ -38,7 +38,8 @@
 JOIN_MS = 1000
 MAX_RUMOUR_BYTES = 512
 MAX_NEWS_BYTES = 1200
-# News beyond this rate waits, however much happens in the fleet at once.
+# Updates beyond this rate are delayed, which bounds the gossip traffic when
+# many members change at once.
 NEWS_BYTES_PER_S = 2000
 NEWS_BURST_BYTES = 64_000
 
@@ -50,16 +51,17 @@
 
 
 class Gossip:
-    """Exchanges heartbeats with a few peers and spreads news by them.
+    """Exchanges heartbeats with a few peers and attaches updates to them.
 
     Args:
         links: Calls peers.
-        server: Answers peers.
-        members: The view to keep.
+        server: Replies to peers.
+        members: The cluster view that is kept up to date.
         clock: The source of time.
         rng: Chooses peers.
         peers: Link addresses to ask for the members when none are known.
-        holds_lease: Tells whether the store vouches for a member.
+        holds_lease: Returns whether a member's registration in the store is
+            under a valid lease.
     """
 
     def __init__(
@@ -105,40 +107,41 @@
         return [member for member in found if member is not None]
 
     def on(self, kind: str, handler: RumourHandler) -> None:
-        """Sets the function that takes rumours of a kind.
+        """Sets the function that handles updates of one kind.
 
-        It is called once for each rumour of another member, in any order; of
-        two with the same key and origin it may see only the newer. After a
-        long pause of a member a rumour may come a second time.
+        The handler is called once for each update from another member, in any
+        order. If two updates have the same key and origin, the handler may
+        receive only the newer one. After a member was paused for a long time,
+        an update may be delivered twice.
         """
         self._handlers[kind] = handler
 
     def share(self, kind: str, key: str, data: bytes) -> None:
-        """Tells every member; a few tens of milliseconds for most of them.
+        """Broadcasts an update; it reaches most members within tens of ms.
 
-        A rumour is kept for about a minute. Members that start later, or are
-        cut off for longer, must learn from the store.
+        An update is kept for about a minute. Members that start later or are
+        disconnected for longer must read the information from the store.
 
         Raises:
             ValueError: The data is longer than `MAX_RUMOUR_BYTES`.
         """
         if len(data) > MAX_RUMOUR_BYTES:
-            raise ValueError(f"a rumour of {len(data)} bytes")
+            raise ValueError(f"gossip update is too long: {len(data)} bytes")
         origin = self._members.me.incarnation
         wall = self._clock.wall()
         version = self._rumours.next_version(kind, key, origin, wall)
         self._pass_on(Rumour(kind, key, origin, version, data))
 
     def announce(self) -> None:
-        """Tells every member of a change of this process."""
+        """Broadcasts this process's current member data."""
         self._queue_news(self._members.my_news)
 
     def on_newer(self, handler: NewerHandler) -> None:
-        """Sets what is told of peers with a newer configuration."""
+        """Sets the function called when a peer has a newer configuration."""
         self._on_newer = handler
 
     def set_generation(self, generation: int) -> None:
-        """Tells the neighbours at once which generation is in force here."""
+        """Sets the active generation and sends it to the neighbours at once."""
         self._generation = generation
         self._fresh.set()
 
@@ -152,7 +155,7 @@
                 await self._clock.sleep(ROUND_MS)
 
     async def announce_end(self) -> None:
-        """Tells the neighbours that this process ends now."""
+        """Announces to the neighbours that this process shuts down now."""
         self._ended = True
         self._queue_news(MemberNews(self._members.me, Health.DEAD))
         async with anyio.create_task_group() as tasks:
@@ -160,7 +163,7 @@
                 tasks.start_soon(self._exchange, peer)
 
     async def _join(self) -> None:
-        """Announces this process, and looks for others while alone."""
+        """Announces this process; asks configured peers while none is known."""
         self.announce()
         while True:
             if len(self._members.all()) == 1:
@@ -171,10 +174,10 @@
             await self._clock.sleep(JOIN_MS)
 
     async def _push(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Sends fresh news to all neighbours without waiting for the round."""
+        """Sends new updates to all neighbours without waiting for the round."""
         while True:
             await self._fresh.wait()
-            # News that comes together travels together.
+            # The delay batches updates that arrive together into one message.
             await self._clock.sleep(PUSH_DELAY_MS)
             self._fresh = anyio.Event()
             for peer in self.neighbours:
@@ -193,7 +196,10 @@
             tasks.start_soon(self._greet_stranger)
 
     async def _greet_stranger(self) -> None:
-        """Exchanges with any member, so that no group is left to itself."""
+        """Exchanges heartbeats with a random member that is no neighbour.
+
+        This reconnects groups of members that have lost sight of each other.
+        """
         near = {peer.name for peer in self.neighbours}
         others = [m for m in self._members.all() if m.name not in near]
         stranger = self._rng.choice(others)
@@ -202,7 +208,7 @@
             self._links.forget(stranger.link)
 
     async def _watch_over(self, peer: Member) -> None:
-        """Exchanges heartbeats with a neighbour; suspects a silent one."""
+        """Exchanges heartbeats with a neighbour; suspects it if silent."""
         if await self._exchange(peer):
             self._missed.pop(peer.name, None)
             return
@@ -216,10 +222,10 @@
         await self._check_health(peer.name)
 
     async def _check_health(self, name: str) -> None:
-        """Buries a suspect, unless it answers or holds its lease.
+        """Marks a suspect as dead unless it replies or holds its lease.
 
-        Only the neighbours that found it silent ask the store, so that a loss
-        costs a few calls whatever the size of the fleet.
+        Only the neighbours that found the member silent ask the store, so a
+        failed member costs a few store calls whatever the size of the fleet.
         """
         if name in self._judging:
             return
@@ -237,7 +243,7 @@
             self._judging.discard(name)
 
     async def _exchange(self, peer: Member) -> bool:
-        """Sends a heartbeat; returns whether the peer answered."""
+        """Sends a heartbeat; returns whether the peer replied."""
         sent = self._rumours.pick(peer.name, self._room())
         try:
             answer = await self._links.call(
@@ -249,7 +255,7 @@
         except (LinkError, CodecError):
             return False
         if answer.sender != peer.name:
-            # Another process has taken the address over.
+            # Another process now listens at this address.
             return False
         self._rumours.mark(peer.name, sent)
         await self._take(answer)
@@ -271,14 +277,14 @@
             self._merge(news)
 
     def _room(self) -> int:
-        """Returns the room for news in the next message, in bytes."""
+        """Returns how many bytes of updates the next message may hold."""
         return min(MAX_NEWS_BYTES, self._budget.left)
 
     def _make(self, peer: str, rumours: list[Rumour]) -> Heartbeat:
         verdict = self._members.news_of(peer)
         if verdict is not None and verdict.health is not Health.ALIVE:
-            # The peer is there, so it must hear what is said of it, to deny
-            # it.
+            # The peer is reachable, so it is sent the update that says it is
+            # suspected or dead, which it then refutes.
             rumours = [*rumours, _member_rumour(verdict)]
         self._budget.spend(sum(rumour.size for rumour in rumours))
         return Heartbeat(
@@ -302,7 +308,8 @@
             await self._take_rumour(rumour)
         self._rumours.mark(heartbeat.sender, heartbeat.rumours)
         sender = self._members.get(heartbeat.sender)
-        # A sender that was taken for dead hears so when it compares views.
+        # A sender marked as dead here learns of that when the views are
+        # compared.
         if sender is not None and heartbeat.generation > self._generation:
             self._on_newer(heartbeat.generation, sender.link)
 
@@ -351,6 +358,6 @@
 
 
 def _member_rumour(news: MemberNews) -> Rumour:
-    # At the same version of a member the worse health counts more.
+    # For equal member versions, the update with the worse health is newer.
     version = news.member.version * len(Health) + news.health
     return Rumour(_MEMBER, news.member.name, 0, version, codec.encode(news))
--- a/rhubarbwinch/membership/heartbeat.py
+++ b/rhubarbwinch/membership/heartbeat.py
@@ -1,4 +1,4 @@
-"""The messages of gossip."""
+"""Messages that members exchange for gossip."""
 
 import attrs
 
@@ -8,13 +8,13 @@
 
 @attrs.frozen
 class Heartbeat:
-    """Goes to a peer and comes back from it.
+    """A heartbeat; the reply to a heartbeat has the same form.
 
     Attributes:
-        sender: The member that sends it.
-        generation: The generation of the configuration in force there.
-        digest: A hash of its view of the members.
-        rumours: Some of what it has heard lately.
+        sender: The member that sends the heartbeat.
+        generation: The configuration generation that is active at the sender.
+        digest: A hash of the sender's view of the members.
+        rumours: Recent updates that the receiver may not have.
     """
 
     sender: str
@@ -25,10 +25,10 @@
 
 @attrs.frozen
 class ViewRequest:
-    """Asks for the members in the buckets that differ.
+    """Asks a peer for the members in the buckets that differ.
 
     Attributes:
-        digests: The sender's hash of each bucket; none asks for all.
+        digests: The sender's hash of each bucket; an empty list asks for all.
     """
 
     digests: list[int] = attrs.field(factory=list)
@@ -36,6 +36,6 @@
 
 @attrs.frozen
 class ViewReply:
-    """What a peer knows of the members in those buckets."""
+    """The state of the members in the requested buckets, as the peer has it."""
 
     news: list[MemberNews]
--- a/rhubarbwinch/membership/leaving.py
+++ b/rhubarbwinch/membership/leaving.py
@@ -1,4 +1,4 @@
-"""Which VMs leave: from operators' records and from the platform's list."""
+"""Tracks the leaving VMs, from operators' records and the platform's list."""
 
 import enum
 from collections.abc import Callable
@@ -10,25 +10,25 @@
 from rhubarbwinch.shared.clock import Clock
 
 RUMOUR = "vm"
-# A notice from the list that nobody repeats is dropped after this time.
+# A notice from the list expires after this time unless it is repeated.
 NOTICE_MS = 90_000
-# Shorter than the life of a rumour: a member that starts hears it from its
-# neighbours.
+# Shorter than the time for which gossip keeps an update, so that a member
+# that starts receives the notice from its neighbours.
 REPEAT_MS = 20_000
 
 
 class Notice(enum.StrEnum):
-    """What the platform's list says of a VM."""
+    """The state of a VM on the platform's list, as broadcast by gossip."""
 
     LEAVING = "leaving"
     LIVE = "live"
 
 
 class LeavingVms:
-    """The VMs that get no new work, as all members know them.
+    """The VMs that get no new work; the set is shared by gossip.
 
     Args:
-        gossip: Tells the members.
+        gossip: Broadcasts notices to the members.
         clock: The source of time.
     """
 
@@ -43,7 +43,7 @@
 
     @property
     def hosts(self) -> set[str]:
-        """The IP numbers of the VMs that leave."""
+        """The IP addresses of the leaving VMs."""
         return self._by_record | set(self._by_list)
 
     def on_change(self, listener: Callable[[], None]) -> None:
@@ -51,7 +51,7 @@
         self._listeners.append(listener)
 
     def endpoints_of(self, spec: PoolSpec) -> set[str]:
-        """Returns the names of a pool's endpoints that leave."""
+        """Returns the names of a pool's endpoints that run on leaving VMs."""
         hosts = self.hosts
         return {
             endpoint.name
@@ -60,24 +60,24 @@
         }
 
     def configure(self, snapshot: Snapshot) -> None:
-        """Takes the VMs that operators' records mark."""
+        """Applies the VM records of a new snapshot."""
         self._by_record = {h for h, vm in snapshot.vms.items() if vm.leaving}
         self._tell()
 
     def share(self, host: str, notice: Notice) -> None:
-        """Tells all members what the platform's list says of a VM."""
+        """Broadcasts the state of a VM on the platform's list."""
         self._gossip.share(RUMOUR, host, notice.encode())
         self._take(host, notice)
 
     def expire(self) -> None:
-        """Drops notices that nobody repeats."""
+        """Drops notices that were not repeated in time."""
         now = self._clock.now()
         for host in [h for h, until in self._by_list.items() if until <= now]:
             del self._by_list[host]
         self._tell()
 
     async def run(self) -> None:
-        """Keeps the notices until cancelled."""
+        """Drops expired notices periodically until cancelled."""
         while True:
             await self._clock.sleep(REPEAT_MS)
             self.expire()
--- a/rhubarbwinch/membership/members.py
+++ b/rhubarbwinch/membership/members.py
@@ -1,4 +1,4 @@
-"""Membership: the view of who is there, merged from news about members."""
+"""The cluster view: the known members, merged from updates about them."""
 
 import enum
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 
 
 class Role(enum.StrEnum):
-    """What a process does."""
+    """The program that a process runs."""
 
     ENTRY = "entry"
     BROKER = "broker"
@@ -27,7 +27,10 @@
 
 
 class Health(enum.IntEnum):
-    """What its peers say of a member; of one version the higher counts."""
+    """A member's health as its peers see it.
+
+    Of two updates with the same member version, the higher health wins.
+    """
 
     ALIVE = 0
     SUSPECT = 1
@@ -40,13 +43,13 @@
 
     Attributes:
         name: Unique among all members.
-        role: What it does.
-        data_center: Where it runs.
+        role: The program that the process runs.
+        data_center: The data centre that the process runs in.
         region: The region of the data centre.
         incarnation: A random number, new at each start.
-        link: Its address for peers.
-        http: Its HTTP address.
-        state: Whether it takes new work.
+        link: The link address at which peers reach the process.
+        http: The HTTP address of the process.
+        state: Whether the process takes new work.
         version: Raised by the member itself with each change of the above
             and to refute a suspicion; starts at its Unix time in ms.
     """
@@ -64,19 +67,19 @@
 
 @attrs.frozen
 class MemberNews:
-    """A member as its peers see it."""
+    """An update about a member: its data and its health."""
 
     member: Member
     health: Health = Health.ALIVE
 
     def is_newer_than(self, other: "MemberNews") -> bool:
-        """Tells whether this replaces what `other` says."""
+        """Returns whether this update replaces `other`."""
         mine = (self.member.version, self.health)
         return mine > (other.member.version, other.health)
 
 
 class Members:
-    """The members as this process knows them."""
+    """This process's view of the members."""
 
     def __init__(self, me: Member) -> None:
         self._me = me
@@ -92,7 +95,7 @@
 
     @property
     def my_news(self) -> MemberNews:
-        """This process, as it tells its peers."""
+        """The update that describes this process."""
         return MemberNews(self._me)
 
     def on_change(self, listener: Callable[[], None]) -> None:
@@ -110,35 +113,39 @@
     def serving(self, role: Role) -> list[Member]:
         """Returns the members of a role that take new work, by name.
 
-        Suspected ones are left out unless there are no others, and so are
-        those that leave.
+        Suspected members are left out unless there are no others. Leaving
+        members are left out unless all members of the role are leaving.
         """
         if role not in self._serving:
             self._serving[role] = self._find_serving(role)
         return self._serving[role]
 
     def get(self, name: str) -> Member | None:
-        """Returns the member called `name` if it is not dead."""
+        """Returns the member called `name`; None if it is unknown or dead."""
         news = self._known.get(name)
         if news is None or news.health is Health.DEAD:
             return None
         return news.member
 
     def health(self, name: str) -> Health:
-        """Returns what is known of a member; one never heard of is dead."""
+        """Returns a member's health; an unknown member counts as dead."""
         news = self._known.get(name)
         return news.health if news else Health.DEAD
 
     def news_of(self, name: str) -> MemberNews | None:
-        """Returns what is known of a member, dead ones included."""
+        """Returns the latest update about a member, also of a dead one."""
         return self._known.get(name)
 
     def near(self, data_center: str) -> list[str]:
-        """Returns the names of a data centre's members, by name."""
+        """Returns the names of a data centre's members, sorted."""
         return [m.name for m in self.all() if m.data_center == data_center]
 
     def seeds(self, key: str, data_center: str, count: int) -> list[str]:
-        """Returns the members of a data centre that do `key` for the others."""
+        """Returns the members elected for a task of their data centre.
+
+        Rendezvous hashing of `key` over the live members chooses `count` of
+        them, so that every member computes the same result.
+        """
         alive = [
             name
             for name in self.near(data_center)
@@ -156,11 +163,11 @@
         self.set_state(MemberState.LEAVING)
 
     def merge(self, news: MemberNews) -> MemberNews | None:
-        """Takes news from a peer or from the store.
+        """Applies an update from a peer or from the store.
 
         Returns:
-            What the others should be told: the news if it was new, a denial if
-            it said that this process is suspected or dead, else None.
+            The update to broadcast: the given one if it was new, a refutation
+            if it said that this process is suspected or dead, else None.
         """
         name = news.member.name
         if name == self._me.name:
@@ -177,15 +184,15 @@
         return news
 
     def suspect(self, name: str) -> MemberNews | None:
-        """Notes that a member does not answer; returns the news of it."""
+        """Marks a member as suspected; returns the update to broadcast."""
         return self._mark(name, Health.SUSPECT)
 
     def mark_dead(self, name: str) -> MemberNews | None:
-        """Notes that a member is dead; returns the news of it."""
+        """Marks a member as dead; returns the update to broadcast."""
         return self._mark(name, Health.DEAD)
 
     def forget(self, name: str) -> None:
-        """Drops a dead member for good."""
+        """Removes a dead member from the view."""
         if self.health(name) is Health.DEAD:
             self._known.pop(name, None)
 
@@ -200,12 +207,12 @@
         return self._digests
 
     def digest(self) -> int:
-        """Returns a hash of the whole view; equal views have equal ones."""
+        """Returns a hash of the whole view; equal views have equal hashes."""
         packed = b"".join(d.to_bytes(8, "big") for d in self.digests())
         return xxhash.xxh3_64_intdigest(packed)
 
     def differing(self, digests: list[int]) -> list[MemberNews]:
-        """Returns what is known of the buckets that differ from `digests`."""
+        """Returns the members in the buckets that differ from `digests`."""
         mine = self.digests()
         wanted = {
             i
@@ -225,7 +232,7 @@
         return self.merge(MemberNews(known.member, health))
 
     def _merge_own(self, news: MemberNews) -> MemberNews | None:
-        """Denies what is said of this process when it is not its own word."""
+        """Refutes an update about this process that it did not publish."""
         own = news.member.incarnation == self._me.incarnation
         if own and news.health is Health.ALIVE:
             return None
--- a/rhubarbwinch/membership/overlay.py
+++ b/rhubarbwinch/membership/overlay.py
@@ -1,4 +1,4 @@
-"""Whom a member sends heartbeats to: a random graph that all can compute."""
+"""Chooses the heartbeat neighbours: a random graph that all members compute."""
 
 from collections.abc import Iterable
 
@@ -8,11 +8,11 @@
 
 
 def neighbours(me: str, names: Iterable[str]) -> list[str]:
-    """Returns the members that come after `me` on each of some rings.
+    """Returns the successor of `me` on each of `RINGS` rings.
 
-    Each ring orders the names by another hash. So every member has a few
-    neighbours, is the neighbour of as many, and the graph stays connected
-    when many of its nodes are lost.
+    Each ring orders the names by a different hash. So every member has a few
+    neighbours, is a neighbour of equally many members, and the graph stays
+    connected when many of its nodes fail.
     """
     others = [name for name in names if name != me]
     if len(others) <= RINGS:
--- a/rhubarbwinch/membership/ownership.py
+++ b/rhubarbwinch/membership/ownership.py
@@ -1,4 +1,4 @@
-"""Which pools a broker owns, and since when."""
+"""Tracks which pools a broker owns and when it may decide on their requests."""
 
 from collections.abc import Iterable
 
@@ -6,16 +6,16 @@
 from rhubarbwinch.shared import rendezvous
 from rhubarbwinch.shared.clock import Clock
 
-# Entries report their streams to a new owner at once; until then requests
-# wait, so that engines that look empty are not filled twice.
+# Entries report their open streams to a new owner at once. Requests wait for
+# these reports: without them the engines look idle and would be overfilled.
 REBUILD_MS = 150
 
 
 class Ownership:
-    """Follows the owners of pools as members come and go.
+    """Recomputes the owners of pools when the members change.
 
     Args:
-        members: Decides who owns a pool.
+        members: The brokers among which rendezvous hashing chooses the owner.
         clock: The source of time.
     """
 
@@ -27,12 +27,12 @@
         members.on_change(self._update)
 
     def set_pools(self, names: Iterable[str]) -> None:
-        """Sets the pools that there are."""
+        """Sets the names of all pools."""
         self._owners = {n: self._owners.get(n, "") for n in names}
         self._update()
 
     def wait_ms(self, pool: str) -> int:
-        """Returns how long decisions on a pool must still wait."""
+        """Returns how long decisions on a pool must still wait, in ms."""
         return max(0, self._ready_at.get(pool, 0) - self._clock.now())
 
     def _update(self) -> None:
--- a/rhubarbwinch/membership/registration.py
+++ b/rhubarbwinch/membership/registration.py
@@ -1,4 +1,4 @@
-"""A member's registration in the store, under a lease."""
+"""Registers this member in the store under a lease and reads the others."""
 
 import anyio
 
@@ -14,17 +14,18 @@
 
 
 class Registration:
-    """Keeps this process's registration and reads the others'.
+    """Keeps this process's registration alive and reads the others.
 
-    Every member reads the list when it starts and after an outage. Later only
-    a few seeds of each data centre read it, so that groups that lost sight of
-    each other meet again; the rest hear from their peers.
+    Every member reads all registrations when it starts and after an outage.
+    Later only a few elected members of each data centre read them, which
+    reconnects groups of members that have lost sight of each other. The other
+    members receive updates from their peers.
 
     Args:
         store: The platform's store.
-        members: The view to keep.
+        members: The cluster view that is kept up to date.
         clock: The source of time.
-        lease_ms: The life of the registration without renewal.
+        lease_ms: The lifetime of the lease without renewal.
     """
 
     def __init__(
@@ -51,11 +52,11 @@
             self._wake = anyio.Event()
 
     def hurry(self) -> None:
-        """Makes a change of state known at once."""
+        """Renews the registration now, to write a change of state."""
         self._wake.set()
 
     async def step(self) -> None:
-        """Renews once; an outage of the store leaves the view as it is."""
+        """Renews once; a store outage leaves the cluster view unchanged."""
         try:
             await self._register()
             if self._is_scan_due():
@@ -64,7 +65,8 @@
             if self._store_ok:
                 events.STORE_DOWN.log(error=str(error))
             self._store_ok = False
-            # Whatever was registered during the outage has been missed.
+            # Registrations made during the outage have been missed, so the
+            # list is read again after it.
             self._read_at = None
             return
         if not self._store_ok:
@@ -72,9 +74,9 @@
         self._store_ok = True
 
     async def holds_lease(self, name: str) -> bool:
-        """Tells whether the store vouches for a member.
+        """Returns whether a member's registration is under a valid lease.
 
-        A store that is down vouches for nobody.
+        Returns False for every member while the store is unavailable.
         """
         try:
             return await self._store.get(keys.member(name)) is not None
@@ -82,7 +84,7 @@
             return False
 
     async def close(self) -> None:
-        """Ends the registration."""
+        """Revokes the lease, which deletes the registration."""
         if self._lease:
             await self._store.revoke_lease(self._lease)
 
--- a/rhubarbwinch/membership/rumours.py
+++ b/rhubarbwinch/membership/rumours.py
@@ -1,4 +1,4 @@
-"""Rumours: small pieces of news that reach every member once."""
+"""Stores recent gossip updates and tracks which peers have each of them."""
 
 import attrs
 
@@ -7,15 +7,16 @@
 
 @attrs.frozen
 class Rumour:
-    """A piece of news.
+    """A gossip update: a small message that is relayed to every member.
 
     Attributes:
-        kind: Who handles it.
-        key: What it is about.
-        origin: The incarnation of the member that shared it; 0 for news about
-            members, which anyone may start.
-        version: Of two with the same kind, key and origin the higher counts.
-        data: For the handler.
+        kind: Selects the handler.
+        key: The subject of the update, such as a member's name.
+        origin: The incarnation of the member that broadcast the update; 0 for
+            updates about members, which any member may create.
+        version: Of two updates with the same kind, key and origin, the one
+            with the higher version is newer.
+        data: The content, decoded by the handler.
     """
 
     kind: str
@@ -26,13 +27,13 @@
 
     @property
     def size(self) -> int:
-        """About how many bytes it takes in a message."""
+        """The approximate size in a message, in bytes."""
         return len(self.kind) + len(self.key) + len(self.data) + 64
 
 
 @attrs.frozen
 class _Topic:
-    """What a newer rumour replaces an older one by."""
+    """Identifies an update; a newer update of the same topic replaces it."""
 
     kind: str
     key: str
@@ -41,13 +42,13 @@
 
 @attrs.define
 class _Held:
-    """A rumour that has been heard.
+    """A received update and its delivery state.
 
     Attributes:
-        rumour: The rumour.
-        until: When it is dropped.
-        told: The peers that have it for certain.
-        answered: The peers that were sent it in an answer.
+        rumour: The update.
+        until: The time at which the update expires.
+        told: The peers that are known to have the update.
+        answered: The peers that were sent the update in a reply.
     """
 
     rumour: Rumour
@@ -57,13 +58,13 @@
 
 
 class Rumours:
-    """The rumours that a member has heard lately and passes on."""
+    """The updates that a member has received recently and relays."""
 
     def __init__(self) -> None:
         self._held: dict[_Topic, _Held] = {}
 
     def take(self, rumour: Rumour, now: int) -> bool:
-        """Takes a rumour in; returns whether it is new."""
+        """Adds an update; returns whether it is new."""
         topic = _topic(rumour)
         old = self._held.get(topic)
         if old is not None and old.rumour.version >= rumour.version:
@@ -72,25 +73,25 @@
         return True
 
     def next_version(self, kind: str, key: str, origin: int, wall: int) -> int:
-        """Returns a version above the one that is held."""
+        """Returns a version above that of the stored update."""
         old = self._held.get(_Topic(kind, key, origin))
         return max(wall, old.rumour.version + 1 if old else 0)
 
     def pick(self, peer: str, max_bytes: int) -> list[Rumour]:
-        """Returns what a peer is not known to have, oldest first.
+        """Returns the updates that a peer may not have, oldest first.
 
         Args:
             peer: The peer's name.
-            max_bytes: The room in the message.
+            max_bytes: The greatest total size of the updates.
         """
         waiting = [h for h in self._held.values() if peer not in h.told]
         return [held.rumour for held in _fit(waiting, max_bytes)]
 
     def pick_answer(self, peer: str, max_bytes: int) -> list[Rumour]:
-        """Returns what goes into an answer, each rumour once for each peer.
+        """Returns the updates for a reply, each update once for each peer.
 
-        Nobody tells whether the answer arrived; the neighbours whose task it
-        is to tell the peer make up for a lost one.
+        A reply is not acknowledged. If it is lost, the members that have this
+        peer as a neighbour still send it the updates.
         """
         waiting = [
             h
@@ -103,14 +104,14 @@
         return [held.rumour for held in found]
 
     def mark(self, peer: str, rumours: list[Rumour]) -> None:
-        """Notes that a peer has these rumours."""
+        """Records that a peer has these updates."""
         for rumour in rumours:
             held = self._held.get(_topic(rumour))
             if held is not None and held.rumour.version <= rumour.version:
                 held.told.add(peer)
 
     def expire(self, now: int) -> None:
-        """Drops what was heard long ago."""
+        """Drops the updates whose lifetime has passed."""
         for topic in [k for k, v in self._held.items() if v.until <= now]:
             del self._held[topic]
 
@@ -120,10 +121,10 @@
 
 
 def _fit(waiting: list[_Held], max_bytes: int) -> list[_Held]:
-    """Returns those that fit into a message.
+    """Returns the updates that fit into a message.
 
-    News about members comes last: in a storm of it there is another way to
-    learn it, the comparison of views.
+    Updates about members come last: when there are too many of them, members
+    still obtain the rest by comparing views.
     """
     found = []
     waiting.sort(key=lambda held: held.rumour.origin == 0)
--- a/rhubarbwinch/membership/vmlist.py
+++ b/rhubarbwinch/membership/vmlist.py
@@ -1,4 +1,4 @@
-"""The platform's list of live and leaving VMs, a hint that lags."""
+"""Reads the platform's list of live and leaving VMs, which may be outdated."""
 
 import enum
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 
 
 class VmState(enum.StrEnum):
-    """What the platform says of a VM."""
+    """The state of a VM on the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -31,8 +31,8 @@
     """A VM on the list.
 
     Attributes:
-        host: Its IP number.
-        state: What the platform says of it.
+        host: The VM's IP address.
+        state: The VM's state.
     """
 
     host: str
@@ -84,16 +84,16 @@
 
 
 class VmListReader:
-    """Reads the list at one control and tells all members of VMs that leave.
+    """Reads the list at one control and broadcasts which VMs are leaving.
 
-    The list lags and can be wrong, so it never makes a member dead, and a VM
-    that is missing from it is not taken as leaving. While the list is silent
-    its last word stays.
+    The list may be outdated or wrong. So it never marks a member as dead, and
+    a VM that is missing from the list does not count as leaving. While the
+    list can't be read, its last content stays valid.
 
     Args:
         vms: The list.
-        members: Decides which control reads it.
-        leaving: Where notices go.
+        members: The controls among which the reader of the list is chosen.
+        leaving: Receives and broadcasts the notices.
         clock: The source of time.
     """
 
@@ -114,7 +114,7 @@
             await self._clock.sleep(POLL_MS)
 
     async def step(self) -> None:
-        """Reads the list once if that is this control's task."""
+        """Reads the list once if this control is the elected reader."""
         names = [m.name for m in self._members.serving(Role.CONTROL)]
         if rendezvous.owner("vm-list", names) != self._members.me.name:
             self._told.clear()
@@ -125,7 +125,7 @@
             if not self._silent:
                 events.VM_LIST_SILENT.log(error=str(error))
             self._silent = True
-            # The last word is repeated, so that it does not lapse meanwhile.
+            # Repeats the last notices, so that they don't expire meanwhile.
             found = [Vm(host, VmState.LEAVING) for host in self._told]
         else:
             self._silent = False
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -1,4 +1,4 @@
-"""Membership and rumours among members in one process."""
+"""Tests of membership and gossip updates, with all members in one process."""
 
 import random
 
@@ -12,11 +12,11 @@
 
 
 class Watcher:
-    """Writes down who is there, as every member sees it.
+    """Records every member's view of the members as text.
 
     Args:
         tasks: Runs the members.
-        size: How many brokers there are at first.
+        size: The initial number of brokers.
     """
 
     def __init__(self, tasks, size=6):
@@ -27,7 +27,7 @@
             self.fleet.add(f"broker-{i}", Role.BROKER)
 
     async def wait(self, ms):
-        """Lets time pass and writes down the views that differ."""
+        """Advances the clock and records the different views."""
         await self.fleet.clock.advance(ms)
         views = {}
         for name, node in sorted(self.fleet.nodes.items()):
@@ -54,7 +54,7 @@
 
 
 class MembershipTest(GoldTestCase):
-    """Golden sessions of members that come, fail and go."""
+    """Members that start, fail and shut down, compared with gold files."""
 
     async def _run(self, name, title, play):
         async with anyio.create_task_group() as tasks:
@@ -114,7 +114,7 @@
 
 
 class RumourTest(GoldTestCase):
-    """What others tell all members."""
+    """Updates that are broadcast to all members."""
 
     @asynchronous
     async def test_every_member_hears_each_rumour_once_also_over_a_lossy_link(
@@ -184,7 +184,7 @@
 def _lone_gossip(fleet):
     class NoTasks:
         def start_soon(self, *_):
-            """Runs nothing."""
+            """Does nothing."""
 
     fleet._tasks = NoTasks()
     return fleet.add("alone").gossip
--- a/tests/membership/test_leaving.py
+++ b/tests/membership/test_leaving.py
@@ -1,4 +1,4 @@
-"""From the notice that a VM leaves to the last new work at its endpoints."""
+"""Tests that endpoints on leaving VMs stop receiving new work."""
 
 import random
 
@@ -23,7 +23,7 @@
 
 
 class ListStandIn:
-    """The platform's list, as the session sets it; None is silence."""
+    """The platform's VM list as a test sets it; None makes reading it fail."""
 
     def __init__(self):
         self.vms = []
@@ -35,10 +35,10 @@
 
 
 class Work:
-    """Three brokers that grant permits all the time, and two controls.
+    """Three brokers that grant permits continuously, and two controls.
 
     Args:
-        tasks: Runs them.
+        tasks: Runs the members.
     """
 
     def __init__(self, tasks):
@@ -58,8 +58,8 @@
 
     def add_broker(self, name):
         node = self.fleet.add(name, Role.BROKER)
-        # Each engine must get work before the notice, and a single request
-        # at a time says little about their order under the default policy.
+        # Each engine must receive work before the notice. With one request at
+        # a time the default policy does not guarantee this.
         keeper = PoolKeeper(
             self.fleet.clock,
             random.Random(1),
@@ -73,7 +73,7 @@
         self.tasks.start_soon(self._work, name, keeper)
 
     async def _work(self, name, keeper):
-        """Asks for a permit again and again and notes where it was."""
+        """Requests permits in a loop and records their endpoints."""
         number = 0
         while True:
             await self.fleet.clock.sleep(ASK_EVERY_MS)
@@ -88,7 +88,7 @@
             await keeper.release(release)
 
     async def observe(self, title, endpoint, seconds=10):
-        """Lets time pass; says whether an endpoint still gets work."""
+        """Advances the clock; records whether an endpoint still gets work."""
         clock = self.fleet.clock
         notice = clock.now()
         await clock.advance(seconds * 1000)
@@ -114,7 +114,7 @@
 
 
 class LeavingTest(GoldTestCase):
-    """Endpoints whose VMs leave."""
+    """Endpoints on leaving VMs."""
 
     @asynchronous
     async def test_a_leaving_vms_endpoints_get_no_work_after_two_seconds(self):
--- a/tests/membership/test_ownership.py
+++ b/tests/membership/test_ownership.py
@@ -1,4 +1,4 @@
-"""A pool that changes hands while its engines are full."""
+"""Tests of a change of a pool's owner while the pool's engines are full."""
 
 import random
 
@@ -50,7 +50,7 @@
 
 
 class SlowSender:
-    """Links whose messages take longer than a call."""
+    """Links that delay every message."""
 
     def __init__(self, links, clock):
         self._links = links
@@ -66,11 +66,11 @@
 
 
 class Asker:
-    """An entry that asks for permits one after another.
+    """An entry that requests permits.
 
     Args:
         fleet: The members.
-        tasks: Runs its parts.
+        tasks: Runs the entry's reporter.
     """
 
     def __init__(self, fleet, tasks):
@@ -86,7 +86,7 @@
         tasks.start_soon(reporter.run)
 
     async def ask(self, what, avoid=""):
-        """Asks for a permit and says what came of it."""
+        """Requests a permit and records the result."""
         self._number += 1
         request = builders.permit_request(
             f"r{self._number}", pool=POOL, entry="entry-0", wait_ms=5000
@@ -101,7 +101,7 @@
 
 
 class HandoverTest(GoldTestCase):
-    """A broker that leaves."""
+    """A broker that shuts down and whose pools get a new owner."""
 
     @asynchronous
     async def test_the_next_owner_neither_overfills_engines_nor_refuses(self):
@@ -126,7 +126,8 @@
                 "has the entry's report"
             )
             heir = next(n for n in ("broker-0", "broker-1") if n != owner)
-            # The next regular report is too late for the new owner.
+            # At this time the entry's next regular report would reach the new
+            # owner too late.
             await fleet.clock.advance(300)
             leaver = fleet.nodes[owner]
             leaver.members.leave()
--- a/tests/membership/test_vmlist.py
+++ b/tests/membership/test_vmlist.py
@@ -1,4 +1,4 @@
-"""The adapter of the platform's list of VMs, through separate processes."""
+"""Tests of the adapter of the platform's VM list, with separate processes."""
 
 import unittest
 from concurrent import futures
@@ -9,12 +9,12 @@
 from tests.helpers import free_address, wait_until
 
 LEAVING_HOST = "127.0.0.2"
-# Sent at once, so that they need both engines.
+# These requests are sent concurrently, so that they need both engines.
 REQUESTS = 8
 
 
 class VmListTest(unittest.TestCase):
-    """An engine on a VM that leaves."""
+    """An engine on a leaving VM."""
 
     def _generate(self, fleet):
         answer = httpx.post(
