--- a/rhubarbwinch/configuration/__init__.py
+++ b/rhubarbwinch/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""How an accepted configuration gets from operators to every process."""
+"""Publishes operators' records and distributes them to every process."""
--- a/rhubarbwinch/configuration/distribution.py
+++ b/rhubarbwinch/configuration/distribution.py
@@ -1,8 +1,9 @@
-"""Peers give each other the accepted configuration, chunk by chunk.
+"""Distributes the accepted configuration between peers, chunk by chunk.
 
-The store is asked last. The idea of sending once to a few and supplying what
-is missing by the numbers in heartbeats is that of EdgeDis, sections 3.1 to
-3.3; docs/design/distribution.md says what was kept of it.
+The store is asked last. The scheme follows EdgeDis, sections 3.1 to 3.3: send
+once to a few peers, then supply what is missing, as seen from the generation
+numbers in heartbeats. docs/design/distribution.md lists the parts of EdgeDis
+that are used.
 """
 
 import random
@@ -23,12 +24,12 @@
 
 @attrs.frozen
 class HeadRequest:
-    """Asks a peer for the head in force there."""
+    """Asks a peer for its active head."""
 
 
 @attrs.frozen
 class HeadReply:
-    """The head in force at a peer; its generation is 0 without one."""
+    """A peer's active head; generation 0 if it has none."""
 
     head: Head
 
@@ -42,7 +43,7 @@
 
 @attrs.frozen
 class ChunkReply:
-    """A chunk; empty if the peer does not have it."""
+    """The requested chunk; empty if the peer does not have it."""
 
     chunk: bytes
 
@@ -56,13 +57,13 @@
 
 
 class Distribution:
-    """Fetches heads and chunks from peers and serves them.
+    """Fetches heads and chunks from peers and serves them to peers.
 
     Args:
         links: Calls peers.
-        server: Answers peers.
-        members: Whom to ask.
-        rng: Spreads the calls.
+        server: Replies to peers.
+        members: The peers that can be asked.
+        rng: Shuffles the peers, which spreads the calls.
     """
 
     def __init__(
@@ -83,12 +84,12 @@
     def serve(
         self, head: Callable[[], Head], chunk: Callable[[str], bytes]
     ) -> None:
-        """Sets where the head and the chunks in force are found."""
+        """Sets the functions that return the active head and its chunks."""
         self._head = head
         self._chunk = chunk
 
     async def head(self, address: str) -> Head | None:
-        """Returns the head in force at a peer, or None without an answer."""
+        """Returns a peer's active head, or None if it does not reply."""
         try:
             reply = await self._links.call(
                 address, HeadRequest(), HeadReply, FETCH_TIMEOUT_MS
@@ -99,7 +100,7 @@
         return reply.head
 
     async def newest_head(self, addresses: list[str]) -> HeldHead:
-        """Returns the newest head of some peers; generation 0 without one."""
+        """Returns the newest head of some peers; generation 0 if none."""
         best = HeldHead()
         for address in addresses:
             head = await self.head(address)
@@ -108,11 +109,11 @@
         return best
 
     async def chunk(self, name: str, holder: str) -> bytes | None:
-        """Returns a chunk from a peer, or None if those asked lack it.
+        """Returns a chunk from a peer, or None if no asked peer has it.
 
         Args:
             name: The chunk's digest.
-            holder: The peer that is asked first, or empty.
+            holder: The address of the peer to ask first, or empty.
         """
         others = self.some_peers(MAX_PEERS_ASKED)
         for address in [holder, *others] if holder else others:
@@ -128,7 +129,7 @@
         return None
 
     def some_peers(self, count: int) -> list[str]:
-        """Returns the addresses of peers, those of the data centre first."""
+        """Returns addresses of peers, those in this data centre first."""
         me = self._members.me
         others = [m for m in self._members.all() if m.name != me.name]
         self._rng.shuffle(others)
--- a/rhubarbwinch/configuration/follower.py
+++ b/rhubarbwinch/configuration/follower.py
@@ -1,4 +1,4 @@
-"""Follows the accepted configuration; never goes back a generation."""
+"""Keeps a replica of the accepted configuration; its generation never falls."""
 
 from collections.abc import Callable
 
@@ -25,20 +25,22 @@
 
 @attrs.define
 class _Offer:
-    """A generation that a peer is known to have."""
+    """A generation and the address of a peer that has it."""
 
     generation: int = 0
     address: str = ""
 
 
 class Follower:
-    """Holds the snapshot in force and replaces it by newer ones.
+    """Holds the active snapshot and replaces it with newer ones.
 
     Args:
         store: The platform's store.
         clock: The source of time.
-        members: Decides who watches the store; without it this process does.
-        peers: Gives what other members have; None asks the store alone.
+        members: The members among which the watchers of the store are
+            elected; None makes this process a watcher.
+        peers: Fetches heads and chunks from other members; None reads the
+            store only.
         addresses: Peers to ask when no members are known.
     """
 
@@ -69,12 +71,12 @@
 
     @property
     def snapshot(self) -> Snapshot:
-        """The configuration in force."""
+        """The active configuration."""
         return self._snapshot
 
     @property
     def head(self) -> Head:
-        """The head in force."""
+        """The active head."""
         return self._head
 
     @property
@@ -87,7 +89,7 @@
         return me.name in seeds
 
     def chunk(self, name: str) -> bytes:
-        """Returns a chunk of the head in force; empty for another one."""
+        """Returns a chunk of the active head; empty for any other chunk."""
         return self._chunks.get(name, b"")
 
     def on_change(self, listener: Callable[[Snapshot], None]) -> None:
@@ -95,36 +97,37 @@
         self._listeners.append(listener)
 
     def notice(self, generation: int, address: str) -> None:
-        """Takes note that a peer has a newer generation."""
+        """Records that a peer has a newer generation."""
         if generation > max(self._head.generation, self._offer.generation):
             self._offer = _Offer(generation, address)
         self._offered.set()
 
     async def run(self) -> None:
-        """Keeps the newest generation in force until cancelled."""
+        """Activates each newer generation until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._follow_store)
             if self._peers is not None:
                 tasks.start_soon(self._follow_peers)
 
     async def read(self) -> int:
-        """Reads the head and takes it if newer; returns its revision."""
+        """Reads the store's head and applies it; returns its revision."""
         head, revision = await accepted.read_head(self._store)
         await self.offer(head)
         return revision
 
     async def offer(self, head: Head, holder: str = "") -> bool:
-        """Takes a head if it is newer than the one in force.
+        """Activates a head if it is newer than the active one.
 
         Args:
             head: The head.
             holder: The address of a peer that has its chunks, or empty.
 
         Returns:
-            Whether the head was taken.
+            Whether the head was activated.
 
         Raises:
-            StoreError: Neither a peer nor the store gave all chunks.
+            StoreError: A chunk could be read neither from a peer nor from the
+                store.
         """
         if head.generation <= self._head.generation:
             if head.generation < self._head.generation:
@@ -137,13 +140,13 @@
             held = self._chunks.get(name)
             chunks[name] = held or await self._fetch(name, holder)
         if head.generation <= self._head.generation:
-            # A newer one came into force while the chunks were fetched.
+            # A newer head was activated while the chunks were fetched.
             return False
         self._put_in_force(head, chunks)
         return True
 
     async def _follow_store(self) -> None:
-        """Watches the store while this process is a seed."""
+        """Watches the store while this process is an elected watcher."""
         await self._start()
         while True:
             self._members_changed = anyio.Event()
@@ -159,7 +162,7 @@
                 tasks.cancel_scope.cancel()
 
     async def _start(self) -> None:
-        """Takes the head from a peer, or else from the store."""
+        """Fetches the first head from a peer, or else from the store."""
         if self._peers is None:
             return
         asked = self._peers.some_peers(MAX_PEERS_ASKED) or self._addresses
@@ -170,7 +173,7 @@
             else:
                 await self.read()
         except (StoreError, CodecError):
-            # Heartbeats or the watch bring it later.
+            # A heartbeat or the watch delivers the head later.
             return
 
     async def _watch(self) -> None:
@@ -187,7 +190,7 @@
                 await self._clock.sleep(RETRY_MS)
 
     async def _follow_peers(self) -> None:
-        """Catches up with peers that have a newer generation."""
+        """Fetches newer generations from the peers that have them."""
         while True:
             await self._offered.wait()
             self._offered = anyio.Event()
@@ -200,14 +203,14 @@
                 if head is not None and head.generation >= offer.generation:
                     await self.offer(head, offer.address)
             except (StoreError, CodecError):
-                # The next heartbeat offers it again.
+                # The next heartbeat announces the generation again.
                 continue
 
     async def _fetch(self, name: str, holder: str) -> bytes:
-        """Returns a chunk from a peer, from the store last.
+        """Returns a chunk from a peer, or else from the store.
 
-        A seed that heard of the head from the store is the first to have the
-        chunk, so it asks the store at once.
+        A process that read the head from the store is among the first to
+        fetch its chunks, so it reads the store without asking peers.
         """
         if self._peers is not None and holder:
             chunk = await self._peers.chunk(name, holder)
@@ -216,8 +219,9 @@
         return await accepted.read_chunk(self._store, name)
 
     def _put_in_force(self, head: Head, chunks: dict[str, bytes]) -> None:
-        # Only changed chunks are parsed: a whole configuration would hold up
-        # every open stream for longer than a gap between tokens may be.
+        # Only changed chunks are parsed: parsing a whole configuration would
+        # block every open stream for longer than the allowed gap between
+        # tokens.
         removed = _records_besides(self._chunks, chunks)
         added = _records_besides(chunks, self._chunks)
         self._snapshot = accepted.revise(
@@ -237,7 +241,7 @@
 def _records_besides(
     chunks: dict[str, bytes], others: dict[str, bytes]
 ) -> list[Record]:
-    """Returns the records of the chunks that are not among the others."""
+    """Returns the records of those chunks that are not in `others`."""
     return [
         record
         for name, chunk in chunks.items()
--- a/rhubarbwinch/configuration/publisher.py
+++ b/rhubarbwinch/configuration/publisher.py
@@ -1,4 +1,4 @@
-"""Turns operators' records into the next generation of the configuration."""
+"""Publishes operators' records as the next generation of the configuration."""
 
 import attrs
 import orjson
@@ -19,30 +19,32 @@
 
 @attrs.frozen
 class Judgement:
-    """Why a record is not in force; kept beside it while that is so.
+    """The status of a rejected record: why the record is not active.
+
+    It is stored under the record's status key while the record is rejected.
 
     Attributes:
         revision: The revision of the record.
-        error: What is wrong with it.
+        error: The reason for the rejection.
     """
 
     revision: int
     error: str
 
     def to_bytes(self) -> bytes:
-        """Returns the judgement as JSON."""
+        """Returns the status as JSON."""
         return orjson.dumps(attrs.asdict(self))
 
 
 @attrs.define
 class _View:
-    """The store as it was read, kept up to date by a watch.
+    """The publisher's copy of the store's content, updated by a watch.
 
     Attributes:
         head: The head in the store.
-        head_revision: Its revision.
+        head_revision: The revision of the head.
         records: The operators' records by name.
-        statuses: The judgements in the store by the record's name.
+        statuses: The record statuses in the store by the record's name.
         chunks: The chunks of the head by digest.
         revision: The revision up to which records were read.
     """
@@ -58,12 +60,13 @@
 class Publisher:
     """Publishes the records under `records/` as the accepted configuration.
 
-    Several may run at once: the compare-and-swap of the head lets one win,
-    and the other reads everything again.
+    Several publishers may run at once: the compare-and-swap of the head lets
+    one succeed, and the others read everything again.
 
     Args:
         store: The platform's store.
-        follower: What is in force here; saves reading chunks again.
+        follower: The active configuration of this process; its chunks need
+            not be read from the store.
     """
 
     def __init__(self, store: Store, follower: Follower) -> None:
@@ -78,13 +81,15 @@
         return self._view.revision if self._view else 0
 
     async def start(self) -> Head:
-        """Reads the store and publishes what has changed.
+        """Reads the store and publishes all changes.
 
         Raises:
-            StoreError: The store failed; nothing or all is in force.
+            StoreError: The store failed; either none or all of the changes
+                were published.
         """
-        # The head is read before the records: should another publisher move
-        # it in between, the swap below fails instead of undoing its work.
+        # The head is read before the records: if another publisher moves the
+        # head in between, the compare-and-swap below fails instead of
+        # reverting that publisher's changes.
         head, head_revision = await accepted.read_head(self._store)
         if head.generation < self._follower.head.generation:
             events.STORE_BEHIND.log(
@@ -105,11 +110,11 @@
         return await self._publish(self._view, names, set(range(SLOTS)))
 
     async def update(self, changes: list[Change]) -> Head:
-        """Takes changes of records and publishes them.
+        """Applies changes of records to the local copy and publishes them.
 
         Raises:
-            StoreError: The store failed, or another publisher was first; call
-                `start` again.
+            StoreError: The store failed, or another publisher moved the head
+                first; call `start` again.
         """
         view = self._view
         if view is None:
@@ -127,7 +132,11 @@
         return await self._publish(view, names, slots)
 
     async def collect(self) -> int:
-        """Deletes chunks found unused twice in a row; returns how many."""
+        """Deletes chunks found unused in two consecutive calls.
+
+        Returns:
+            The number of deleted chunks.
+        """
         if self._view is None:
             return 0
         listing = await self._store.scan(keys.CHUNKS)
@@ -136,8 +145,9 @@
         doomed = [e for key, e in unused.items() if key in self._unused]
         self._unused = set(unused)
         if doomed:
-            # A publisher that was paused since before the first reading may
-            # still count on these chunks; moving the head makes it fail.
+            # Another publisher that has been paused since before the previous
+            # call may be about to refer to these chunks. Moving the head makes
+            # that publisher's compare-and-swap fail.
             await self._move_head(self._view, self._view.head)
         for entry in doomed:
             await self._store.delete(entry.key, entry.revision)
@@ -155,10 +165,11 @@
     async def _publish(
         self, view: _View, names: set[str], slots: set[int]
     ) -> Head:
-        """Publishes slots after the records called `names` have changed."""
+        """Publishes `slots` after the records called `names` have changed."""
         in_force = _records_in(view, slots)
         judged = {name: _judge(view.records.get(name), name) for name in names}
-        # A record that is gone from the store leaves its slot too.
+        # Iterating over the stored records drops deleted records from their
+        # slots.
         wanted: dict[int, list[Record]] = {slot: [] for slot in slots}
         for name in view.records:
             slot = accepted.slot_of_key(name)
@@ -208,7 +219,7 @@
             )
             revision = swap.revision if swap.won else 0
         except StoreUncertain:
-            # What is there now tells whether the write took effect.
+            # The current value shows whether the write took effect.
             entry = await self._store.get(keys.ACCEPTED_HEAD)
             written = entry is not None and entry.value == value
             revision = entry.revision if entry and written else 0
@@ -220,7 +231,7 @@
     async def _write_status(
         self, view: _View, name: str, verdict: "_Verdict"
     ) -> None:
-        """Writes or removes the status beside a record."""
+        """Writes or removes the status of a record."""
         current = view.statuses.get(name)
         key = keys.STATUS + name
         if not verdict.error:
@@ -241,12 +252,12 @@
 
 @attrs.frozen
 class _Verdict:
-    """What was found on a record.
+    """The result of checking a record.
 
     Attributes:
-        revision: The record's revision; 0 if it is gone.
-        record: The record if it is good.
-        error: What is wrong with it, or empty.
+        revision: The record's revision; 0 if the record was deleted.
+        record: The record if it is valid.
+        error: The reason why the record is invalid, or empty.
         is_final: Whether this program knows the record's schema.
     """
 
@@ -259,8 +270,8 @@
 def _judge(entry: Entry | None, name: str) -> _Verdict:
     """Checks a record.
 
-    A record of a newer schema is neither good nor wrong here: what is in force
-    of it stays, byte for byte, until a newer program publishes.
+    A record of a newer schema is neither accepted nor rejected: its active
+    version stays, byte for byte, until a newer program publishes it.
     """
     if entry is None:
         return _Verdict()
@@ -278,7 +289,7 @@
 
 
 def _records_in(view: _View, slots: set[int]) -> dict[str, Record]:
-    """Returns the records in force in some slots, by name."""
+    """Returns the active records in some slots, by name."""
     found = {}
     for slot in slots:
         name = view.head.chunks[slot]
--- a/rhubarbwinch/configuration/publishing.py
+++ b/rhubarbwinch/configuration/publishing.py
@@ -1,4 +1,4 @@
-"""Runs the publisher at one control at a time, paced."""
+"""Runs the publisher at one control at a time and limits its rate."""
 
 import anyio
 import anyio.abc
@@ -18,16 +18,16 @@
 
 
 class Publishing:
-    """Publishes while this control is the one that all would choose.
+    """Runs the publisher while this control is the elected one.
 
-    Rendezvous hashing over the members chooses it, without a call to the
-    store. Two may believe it at once; the head's compare-and-swap then lets
-    one win.
+    Rendezvous hashing over the members elects the control without a call to
+    the store. While the views of the members differ, two controls may both be
+    elected; the compare-and-swap of the head then lets one of them succeed.
 
     Args:
-        publisher: Publishes.
+        publisher: The publisher to run.
         store: The platform's store.
-        members: The known members.
+        members: The members among which the control is elected.
         clock: The source of time.
     """
 
@@ -50,12 +50,12 @@
 
     @property
     def is_chosen(self) -> bool:
-        """Whether this control publishes."""
+        """Whether this control is the elected publisher."""
         names = [m.name for m in self._members.serving(Role.CONTROL)]
         return rendezvous.owner("publisher", names) == self._members.me.name
 
     async def run(self) -> None:
-        """Publishes whenever it is this control's turn, until cancelled."""
+        """Publishes while this control is elected, until cancelled."""
         while True:
             self._members_changed = anyio.Event()
             if not self.is_chosen:
@@ -80,12 +80,12 @@
                     tasks.start_soon(self._watch, tasks.cancel_scope)
                     await self._update()
             except* (StoreError, CodecError):
-                # Everything is read again, so no change is lost.
+                # `start` reads everything again, so no change is lost.
                 pass
             await self._clock.sleep(RETRY_MS)
 
     async def _watch(self, scope: anyio.CancelScope) -> None:
-        """Collects changes; ends the update when the watch fails."""
+        """Queues changes; cancels the updates when the watch fails."""
         try:
             after = self._publisher.revision
             async for change in self._store.watch(keys.RECORDS, after):
@@ -97,7 +97,8 @@
     async def _update(self) -> None:
         while True:
             await self._changed.wait()
-            # Changes that come together cost one generation.
+            # The delay batches changes that arrive together into one
+            # generation.
             await self._clock.sleep(BATCH_MS)
             self._changed = anyio.Event()
             changes, self._changes = self._changes, []
@@ -112,7 +113,7 @@
                 async with self._lock:
                     await self._publisher.collect()
             except StoreError:
-                # The next reading finds the chunks again.
+                # The next call finds the unused chunks again.
                 continue
 
     def _wake(self) -> None:
--- a/tests/configuration/test_distribution.py
+++ b/tests/configuration/test_distribution.py
@@ -1,4 +1,4 @@
-"""The configuration on its way to all members, under faults of the store."""
+"""Tests of distributing the configuration to members during store faults."""
 
 import json
 import random
@@ -27,11 +27,11 @@
 
 
 class Session:
-    """A control and four entries; writes down what happens.
+    """Two controls and four entries, and a text record of what happens.
 
     Args:
         tasks: Runs the members.
-        title: The first line.
+        title: The first line of the record.
     """
 
     def __init__(self, tasks, title):
@@ -53,7 +53,7 @@
         return "\n".join(self.lines) + "\n"
 
     def add(self, name, role=Role.ENTRY, peers=None):
-        """Starts a member and counts when its generation falls."""
+        """Starts a member and counts how often its generation falls."""
         node = self.fleet.add(name, role, peers=peers)
         highest = 0
 
@@ -68,7 +68,7 @@
         self.lines.append(line)
 
     async def apply(self, *items):
-        """Applies records as an operator does; says what came of it."""
+        """Applies records as an operator does and records the result."""
         try:
             changed = await ctl.apply(self.store, list(items))
             self.say(f"applied {len(changed)}")
@@ -76,7 +76,7 @@
             self.say(f"not applied: {type(error).__name__}")
 
     async def until(self, generation, names=None):
-        """Waits for a generation everywhere; says how many ms it took."""
+        """Waits until members have a generation; records how long it took."""
         names = names or sorted(self.fleet.nodes)
         took = 0
         while any(self.generation(n) < generation for n in names):
@@ -89,7 +89,7 @@
         self.say(f"generation {generation} everywhere {in_time}")
 
     async def wait(self, ms):
-        """Lets time pass and says what is in force where."""
+        """Advances the clock and records the active generations."""
         await self.fleet.clock.advance(ms)
         self.say(f"{ms} ms later: {self.all()}")
 
@@ -107,7 +107,7 @@
 
 
 class DistributionTest(GoldTestCase):
-    """Sessions of operators, publishers and followers."""
+    """Operators, publishers and followers, compared with gold files."""
 
     async def _run(self, name, title, play):
         async with anyio.create_task_group() as tasks:
@@ -254,7 +254,7 @@
         winner = builders.account(weight=5.0)
 
         async def get(key):
-            """The second operator writes after the first has read."""
+            """Lets the second operator write after the first one's read."""
             found = await read(key)
             if key == keys.record("account", "acme"):
                 store.get = read
@@ -352,7 +352,7 @@
 
 
 class SilentPeerTest(unittest.TestCase):
-    """A peer that gives no answer."""
+    """A peer that does not reply."""
 
     def test_it_is_logged_and_nothing_is_taken_from_it(self):
         links = mock.Mock()
--- a/tests/configuration/test_publisher.py
+++ b/tests/configuration/test_publisher.py
@@ -1,4 +1,4 @@
-"""What a change costs the publisher, and the collection of old chunks."""
+"""Tests of the publisher's store calls and of deleting unused chunks."""
 
 import unittest
 
@@ -17,7 +17,7 @@
 
 
 class PublisherTest(unittest.TestCase):
-    """A publisher on a store in memory."""
+    """A publisher with an in-memory store."""
 
     def setUp(self):
         self.store = MemoryStore(ManualClock())
@@ -26,7 +26,7 @@
         return Publisher(self.store, Follower(self.store, ManualClock()))
 
     async def _apply(self, *items):
-        """Applies records; returns the changes that a watch would show."""
+        """Applies records; returns the changes that a watch would yield."""
         seen = len(self.store.changes)
         await ctl.apply(self.store, list(items))
         return self.store.changes[seen:]
@@ -57,7 +57,7 @@
     async def test_a_record_that_is_deleted_leaves_also_when_nobody_watched(
         self,
     ):
-        # The two are in different slots.
+        # The two records must be in different slots.
         await self._apply(builders.account("a"), builders.account("c"))
         self.assertNotEqual(
             accepted.slot_of_key("account/a"), accepted.slot_of_key("account/c")
--- a/tests/faultystore.py
+++ b/tests/faultystore.py
@@ -1,4 +1,4 @@
-"""A store in memory whose head of the configuration misbehaves on request."""
+"""An in-memory store with faults in reading and writing the config head."""
 
 from rhubarbwinch.shared.exceptions import StoreUncertain
 from rhubarbwinch.stores import keys
@@ -6,13 +6,13 @@
 
 
 class FaultyStore(MemoryStore):
-    """Loses answers to the head's swap and hands out old heads.
+    """Loses writes or replies of the head's swap and returns old heads.
 
     Attributes:
-        lost: `after` loses the next answer once the head was written,
-            `before` loses the request, None nothing.
-        stale: The entry that is handed out as the head, or None.
-        heads: Every value that the head has had.
+        lost: `after` loses the next reply after the head was written,
+            `before` loses the next request, None loses nothing.
+        stale: The entry that is returned as the head, or None.
+        heads: Every value that was written to the head.
     """
 
     def __init__(self, clock):
