--- a/rhubarbwinch/orders/__init__.py
+++ b/rhubarbwinch/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Orders to endpoints, sent by one holder at a time."""
+"""Sends orders to endpoints, from one lease holder per pool at a time."""
--- a/rhubarbwinch/orders/fencing.py
+++ b/rhubarbwinch/orders/fencing.py
@@ -1,9 +1,9 @@
-"""One holder for each pool's orders: a lease in the store and a fence number.
+"""Ensures one holder for each pool's orders by a lease and a fencing number.
 
-The holder's key lies under the holder's lease. The fence record beside it
-stays and is raised by compare-and-swap by each new holder. A holder trusts
-its lease by its own clock only, counted from before the renewal was sent, so
-it stops no later than the store lets the lease lapse.
+The holder's key is stored under the holder's lease. The fence record is
+stored without a lease; each new holder raises its number by compare-and-swap.
+A holder measures its lease by its own clock, starting before the renewal was
+sent, so it stops sending no later than the lease expires in the store.
 """
 
 import enum
@@ -16,7 +16,7 @@
 from rhubarbwinch.stores import keys
 from rhubarbwinch.stores.store import Store
 
-# What two clocks may differ by over the life of a lease.
+# The most that two clocks may drift apart during the lifetime of a lease.
 CLOCK_MARGIN_MS = 200
 
 
@@ -30,15 +30,16 @@
 
 @attrs.frozen
 class FenceRecord:
-    """Who may send a pool's orders.
+    """The last holder of a pool's orders, with its fencing number.
 
     Attributes:
-        number: The fence number, raised by each new holder.
-        holder: The member's name.
-        incarnation: The member's incarnation.
-        lease_ms: The life of its lease.
-        flight_ms: The longest flight of its orders.
-        released: Whether the holder gave it up with no order in flight.
+        number: The fencing number, raised by each new holder.
+        holder: The holder's member name.
+        incarnation: The holder's incarnation.
+        lease_ms: The lifetime of the holder's lease.
+        flight_ms: The longest time from sending an order to its effect.
+        released: Whether the holder released the pool with no order in
+            flight.
     """
 
     number: int
@@ -51,13 +52,14 @@
 
 @attrs.frozen
 class HolderRecord:
-    """What the holder's key says.
+    """The content of the holder's key.
 
     Attributes:
-        holder: The member's name.
-        incarnation: The member's incarnation.
-        lease: The lease that the key lies under. A key of a former lease of
-            the same process lapses with that one, so it does not count.
+        holder: The holder's member name.
+        incarnation: The holder's incarnation.
+        lease: The lease under which the key is stored. A key under a former
+            lease of the same process is deleted when that lease expires, so it
+            does not count as held.
     """
 
     holder: str
@@ -67,12 +69,13 @@
 
 @attrs.define
 class Hold:
-    """This process's claim to a pool's orders.
+    """This process's exclusive right to send a pool's orders.
 
     Attributes:
         pool: The pool's name.
-        number: The fence number that orders carry.
-        ready_at: When the old holder's orders have all landed, by the clock.
+        number: The fencing number that orders carry.
+        ready_at: The time from which no order of the former holder can take
+            effect any more, by this process's clock.
     """
 
     pool: str
@@ -81,14 +84,14 @@
 
 
 class Fencing:
-    """Takes and gives up pools; one lease serves all of them.
+    """Acquires and releases pools; all pools are held under one lease.
 
     Args:
         store: The platform's store.
         clock: The source of time.
         name: This member's name.
-        incarnation: This process's number.
-        lease_ms: The life of the lease without renewal.
+        incarnation: This process's incarnation.
+        lease_ms: The lifetime of the lease without renewal.
         flight_ms: The longest time from sending an order to its effect.
     """
 
@@ -119,11 +122,11 @@
 
     @property
     def ms_left(self) -> int:
-        """What is left of the lease, by this process's clock."""
+        """The milliseconds left of the lease, by this process's clock."""
         return max(0, self._valid_until - self._clock.now() - CLOCK_MARGIN_MS)
 
     def state(self, pool: str) -> HoldState:
-        """Tells whether orders for a pool may be sent."""
+        """Returns whether orders for a pool may be sent."""
         hold = self._holds.get(pool)
         if hold is None:
             return HoldState.NONE
@@ -132,11 +135,11 @@
         return HoldState.HELD
 
     def number_to_send(self, pool: str) -> int | None:
-        """Returns the fence number if an order may go out now.
+        """Returns the fencing number if an order may be sent now, else None.
 
-        The lease must outlast the order's longest flight. Call it directly
-        before the send, with nothing that waits in between, and `settle` when
-        the endpoint has answered.
+        The lease must outlast the longest flight of an order. Call this
+        method directly before the send, without an `await` in between, and
+        call `settle` when the endpoint has responded.
         """
         if self.ms_left <= self._flight_ms:
             return None
@@ -146,14 +149,15 @@
         return self._holds[pool].number
 
     def settle(self, pool: str) -> None:
-        """Notes that no order to the pool is in flight any more."""
+        """Records that no order to the pool is in flight any more."""
         self._unsettled.discard(pool)
 
     async def renew(self) -> None:
-        """Renews the lease; after a lapse everything held is given up.
+        """Renews the lease; if it has expired, drops all pools.
 
         Raises:
-            StoreError: The store failed; the lease runs on until it lapses.
+            StoreError: The store failed; the lease stays valid until it
+                expires.
         """
         began = self._clock.now()
         if self._lease and began < self._valid_until:
@@ -166,10 +170,11 @@
         self._valid_until = began + self._lease_ms
 
     async def take(self, pool: str) -> bool:
-        """Tries to become a pool's holder; returns whether it is.
+        """Tries to become a pool's holder; returns whether it is the holder.
 
         Raises:
-            StoreError: The store failed; the next try settles it.
+            StoreError: The store failed; the next attempt finds out whether
+                the pool was acquired.
         """
         if pool in self._holds:
             return True
@@ -184,16 +189,19 @@
                 return False
         elif current.value != mine:
             return False
-        # A lost answer leaves our own key in place: it counts as taken.
+        # If the reply to an earlier swap was lost, the key is this process's
+        # own, and the pool counts as acquired.
         return await self._raise_fence(pool)
 
     async def give_up(self, pool: str) -> None:
-        """Lets another take a pool.
+        """Releases a pool so that another member can acquire it.
 
-        If an order may be in flight, the next holder waits as after a lapse.
+        If an order may be in flight, the next holder waits as after an expired
+        lease.
 
         Raises:
-            StoreError: The store failed; the lease lapses by itself.
+            StoreError: The store failed; the pool stays held until the lease
+                expires.
         """
         hold = self._holds.pop(pool, None)
         if hold is None:
@@ -229,8 +237,9 @@
             return False
         ready_at = self._clock.now()
         if old is not None and not old.released:
-            # The old holder may run on until its lease and the flight of its
-            # last order are over, whatever the store has let lapse.
+            # The former holder may go on sending until its lease ends by its
+            # own clock, and its last order may take effect `flight_ms` later,
+            # even if the lease has expired in the store already.
             ready_at += old.lease_ms + old.flight_ms + CLOCK_MARGIN_MS
         self._holds[pool] = Hold(pool, number, ready_at)
         events.ORDERS_TAKEN.log(pool=pool, fence=number)
@@ -243,7 +252,7 @@
         self._valid_until = 0
 
     async def close(self) -> None:
-        """Gives everything up; a failing store lets the lease lapse."""
+        """Releases all pools; if the store fails, the lease expires instead."""
         try:
             for pool in self.held:
                 await self.give_up(pool)
--- a/rhubarbwinch/orders/orders.py
+++ b/rhubarbwinch/orders/orders.py
@@ -1,4 +1,4 @@
-"""Sends endpoints the orders that bring them to the wanted state."""
+"""Reconciles endpoints with their desired state by sending them orders."""
 
 import socket
 import struct
@@ -28,21 +28,21 @@
 
 
 class OrderClient(Protocol):
-    """How endpoints of one make take orders; every call is bounded in time."""
+    """Sends orders to endpoints of one type; every call has a timeout."""
 
     async def read_state(self, address: str) -> EndpointState:
-        """Returns an endpoint's real state.
+        """Returns an endpoint's actual state.
 
         Raises:
-            EndpointError: It gave no answer.
+            EndpointError: The endpoint did not respond.
         """
         ...
 
     async def send(self, address: str, order: Order, fence: int) -> None:
-        """Gives an order with its fence number.
+        """Sends an order with its fencing number.
 
         Raises:
-            EndpointError: It was refused, or its fate is not known.
+            EndpointError: The order was refused, or its outcome is unknown.
         """
         ...
 
@@ -51,8 +51,8 @@
         ...
 
 
-# Makes a context that ends the process when it is paused for too long, from
-# the milliseconds that are allowed.
+# Creates a context that ends the process if the block takes longer than the
+# given number of milliseconds.
 Guard = Callable[[int], AbstractContextManager[None]]
 
 
@@ -61,7 +61,8 @@
     yield
 
 
-# Builds a client from the longest flight of an order in milliseconds.
+# Builds a client from the longest time from sending an order to its effect, in
+# milliseconds.
 ENGINE_ADAPTERS: Registry[Callable[[int], OrderClient]] = Registry(
     "engine adapter"
 )
@@ -69,16 +70,16 @@
 
 @ENGINE_ADAPTERS.register("http")
 class HttpOrderClient:
-    """Gives orders over HTTP: `POST /orders` and `GET /state`.
+    """Sends orders over HTTP: `POST /orders` and `GET /state`.
 
     Args:
         flight_ms: The longest time from sending an order to its effect.
     """
 
     def __init__(self, flight_ms: int) -> None:
-        # A reset in place of a close drops what the kernel has not sent, so
-        # an order that was given up, or whose sender died, is not delivered
-        # when a stalled connection recovers.
+        # Resetting the connection instead of closing it drops the data that
+        # the kernel has not sent yet. So an order that timed out, or whose
+        # sender died, is not delivered when a stalled connection recovers.
         reset_on_close = struct.pack("ii", 1, 0)
         options: list[tuple[int, int, int] | tuple[int, int, bytes]] = [
             (socket.SOL_SOCKET, socket.SO_LINGER, reset_on_close),
@@ -92,7 +93,7 @@
         self._client = httpx.AsyncClient(transport=transport)
 
     async def read_state(self, address: str) -> EndpointState:
-        """Returns an endpoint's real state."""
+        """Returns an endpoint's actual state."""
         response = await self._request("GET", f"http://{address}/state", b"")
         try:
             data = orjson.loads(response.content)
@@ -101,7 +102,7 @@
             raise EndpointError(f"{address}: {error!r}", sent=True) from error
 
     async def send(self, address: str, order: Order, fence: int) -> None:
-        """Gives an order with its fence number."""
+        """Sends an order with its fencing number."""
         body = orjson.dumps(attrs.asdict(order) | {"fence": fence})
         await self._request("POST", f"http://{address}/orders", body)
 
@@ -124,11 +125,11 @@
 
 
 class LoadPacer:
-    """Spaces load orders out, since each one reads from the weight store.
+    """Limits the rate of load orders, since each reads from the weight store.
 
     Args:
         clock: The source of time.
-        loads_per_minute: The rate of the whole deployment.
+        loads_per_minute: The highest rate for the whole deployment.
     """
 
     def __init__(self, clock: Clock, loads_per_minute: int) -> None:
@@ -137,7 +138,10 @@
         self._next_at = 0
 
     def may_load(self, sharers: int) -> bool:
-        """Takes a turn if one is due; `sharers` processes divide the rate."""
+        """Returns whether a load order may be sent now, and counts it if so.
+
+        `sharers` processes divide the rate equally.
+        """
         now = self._clock.now()
         if now < self._next_at:
             return False
@@ -146,15 +150,15 @@
 
 
 class Orderer:
-    """Keeps the endpoints of the pools that it holds in the wanted state.
+    """Keeps the endpoints of the held pools in their desired state.
 
     Args:
         name: This member's name.
-        fencing: Who may send.
-        client: How orders reach endpoints.
-        pacer: When loads may start.
-        guard: Surrounds the check and the send to an endpoint that ignores
-            fencing numbers.
+        fencing: Holds the pools and issues fencing numbers.
+        client: Sends orders to endpoints.
+        pacer: Limits the rate of load orders.
+        guard: Creates the context around the lease check and the send to an
+            endpoint that ignores fencing numbers.
     """
 
     def __init__(
@@ -172,13 +176,13 @@
         self._guard = guard
 
     async def keep(self, snapshot: Snapshot, controls: list[str]) -> None:
-        """Renews the lease and takes this member's pools.
+        """Renews the lease and acquires this member's pools.
 
-        Without the store nothing is taken; what is held is served until the
-        lease lapses.
+        While the store is unavailable no pool is acquired, and the held pools
+        are served until the lease expires.
 
         Args:
-            snapshot: The configuration in force.
+            snapshot: The active configuration.
             controls: The names of the controls that take new work.
         """
         try:
@@ -188,11 +192,11 @@
             events.STORE_DOWN.log(error=str(error))
 
     async def converge(self, snapshot: Snapshot, sharers: int) -> None:
-        """Sends the orders that the held pools need, as far as is allowed.
+        """Sends the orders that the held pools need and the limits allow.
 
         Args:
-            snapshot: The configuration in force.
-            sharers: How many controls divide the rate of loads.
+            snapshot: The active configuration.
+            sharers: The number of controls that divide the rate of loads.
         """
         for pool in self._fencing.held:
             spec = snapshot.pools.get(pool)
@@ -207,7 +211,10 @@
                     await self._send_all(pool, endpoint, orders, sharers)
 
     async def _share_out(self, snapshot: Snapshot, controls: list[str]) -> None:
-        """Takes the pools that rendezvous hashing gives to this member."""
+        """Acquires the pools that rendezvous hashing assigns to this member.
+
+        All other pools are released.
+        """
         for pool, spec in sorted(snapshot.pools.items()):
             if spec.target not in snapshot.models:
                 continue
@@ -219,7 +226,7 @@
     async def _read_states(
         self, endpoints: list[EndpointSpec]
     ) -> dict[str, EndpointState]:
-        """Returns the states by endpoint name; silent ones are left out."""
+        """Returns the states by endpoint name, without failed endpoints."""
         found: dict[str, EndpointState] = {}
 
         async def read(endpoint: EndpointSpec) -> None:
@@ -248,7 +255,7 @@
                 if not await self._send(pool, endpoint, order, sharers):
                     return
         except EndpointError as error:
-            # The next round reads the state again and goes on from there.
+            # The next round reads the state again and sends what is missing.
             events.ORDER_FAILED.log(endpoint=endpoint.name, error=str(error))
 
     async def _send(
--- a/rhubarbwinch/orders/placementplan.py
+++ b/rhubarbwinch/orders/placementplan.py
@@ -1,4 +1,4 @@
-"""What each endpoint should have loaded, and the orders that bring it there."""
+"""Computes an endpoint's desired state and the orders that lead to it."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class OrderKind(enum.StrEnum):
-    """What an order asks of an endpoint."""
+    """The action that an order requests from an endpoint."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -17,10 +17,10 @@
 
 @attrs.frozen
 class Order:
-    """An idempotent order: given twice, it has the effect of once.
+    """An idempotent order to an endpoint.
 
     Attributes:
-        kind: What is asked.
+        kind: The requested action.
         subject: `model@version`, `model@version+adapter` or a role's name.
     """
 
@@ -30,10 +30,10 @@
 
 @attrs.frozen
 class EndpointState:
-    """What an endpoint has loaded and which role it has.
+    """The models and adapters that an endpoint has loaded, and its role.
 
     Attributes:
-        loaded: Subjects of load orders.
+        loaded: The models and adapters, named as subjects of load orders.
         role: `mixed`, `prefill` or `decode`.
     """
 
@@ -42,7 +42,7 @@
 
 
 def wanted_loads(snapshot: Snapshot, target: str) -> frozenset[str]:
-    """Returns what the services of a model need its endpoints to have."""
+    """Returns what a model's endpoints must have loaded for its services."""
     found = set()
     for service in snapshot.services.values():
         if service.kind != "generate" or service.target != target:
@@ -55,10 +55,10 @@
 
 
 def orders_towards(wanted: EndpointState, actual: EndpointState) -> list[Order]:
-    """Returns the orders that lead from the actual to the wanted state.
+    """Returns the orders that lead from the actual to the desired state.
 
-    Loads come before unloads, so that an endpoint never has nothing to serve
-    with in between; a model comes before its adapters.
+    Loads come before unloads, so that an endpoint always has something loaded
+    that it can serve. A model is loaded before its adapters.
     """
     orders = [
         Order(OrderKind.LOAD, subject)
--- a/tests/orders/test_orders.py
+++ b/tests/orders/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders under fencing: one holder's orders take effect at a time."""
+"""Tests that only one holder's orders take effect at a time."""
 
 import attrs
 
@@ -21,13 +21,13 @@
 
 @attrs.define
 class FakeEngines:
-    """An order client whose engines are order boards.
+    """An order client whose engines are in-memory order boards.
 
     Attributes:
-        boards: The engines by address.
-        lines: The session's text.
-        pause_before: What happens, by address, between the check and the
-            arrival of the next order.
+        boards: The engines' order boards by address.
+        lines: The text record of the test.
+        pause_before: Functions by address; each runs once, after the lease
+            check and before the arrival of the next order at that address.
     """
 
     boards: dict
@@ -54,7 +54,10 @@
 
 
 class Session:
-    """Two controls, one pool of an engine that checks and one that doesn't."""
+    """Two controls and a pool of two engines.
+
+    One engine checks fencing numbers and the other ignores them.
+    """
 
     def __init__(self):
         self.clock = ManualClock()
@@ -79,7 +82,7 @@
         self.version = "1"
 
     def snapshot(self):
-        """Returns the configuration in force."""
+        """Returns the active configuration."""
         endpoints = [
             builders.endpoint(f"engine-{i}", address)
             for i, address in enumerate(self.boards)
@@ -92,18 +95,18 @@
         return accepted.make_snapshot(1, items)
 
     async def step(self, name, controls=None):
-        """Lets one control do its round, as the pool's owner by default."""
+        """Runs one round of a control, by default as the pool's owner."""
         title = f"# {self.clock.now()} ms: {name}"
         self.lines.append(title)
         snapshot = self.snapshot()
         await self.orderers[name].keep(snapshot, controls or [name])
         await self.orderers[name].converge(snapshot, sharers=1)
         if self.lines[-1] == title:
-            # A round without an order tells nothing.
+            # A round without orders is left out of the record.
             self.lines.pop()
 
     def note(self, text):
-        """Adds a line to the session's text."""
+        """Adds a comment line to the text record."""
         self.lines.append(f"# {text}")
 
     def old_after_new(self):
@@ -119,7 +122,7 @@
 
 
 class OrdersTest(GoldTestCase):
-    """Sessions of two controls and two kinds of engines."""
+    """Two controls and two types of engines, compared with gold files."""
 
     @asynchronous
     async def test_a_paused_holder_sends_nothing_after_its_lease_lapsed(self):
@@ -143,7 +146,7 @@
         self.assert_gold("orders-paused-holder", _text(session))
 
     async def _keep(self, session, name, ms):
-        """Lets a control do its rounds for a time."""
+        """Runs rounds of a control for a number of milliseconds."""
         for _ in range(ms // 1000):
             session.clock.set(session.clock.now() + 1000)
             await session.step(name)
@@ -153,13 +156,14 @@
         checking = await self._pause_at_send("127.0.0.1:1")
         ignoring = await self._pause_at_send("127.0.0.1:2")
         self.assertEqual(checking.old_after_new(), [])
-        # Nothing of ours can stop this one: it is seen and undone.
+        # An engine that ignores fencing numbers can't refuse the late order.
+        # The next round finds its effect and reverts it.
         self.assertEqual(len(ignoring.old_after_new()), 1)
         text = _text(checking) + _text(ignoring)
         self.assert_gold("orders-paused-at-send", text)
 
     async def _pause_at_send(self, address):
-        """Pauses a holder after its check, before its order to an engine."""
+        """Pauses a holder between its lease check and an order to an engine."""
         session = Session()
         await session.step("a")
         session.version = "2"
--- a/tests/orders/test_pauseguard.py
+++ b/tests/orders/test_pauseguard.py
@@ -1,4 +1,4 @@
-"""A process paused past its deadline ends before it can send."""
+"""Tests that a process paused past its deadline ends before it can send."""
 
 import os
 import signal
@@ -9,7 +9,8 @@
 
 from tests.helpers import ROOT
 
-# Stops itself between the check and the send, as a frozen VM process would.
+# Stops itself between the check and the send, like a process that is paused
+# from outside.
 PAUSED_SENDER = """
 import os, signal, socket, sys
 from contextlib import nullcontext
@@ -22,7 +23,7 @@
 
 
 class PauseGuardTest(unittest.TestCase):
-    """Real processes that are stopped and continued."""
+    """Sender processes that are stopped and continued by signals."""
 
     def test_a_sender_that_was_stopped_past_the_deadline_sends_nothing(self):
         status, received = self._run("guarded")
@@ -35,7 +36,7 @@
         self.assertEqual(received, b"order")
 
     def _run(self, mode):
-        """Returns the sender's exit status and what it sent."""
+        """Returns the sender's exit status and the bytes that it sent."""
         with socket.create_server(("127.0.0.1", 0)) as server:
             port = str(server.getsockname()[1])
             sender = subprocess.Popen(
@@ -43,7 +44,7 @@
             )
             peer, _ = server.accept()
             os.waitid(os.P_PID, sender.pid, os.WSTOPPED)
-            # A timer of the test's own outlasts the sender's deadline.
+            # The sender stays stopped until after its deadline.
             self._outlast_deadline()
             sender.send_signal(signal.SIGCONT)
             status = sender.wait()
