--- a/rhubarbwinch/endpoints/__init__.py
+++ b/rhubarbwinch/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Calls to endpoints: retries, relayed streams, tokens that are billed."""
+"""Calls endpoints: retries, relayed streams and counts of billed tokens."""
--- a/rhubarbwinch/endpoints/endpoints.py
+++ b/rhubarbwinch/endpoints/endpoints.py
@@ -1,4 +1,4 @@
-"""Calls to endpoints over HTTP."""
+"""Calls endpoints over HTTP."""
 
 from collections.abc import AsyncIterator
 from contextlib import AbstractAsyncContextManager, asynccontextmanager
@@ -19,11 +19,11 @@
 
 
 class EndpointClient:
-    """Speaks to endpoints, engines and plain services alike.
+    """An HTTP client for endpoints, both engines and plain services.
 
     Args:
-        silence_ms: A call without a byte for so long fails.
-        transport: Carries the calls; `transport.Transport` by default.
+        silence_ms: A call fails if no byte is received for this many ms.
+        transport: The HTTP transport; `transport.Transport` by default.
     """
 
     def __init__(
@@ -49,10 +49,11 @@
         generation: str,
         priority: int,
     ) -> AbstractAsyncContextManager[EventStream]:
-        """Starts a generation; returns a context with its events.
+        """Starts a generation; returns a context that yields its events.
 
         Raises:
-            EndpointError: On entering or while reading.
+            EndpointError: The call failed on entering the context or while
+                reading.
         """
         headers = {
             "content-type": "application/json",
@@ -65,22 +66,23 @@
     def resume(
         self, address: str, generation: str, index: int
     ) -> AbstractAsyncContextManager[EventStream]:
-        """Reads a generation again from an index; returns a context.
+        """Reads a running generation again from an index; returns a context.
 
         Raises:
-            EndpointError: On entering or while reading; a
-                `GenerationLostError` if the engine does not know it.
+            EndpointError: The call failed on entering the context or while
+                reading; it is a `GenerationLostError` if the engine does not
+                know the generation.
         """
         url = f"http://{address}/v1/generations/{generation}?from={index}"
         return self._traced("GET", url, b"", {})
 
     async def cancel(self, address: str, generation: str) -> None:
-        """Ends a generation; a failure to reach the engine is only logged."""
+        """Cancels a generation; if the engine is unreachable, logs that."""
         url = f"http://{address}/v1/generations/{generation}"
         try:
             await self._client.delete(url)
         except httpx.HTTPError as error:
-            # An engine that can't be reached is judged by its next call.
+            # The next call to this engine decides whether it is unreachable.
             events.ENDPOINT_UNREACHED.log(url=url, error=repr(error))
 
     async def set_priority(
@@ -88,8 +90,8 @@
     ) -> None:
         """Changes a running generation's priority.
 
-        A failure to reach the engine is only logged: the priority steers the
-        engine, and no answer depends on it.
+        A failure to reach the engine is only logged: the priority influences
+        the engine's scheduling, but no response depends on it.
         """
         url = f"http://{address}/v1/generations/{generation}"
         try:
@@ -103,7 +105,7 @@
         """Calls a plain service.
 
         Raises:
-            EndpointError: No whole answer came.
+            EndpointError: No complete response was received.
         """
         try:
             with tracing.stream_span("endpoint", headers, url=url):
@@ -116,10 +118,10 @@
             raise EndpointError(f"{url}: {error!r}", sent=True) from error
 
     async def read_json(self, url: str) -> Any:
-        """Returns the JSON answer of a GET.
+        """Returns the JSON response to a GET request.
 
         Raises:
-            EndpointError: No JSON came.
+            EndpointError: No complete JSON response was received.
         """
         response = await self.call("GET", url, b"", {})
         try:
@@ -140,7 +142,8 @@
         self, method: str, url: str, body: bytes, headers: dict[str, str]
     ) -> AsyncIterator[EventStream]:
         try:
-            # Tokens are passed on as bytes, so they must not be compressed.
+            # Tokens are relayed as received, so the engine must not compress
+            # them.
             headers = headers | {"accept-encoding": "identity"}
             async with self._client.stream(
                 method, url, content=body, headers=headers
@@ -160,14 +163,15 @@
     text = f"{url}: status {status}"
     if status == httpx.codes.NOT_FOUND:
         raise GenerationLostError(text)
-    # Engines that are full refuse before they start.
+    # An engine without free capacity refuses a request before running it.
     refused = status in (429, 503)
     raise EndpointError(text, sent=not refused)
 
 
 async def _events(response: httpx.Response) -> EventStream:
     splitter = Splitter()
-    # The stream itself is read: `aiter_raw` adds layers to each token.
+    # `aiter_raw` would add several calls for each token, so the underlying
+    # stream is read directly.
     assert isinstance(response.stream, httpx.AsyncByteStream)
     async for data in response.stream:
         arrived = splitter.feed(data)
--- a/rhubarbwinch/endpoints/metering.py
+++ b/rhubarbwinch/endpoints/metering.py
@@ -1,9 +1,10 @@
-"""Counts the tokens passed on for each client account, for the audit.
+"""Counts the tokens relayed for each client account, for the audit.
 
-An entry keeps totals in memory and writes them, as totals, to a key of its own
-for each period. Writing a total again changes nothing, so a lost answer needs
-no care. Streams that did not end here stand in the document one by one: if
-another entry resumes them, the audit counts the longer of the two accounts.
+An entry keeps totals in memory and writes them to its own key for each period.
+Writing a total is idempotent, so a write whose reply was lost can simply be
+repeated. Streams that did not end at this entry are listed one by one: if
+another entry resumes such a stream, both entries list it, and the audit uses
+the larger of the two token counts.
 """
 
 import anyio
@@ -24,13 +25,13 @@
 
 @attrs.define
 class MeterCount:
-    """What was passed on for an account by a service.
+    """The totals of one account and service.
 
     Attributes:
         account: The client account.
         service: The service that was called.
-        generations: Streams that ended here.
-        tokens: Their tokens.
+        generations: The number of streams that ended at this entry.
+        tokens: The number of tokens of these streams.
     """
 
     account: str
@@ -41,14 +42,16 @@
 
 @attrs.define
 class GenerationMark:
-    """A stream that is open, broke off here or was resumed here.
+    """The token count of one stream that is not part of the totals.
+
+    Such a stream is open, was cut off at this entry or was resumed here.
 
     Attributes:
-        generation: Its id.
+        generation: The generation's id.
         account: The client account.
-        service: The service that was called; empty if it is not known where
-            the stream was resumed.
-        tokens: The tokens passed on, from the stream's start.
+        service: The service that was called; empty if the entry that resumed
+            the stream does not know it.
+        tokens: The number of tokens relayed, from the stream's start.
     """
 
     generation: str
@@ -59,13 +62,13 @@
 
 @attrs.define
 class MeterDocument:
-    """What one entry counted in one period.
+    """The counts of one entry in one period.
 
     Attributes:
         incarnation: The entry's incarnation, as in its generation ids.
         last_number: The highest number of a generation that started here.
-        counts: Totals of the streams that ended here.
-        marks: The other streams.
+        counts: The totals of the streams that ended here.
+        marks: The counts of the other streams.
     """
 
     incarnation: str
@@ -76,14 +79,14 @@
 
 @attrs.frozen
 class _OpenStream:
-    """A stream that is being passed on."""
+    """A stream that is being relayed."""
 
     position: Position
     account: str
     service: str
 
     def mark(self) -> GenerationMark:
-        """Returns how far it has come."""
+        """Returns the current token count of the stream."""
         return GenerationMark(
             self.position.generation,
             self.account,
@@ -99,13 +102,13 @@
 
 
 class Meter:
-    """Counts what this entry passes on.
+    """Counts the tokens that this entry relays.
 
     Args:
         store: The platform's store.
         clock: The source of time.
         entry: This member's name.
-        incarnation: This process's number.
+        incarnation: This process's incarnation.
         flush_ms: The time between two writes.
     """
 
@@ -131,7 +134,7 @@
         self._revision: int | None = None
 
     def start(self, position: Position, account: str, service: str) -> None:
-        """Counts a stream from now on; its position is read at each write."""
+        """Starts counting a stream; its position is read at each write."""
         generation = position.generation
         origin, number = origin_of(generation)
         if origin == f"{self._incarnation:x}":
@@ -140,7 +143,12 @@
         self._open[generation] = _OpenStream(position, account, service)
 
     def end(self, generation: str, finished: bool) -> None:
-        """Notes the end of a stream here, whole or broken off."""
+        """Records the end of a stream at this entry.
+
+        Args:
+            generation: The generation's id.
+            finished: Whether the stream is complete, not cut off.
+        """
         stream = self._open.pop(generation, None)
         if stream is None:
             return
@@ -152,7 +160,7 @@
             self._broken[generation] = mark
 
     async def run(self) -> None:
-        """Writes until cancelled, and once more then."""
+        """Writes the totals periodically, and once more when cancelled."""
         try:
             while True:
                 await self._clock.sleep(self._flush_ms)
@@ -162,12 +170,12 @@
                 await self.flush()
 
     async def flush(self) -> None:
-        """Writes the totals; an outage leaves them for the next time."""
+        """Writes the totals; after a store error the next call writes them."""
         now = self._clock.wall() // PERIOD_MS
         try:
             if now > self._period:
-                # The old period is closed without its open streams before
-                # they appear in the new one.
+                # The open streams are removed from the old period before they
+                # are listed in the new one.
                 await self._write(self._document(with_open=False))
                 self._start_period(now)
             await self._write(self._document(with_open=True))
@@ -206,7 +214,8 @@
             return
         key = keys.meter(self._period, self._entry, self._incarnation)
         if self._revision is None:
-            # The last write's answer may have been lost.
+            # The revision is unknown: the reply to the last write may have
+            # been lost.
             entry = await self._store.get(key)
             self._revision = entry.revision if entry else 0
         swap = await self._store.swap(key, self._revision, data)
@@ -217,12 +226,12 @@
 
 
 class MeterCleaner:
-    """Deletes counters that are past their keeping.
+    """Deletes counters whose retention time has passed.
 
     Args:
         store: The platform's store.
         clock: The source of time.
-        keep_ms: How long counters are kept.
+        keep_ms: The retention time of counters.
     """
 
     def __init__(self, store: Store, clock: Clock, keep_ms: int) -> None:
@@ -231,7 +240,7 @@
         self._keep_ms = keep_ms
 
     async def run(self) -> None:
-        """Makes a pass each period until cancelled."""
+        """Deletes expired counters once per period until cancelled."""
         while True:
             await self._clock.sleep(PERIOD_MS)
             try:
@@ -240,7 +249,7 @@
                 events.STORE_DOWN.log(error=str(error))
 
     async def step(self) -> None:
-        """Deletes the periods that ended before the time of keeping."""
+        """Deletes the periods that ended before the retention time."""
         end = (self._clock.wall() - self._keep_ms) // PERIOD_MS
         for period in range(end - CLEANED_PERIODS, end):
             await delete_prefix(self._store, keys.meter_period(period))
--- a/rhubarbwinch/endpoints/relay.py
+++ b/rhubarbwinch/endpoints/relay.py
@@ -1,4 +1,4 @@
-"""Passes on the tokens of one generation, each once and in order."""
+"""Relays the tokens of one generation, each exactly once and in order."""
 
 from collections.abc import AsyncIterator, Callable
 from contextlib import AbstractAsyncContextManager
@@ -15,27 +15,28 @@
     GenerationLostError,
 )
 
-# Openings without a new event before a stream is given up.
+# A stream fails after this many consecutive attempts without a new event.
 MAX_RESUMES = 8
 
 
-# A stream from an endpoint: the events of each read, in the order received.
+# A stream from an endpoint; each item holds the events of one read, in order.
 EventStream = AsyncIterator[list[StreamEvent]]
-# Opens the stream from an index.
+# Opens the stream at an index.
 Opener = Callable[[int], AbstractAsyncContextManager[EventStream]]
 
 
 @attrs.define
 class Position:
-    """How far a stream has been passed on.
+    """How far a stream has been relayed.
 
     Attributes:
-        generation: The only generation that is passed on.
-        next_index: The index that comes next.
-        passed: Events passed on here, not at another entry.
-        finished: Whether the last token has been seen.
+        generation: The generation's id; events of others are refused.
+        next_index: The index of the next event.
+        passed: The number of events relayed by this entry, without those
+            relayed by another entry.
+        finished: Whether the last token has been received.
         resumes: How often the stream was opened again.
-        duplicates: Events that were dropped.
+        duplicates: The number of dropped duplicate events.
     """
 
     generation: str
@@ -47,16 +48,16 @@
 
     @property
     def open_index(self) -> int:
-        """The index to read from.
+        """The index at which the stream is opened.
 
-        A stream that another entry began is read one event early: that event
-        tells whether the caller already has the last token.
+        A stream that another entry began is opened one event early: that
+        event shows whether the caller already has the last token.
         """
         return self.next_index if self.passed else max(0, self.next_index - 1)
 
     @property
     def next_head(self) -> bytes:
-        """The first line of the event that comes next."""
+        """The first line of the next event."""
         return f"id: {self.generation}:{self.next_index}\n".encode()
 
 
@@ -64,11 +65,11 @@
     """Reads one generation to its end.
 
     Args:
-        position: Kept up to date while events are passed on.
-        start: Opens the stream at first.
-        resume: Opens it again.
-        clock: The source of time for the waits between openings.
-        backoff: How long these waits are.
+        position: The position of the stream, updated with each event.
+        start: Opens the stream for the first time.
+        resume: Opens the stream again.
+        clock: The source of time for the delays between attempts.
+        backoff: The length of these delays.
     """
 
     def __init__(
@@ -90,17 +91,17 @@
 
     @property
     def position(self) -> Position:
-        """How far the stream has been passed on."""
+        """How far the stream has been relayed."""
         return self._position
 
     async def events(self) -> EventStream:
-        """Yields the events from `position.next_index` on, joined by read.
+        """Yields the events from `position.next_index` on, grouped by read.
 
-        A duplicate is dropped. After a gap, a silence or a broken link the
-        stream is opened again at the index that is missing.
+        Duplicates are dropped. After a gap, a read timeout or a lost
+        connection the stream is opened again at the missing index.
 
         Raises:
-            EndpointError: The stream can't be had to its end.
+            EndpointError: The stream can't be read to its end.
         """
         position = self._position
         while True:
@@ -111,11 +112,12 @@
                         return
                 raise EndpointError("the stream ended early", sent=True)
             except EndpointError as error:
-                # A later opening that fails unsent does not undo an earlier.
+                # The request counts as sent if any attempt so far sent it,
+                # even if the latest attempt failed before sending.
                 self._was_sent = self._was_sent or self._is_open or error.sent
                 error.sent = self._was_sent
                 if position.finished and self._is_hopeless(error):
-                    # Every token is there; only the mark of the end is not.
+                    # All tokens were received; only the end marker is missing.
                     yield [StreamEvent(DONE)]
                     return
                 if self._is_hopeless(error):
@@ -123,7 +125,7 @@
                 await self._prepare_resume(error)
 
     async def _read(self) -> EventStream:
-        """Yields what is new in one opening of the stream."""
+        """Opens the stream once and yields its new events."""
         position = self._position
         self._is_open = False
         async with self._opener(position.open_index) as stream:
@@ -135,7 +137,7 @@
                         if _is_next(position, event):
                             fresh.append(event)
                 except EndpointError:
-                    # What came before the fault is still good.
+                    # The events before the invalid one are still valid.
                     if fresh:
                         yield fresh
                     raise
@@ -146,13 +148,13 @@
                     return
 
     def _is_hopeless(self, error: EndpointError) -> bool:
-        """Tells whether opening the stream once more can't help."""
+        """Returns whether opening the stream again can't succeed."""
         if isinstance(error, (ForeignGenerationError, GenerationLostError)):
             return True
         if self._failures >= MAX_RESUMES:
             return True
-        # Before the first token another engine is the better choice, unless
-        # the engine has just answered and only takes its time.
+        # Before the first token it is better to use another engine, unless
+        # this engine has accepted the request and is only slow.
         return self._position.next_index == 0 and not self._is_open
 
     async def _prepare_resume(self, error: EndpointError) -> None:
@@ -170,12 +172,12 @@
 
 
 def _is_next(position: Position, event: StreamEvent) -> bool:
-    """Tells whether an event comes next; False for one to drop.
+    """Returns whether an event is the next one; False if it is to be dropped.
 
     Raises:
-        ForeignGenerationError: It is of another generation.
+        ForeignGenerationError: The event belongs to another generation.
         GenerationLostError: The engine reports a failure.
-        EndpointError: Events before it are missing.
+        EndpointError: Events before this event are missing.
     """
     if event.raw.startswith(position.next_head):
         position.next_index += 1
@@ -191,7 +193,7 @@
 
 
 def _is_other(position: Position, event: StreamEvent) -> bool:
-    """Handles an event that is not the one that comes next, as `_is_next`."""
+    """Does the work of `_is_next` for an event with another first line."""
     if event.is_comment:
         return False
     if event.is_error:
@@ -202,7 +204,8 @@
     if found.index > position.next_index:
         raise EndpointError(f"a gap before {found.index}", sent=True)
     if found.index == position.next_index:
-        # The same id in another spelling, such as without the space.
+        # The id is the expected one in another spelling, such as without the
+        # space.
         position.next_index += 1
         position.passed += 1
         position.finished = position.finished or event.is_last_token
--- a/rhubarbwinch/endpoints/retries.py
+++ b/rhubarbwinch/endpoints/retries.py
@@ -1,4 +1,4 @@
-"""Retries: the wait before each and the budget that bounds them."""
+"""Limits retries by backoff delays and a retry budget."""
 
 import random
 from typing import Protocol
@@ -8,12 +8,12 @@
 
 @attrs.frozen
 class Backoff:
-    """Waits that double, each with full jitter.
+    """Exponential backoff with jitter of up to half the delay.
 
     Attributes:
-        rng: Draws the jitter, so that callers do not come back together.
-        first_ms: The longest first wait.
-        max_ms: The longest wait.
+        rng: Draws the jitter, so that callers do not retry at the same time.
+        first_ms: The longest first delay.
+        max_ms: The longest delay.
     """
 
     rng: random.Random
@@ -21,20 +21,20 @@
     max_ms: int = 2000
 
     def wait_ms(self, failures: int) -> int:
-        """Returns the wait after a number of failures, at least 1."""
+        """Returns the delay in ms after `failures` failures, at least 1."""
         top = min(self.max_ms, self.first_ms * 2 ** (failures - 1))
         return self.rng.randint(top // 2, top)
 
 
 class RetryBudget(Protocol):
-    """Bounds the retries of each client account."""
+    """Limits the retries of each client account."""
 
     def add_request(self, account: str) -> None:
-        """Counts a first attempt, which earns a part of a retry."""
+        """Counts a first attempt, which adds to the budget."""
         ...
 
     def take_retry(self, account: str) -> bool:
-        """Takes one retry out of the budget; False when it is spent."""
+        """Takes one retry from the budget; returns False if it is empty."""
         ...
 
 
@@ -42,8 +42,8 @@
     """A retry budget that grows with the requests of an account.
 
     Args:
-        ratio: Retries that each request earns.
-        burst: The most that an account can save up; also its start.
+        ratio: The number of retries that each request adds to the budget.
+        burst: The highest budget of an account, and its initial budget.
     """
 
     def __init__(self, ratio: float = 0.1, burst: float = 10.0) -> None:
@@ -52,12 +52,12 @@
         self._saved: dict[str, float] = {}
 
     def add_request(self, account: str) -> None:
-        """Counts a first attempt, which earns a part of a retry."""
+        """Counts a first attempt, which adds to the budget."""
         saved = self._saved.get(account, self._burst) + self._ratio
         self._saved[account] = min(self._burst, saved)
 
     def take_retry(self, account: str) -> bool:
-        """Takes one retry out of the budget; False when it is spent."""
+        """Takes one retry from the budget; returns False if it is empty."""
         saved = self._saved.get(account, self._burst)
         if saved < 1:
             return False
--- a/tests/endpoints/test_endpoints.py
+++ b/tests/endpoints/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Calls to engines whose failure changes no answer."""
+"""Tests of calls to engines whose failure is logged and otherwise ignored."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 
 
 def refuse(request):
-    """Fails as an engine that is gone does."""
+    """Fails like a connection to an engine that has stopped."""
     raise httpx.ConnectError("refused", request=request)
 
 
--- a/tests/endpoints/test_relay.py
+++ b/tests/endpoints/test_relay.py
@@ -1,4 +1,4 @@
-"""Tokens once, in order, of one generation; the engine is a script."""
+"""Tests that a relay passes each token on once and in order despite faults."""
 
 import random
 from contextlib import asynccontextmanager
@@ -21,10 +21,11 @@
 
 
 class ScriptedEngine:
-    """Plays one list of steps for each opening of the stream.
+    """Plays one list of steps for each attempt to open the stream.
 
-    A step is an index, bytes, or an error to raise; a list of them in a
-    list arrives in one read. A first step `None` lets the opening fail.
+    A step is the index of an event, bytes, or an error to raise. A nested
+    list of steps arrives in one read. If the first step is an error, the
+    attempt to open the stream fails.
     """
 
     def __init__(self, *openings):
@@ -146,7 +147,7 @@
 
 
 class RelayTest(GoldTestCase):
-    """A relay in front of a scripted engine."""
+    """A relay that reads from a scripted engine."""
 
     @asynchronous
     async def test_each_fault_of_a_stream_ends_as_in_the_gold(self):
@@ -163,7 +164,7 @@
 
 
 async def _play(first, openings):
-    """Returns what a session did as text."""
+    """Runs a relay and returns a text record of its events."""
     engine = ScriptedEngine(*openings)
     position = Position(G, first)
     clock = ManualClock()
