--- a/rhubarbwinch/configuration/publisher.py
+++ b/rhubarbwinch/configuration/publisher.py
@@ -95,7 +95,9 @@
             events.STORE_BEHIND.log(
                 store=head.generation, in_force=self._follower.head.generation
             )
-            raise StoreUnavailable(f"the store is at {head.generation}")
+            raise StoreUnavailable(
+                f"store has an older head: generation {head.generation}"
+            )
         statuses = await self._store.scan(keys.STATUS)
         listing = await self._store.scan(keys.RECORDS)
         self._view = _View(
--- a/rhubarbwinch/records/__init__.py
+++ b/rhubarbwinch/records/__init__.py
@@ -1,1 +1,1 @@
-"""What operators write: records, their schemas, accepted configurations."""
+"""Defines operators' records, their schemas and the accepted configuration."""
--- a/rhubarbwinch/records/accepted.py
+++ b/rhubarbwinch/records/accepted.py
@@ -1,7 +1,7 @@
-"""The accepted configuration: records in force, in chunks under one head.
+"""The accepted configuration: the active records, in chunks under one head.
 
-The head names a generation and the digest of each chunk. Chunks never change;
-a change of a record writes one new chunk and moves the head by
+The head contains the generation and the digest of each chunk. Chunks are
+immutable: a change of a record writes one new chunk and replaces the head by
 compare-and-swap.
 """
 
@@ -36,11 +36,12 @@
 
 @attrs.frozen
 class Head:
-    """What is in force.
+    """The generation and the chunks of the configuration.
 
     Attributes:
         generation: Raised by one with each change.
-        chunks: The digests, a chunk for each slot; empty if it has none.
+        chunks: The digest of each slot's chunk; empty for a slot without
+            records.
     """
 
     generation: int = 0
@@ -52,10 +53,10 @@
 
 
 def parse_head(data: bytes) -> Head:
-    """Returns the head in its JSON form.
+    """Parses a head from JSON.
 
     Raises:
-        CodecError: It is not a head.
+        CodecError: The data is not a head.
     """
     try:
         value = orjson.loads(data)
@@ -76,13 +77,13 @@
 
 @attrs.frozen
 class Chunk:
-    """The records of a slot, each with the bytes that its operator wrote."""
+    """The records of a slot, each as the bytes that the operator wrote."""
 
     records: list[bytes]
 
 
 def pack_chunk(items: Iterable[Record]) -> bytes:
-    """Returns the chunk of a slot's records, empty without any."""
+    """Returns the chunk of a slot's records; empty if there are none."""
     ordered = sorted(items, key=lambda record: record.key)
     if not ordered:
         return b""
@@ -98,7 +99,7 @@
 
 
 def digest(chunk: bytes) -> str:
-    """Returns the name of a chunk; empty for an empty one."""
+    """Returns the digest that names a chunk; empty for an empty chunk."""
     return hashlib.sha256(chunk).hexdigest()[:32] if chunk else ""
 
 
@@ -106,7 +107,7 @@
     """Returns the records of a chunk.
 
     Raises:
-        CodecError: It is not a chunk.
+        CodecError: The data is not a chunk.
     """
     if not chunk:
         return []
@@ -115,7 +116,7 @@
         try:
             found.append(records.parse(item))
         except RecordError as error:
-            # A newer program accepted what this one can't read.
+            # A newer program accepted a record that this one can't parse.
             events.RECORD_REJECTED.log(error=str(error))
     return found
 
@@ -139,12 +140,13 @@
     def pools_near(
         self, target: str, data_center: str, request: str
     ) -> list[str]:
-        """Returns a target's pools, those in `data_center` first.
+        """Returns the names of a target's pools, those in `data_center` first.
 
         Args:
-            target: The model or plain service.
-            data_center: Where the asking entry is.
-            request: Spreads requests over the pools of one data centre.
+            target: The name of the model or plain service.
+            data_center: The data centre of the entry.
+            request: The request id; its hash spreads requests over the pools
+                of one data centre.
         """
         return sorted(
             rendezvous.ranking(request, self.pools_of(target)),
@@ -163,16 +165,16 @@
     removed: Iterable[Record],
     added: Iterable[Record],
 ) -> Snapshot:
-    """Builds a snapshot from an older one, which stays as it is.
+    """Builds a snapshot from an older one, which is not modified.
 
-    Only the records that are added are checked, so the cost of a change does
-    not grow with the configuration beyond the copies of the indexes.
+    Only the added records are checked. So apart from copying the indexes, the
+    cost of a change does not grow with the size of the configuration.
 
     Args:
         old: The snapshot to start from.
         generation: The new generation.
-        removed: Records of `old` to leave out.
-        added: Records to put in, after the removals.
+        removed: Records of `old` to remove.
+        added: Records to add after the removals.
     """
     snapshot = Snapshot(
         generation,
@@ -198,13 +200,14 @@
         try:
             index[record.kind][record.name] = records.check(record)
         except RecordError:
-            # An older program beside a newer one keeps what it can't read.
+            # While an older program runs beside a newer one, it keeps records
+            # that it can't check.
             continue
     return snapshot
 
 
 async def read_head(store: Store) -> tuple[Head, int]:
-    """Returns the head in the store and its revision, 0 if there is none."""
+    """Returns the head in the store and its revision; 0 if there is no head."""
     entry = await store.get(keys.ACCEPTED_HEAD)
     if entry is None:
         return Head(), 0
@@ -212,22 +215,22 @@
 
 
 async def read_chunk(store: Store, name: str) -> bytes:
-    """Returns a chunk.
+    """Reads a chunk from the store.
 
     Raises:
-        StoreUnavailable: The store does not have it.
-        CodecError: Its content does not match its name.
+        StoreUnavailable: The store does not have the chunk.
+        CodecError: The chunk's content does not match its name.
     """
     entry = await store.get(keys.chunk(name))
     if entry is None:
         raise StoreUnavailable(f"chunk {name} is missing")
     if digest(entry.value) != name:
-        raise CodecError(f"chunk {name} has other content")
+        raise CodecError(f"chunk {name} does not match its digest")
     return entry.value
 
 
 async def write_chunk(store: Store, chunk: bytes) -> str:
-    """Writes a chunk if it is not there; returns its name."""
+    """Writes a chunk to the store unless it exists; returns its name."""
     name = digest(chunk)
     if name:
         await store.swap(keys.chunk(name), 0, chunk)
--- a/rhubarbwinch/records/apikeys.py
+++ b/rhubarbwinch/records/apikeys.py
@@ -1,4 +1,4 @@
-"""API keys of client accounts, kept as salted hashes."""
+"""Checks API keys of client accounts against their salted hashes."""
 
 import hashlib
 import hmac
@@ -13,19 +13,19 @@
 
 
 def matches(key: str, stored: KeyHash) -> bool:
-    """Tells whether a key is the one that was hashed, in constant time."""
+    """Returns whether a key has the stored hash; compares in constant time."""
     return hmac.compare_digest(hash_key(key, stored.salt), stored.digest)
 
 
 class KeyChecker:
-    """Finds the account of an API key: `account.secret`."""
+    """Finds the account of an API key of the form `account.secret`."""
 
     def __init__(self) -> None:
         self._generation = -1
         self._known: dict[str, str] = {}
 
     def account_of(self, key: str, snapshot: Snapshot) -> str | None:
-        """Returns the account's name, or None if the key is not valid."""
+        """Returns the account's name, or None if the key is invalid."""
         if snapshot.generation != self._generation:
             self._known.clear()
             self._generation = snapshot.generation
--- a/rhubarbwinch/records/records.py
+++ b/rhubarbwinch/records/records.py
@@ -1,8 +1,9 @@
-"""Operators' records: their schemas, checks and conversion.
+"""Parses, checks and converts operators' records.
 
 A record is a JSON object `{"schema": 2, "kind": ..., "name": ..., "spec":
-{...}}`. Schema 1 is converted to 2 when it is read. A record of an unknown
-newer schema is kept as it is and not used. docs/records.md lists the fields.
+{...}}`. Schema 1 is converted to schema 2 when the record is read. A record of
+an unknown newer schema is stored unchanged but not used. docs/records.md lists
+the fields.
 """
 
 from collections.abc import Callable, Iterator
@@ -81,7 +82,7 @@
 
 @CONVERTERS.register("service/1")
 def _service_1(spec: JSON) -> JSON:
-    """Schema 1 marked all calls of a service or none."""
+    """Schema 1 marked either all calls of a service as idempotent or none."""
     spec = dict(spec)
     if not spec.pop("idempotent", True):
         spec["not_repeatable"] = ["POST /*"]
@@ -113,7 +114,7 @@
         name: Unique within the kind.
         schema: The schema version of `spec`.
         spec: The fields, unchecked.
-        raw: The bytes that it was read from, if any.
+        raw: The bytes that the record was parsed from, if any.
     """
 
     kind: str
@@ -124,7 +125,7 @@
 
     @property
     def key(self) -> str:
-        """`kind/name`."""
+        """The record's key, `kind/name`."""
         return f"{self.kind}/{self.name}"
 
     @property
@@ -144,14 +145,14 @@
 
 
 def parse(data: bytes | JSON, where: str = "?") -> Record:
-    """Returns the record in a JSON object.
+    """Parses a record from a JSON object.
 
     Args:
         data: The object or its bytes.
-        where: Names the source in errors.
+        where: The name of the source in error messages.
 
     Raises:
-        RecordError: It is not a record of a known kind.
+        RecordError: The data is not a record of a known kind.
     """
     raw = data if isinstance(data, bytes) else b""
     if isinstance(data, bytes):
@@ -167,7 +168,7 @@
     kind, name = data.get("kind"), data.get("name")
     schema, spec = data.get("schema"), data.get("spec", {})
     where = f"{kind}/{name}"
-    # A newer schema may bring kinds that this program does not know.
+    # A newer schema may have kinds that this program does not know.
     is_newer = type(schema) is int and schema > CURRENT_SCHEMA
     if kind not in KINDS and not (is_newer and isinstance(kind, str)):
         raise RecordError(where, "kind", kind, ", ".join(KINDS))
@@ -202,7 +203,7 @@
 
 
 def errors(record: Record) -> list[RecordError]:
-    """Returns everything that `check` has against a record."""
+    """Returns all errors that make `check` reject a record."""
     if record.is_newer:
         allowed = f"1 to {CURRENT_SCHEMA}"
         return [RecordError(record.key, "schema", record.schema, allowed)]
@@ -213,7 +214,7 @@
 
 
 def _spec_faults(spec: JSON, kind: Any) -> Iterator[FieldError]:
-    """Yields the faults of each field, in the order of the class."""
+    """Yields the errors of each field, in the order of the class."""
     fields = attrs.fields(kind)
     for field in fields:
         if field.name in spec:
@@ -238,7 +239,7 @@
 
 
 def upgrade(record: Record) -> Record:
-    """Returns a record of a known schema in the current one."""
+    """Converts a record of a known schema to the current schema."""
     spec = record.spec
     for schema in range(record.schema, CURRENT_SCHEMA):
         spec = CONVERTERS.get(f"{record.kind}/{schema}")(spec)
@@ -272,7 +273,7 @@
 
 
 def _faults(error: BaseException, path: str) -> Iterator[FieldError]:
-    """Yields the faults in cattrs's tree, each with its whole path."""
+    """Yields the field errors in a cattrs error tree, with their full paths."""
     if isinstance(error, ClassValidationError | IterableValidationError):
         noted, plain = error.group_exceptions()
         for inner, note in noted:
@@ -292,7 +293,7 @@
             yield FieldError(field, "present", "no such field")
     elif isinstance(error, KeyError):
         missing = str(error.args[0])
-        # cattrs has noted the field of a nested class already.
+        # For a nested class, cattrs has already added the field to the path.
         noted_already = path.rpartition(".")[2] == missing
         field = path if noted_already else f"{path}.{missing}"
         yield FieldError(field, "missing", "required")
--- a/rhubarbwinch/records/secretkeys.py
+++ b/rhubarbwinch/records/secretkeys.py
@@ -1,4 +1,4 @@
-"""Makes key pairs for links and API keys for client accounts."""
+"""Generates key pairs for links and API keys for client accounts."""
 
 import secrets
 
@@ -20,8 +20,8 @@
 
     Attributes:
         account: The client account.
-        secret: The whole key, as its callers send it.
-        hashed: What goes into the account's record.
+        secret: The whole key, as callers send it.
+        hashed: The salted hash for the account's record.
     """
 
     account: str
@@ -30,23 +30,23 @@
 
 
 def make_link_keys() -> LinkKeys:
-    """Returns a new CURVE key pair."""
+    """Generates a CURVE key pair."""
     public, secret = zmq.curve_keypair()
     return LinkKeys(public.decode(), secret.decode())
 
 
 def make_api_key(account: str) -> ApiKey:
-    """Returns a new API key of an account: `account.secret`."""
+    """Generates an API key of the form `account.secret`."""
     key = f"{account}.{secrets.token_urlsafe(_SECRET_BYTES)}"
     salt = secrets.token_hex(_SALT_BYTES)
     return ApiKey(account, key, KeyHash(salt, hash_key(key, salt)))
 
 
 def add_key(record: Record, hashed: KeyHash) -> Record:
-    """Returns an account's record with one more key, in the newest schema.
+    """Returns an account's record with one more key, in the current schema.
 
     Raises:
-        RecordError: The record is of a newer schema than is known.
+        RecordError: The record's schema is newer than this program knows.
     """
     if record.is_newer:
         raise RecordError(record.key, "schema", record.schema, "a known one")
--- a/rhubarbwinch/records/specs.py
+++ b/rhubarbwinch/records/specs.py
@@ -1,4 +1,4 @@
-"""The fields of records, as attrs classes with their rules."""
+"""Defines the fields of records as attrs classes with validators."""
 
 import re
 from collections.abc import Callable
@@ -25,11 +25,11 @@
 
 @attrs.frozen
 class _Rule:
-    """A validator of a field that can say what it allows.
+    """A field validator that can describe the allowed values.
 
     Attributes:
-        allowed: What is allowed, in words.
-        accepts: Tells whether a value is.
+        allowed: A description of the allowed values.
+        accepts: Returns whether a value is allowed.
     """
 
     allowed: str
@@ -56,7 +56,7 @@
 
 
 def is_name(value: Any) -> bool:
-    """Tells whether a value may name a record."""
+    """Returns whether a value is a valid record name."""
     return isinstance(value, str) and bool(_NAME.match(value))
 
 
@@ -78,9 +78,9 @@
     """A model that engines can load.
 
     Attributes:
-        context_tokens: Prompt and output together are at most this long.
-        versions: The versions that may be in use side by side.
-        adapters: Names of adapters that can be loaded on top.
+        context_tokens: The most tokens of prompt and output together.
+        versions: The versions that may be in use at the same time.
+        adapters: The names of adapters that can be loaded for the model.
     """
 
     context_tokens: int = attrs.field(
@@ -98,7 +98,7 @@
         name: Unique among all endpoints.
         address: `a.b.c.d:port`.
         checks_fencing: Whether it refuses orders with an old fencing number.
-        role: What an engine does: `mixed`, `prefill` or `decode`.
+        role: The work of an engine: `mixed`, `prefill` or `decode`.
     """
 
     name: str = attrs.field(validator=_is_name)
@@ -115,9 +115,9 @@
 
     Attributes:
         target: The model's or plain service's name.
-        data_center: Where the endpoints are.
+        data_center: The data centre of the endpoints.
         endpoints: The endpoints, at most 64.
-        max_running: Requests that an endpoint runs at once.
+        max_running: The most requests that an endpoint runs at once.
     """
 
     target: str = attrs.field(validator=_is_name)
@@ -138,11 +138,11 @@
 
 @attrs.frozen
 class Room:
-    """How much an account may have in flight.
+    """The limits of an account's requests in flight.
 
     Attributes:
-        requests: Requests at once.
-        tokens: Prompt and expected output tokens at once.
+        requests: The most requests in flight.
+        tokens: The most prompt and expected output tokens in flight.
     """
 
     requests: int = attrs.field(default=256, validator=_between(0, 1_000_000))
@@ -156,9 +156,9 @@
     Attributes:
         keys: Hashes of its API keys.
         services: The services that it may call.
-        weight: Its share when engines are crowded.
-        room: What it may have in flight.
-        requests_per_second: The rate of new requests; 0 is no limit.
+        weight: Its share of the capacity while requests are queued.
+        room: The limits of its requests in flight.
+        requests_per_second: The highest rate of new requests; 0 is no limit.
     """
 
     keys: list[KeyHash] = attrs.field(factory=list)
@@ -172,17 +172,17 @@
 
 @attrs.frozen
 class ServiceSpec:
-    """A name that callers use: a model with its settings, or plain calls.
+    """A name that callers use: a model with its settings, or a plain service.
 
     Attributes:
         kind: `generate` for a model, `plain` for other calls.
-        target: The model or the plain service's pools.
+        target: The model, or the target of the plain service's pools.
         version: The model version.
         adapter: The adapter's name, or empty.
         interactive: Whether a person waits for the first token.
-        wait_ms: The longest wait in the queue.
+        wait_ms: The longest wait in the queue, in ms.
         not_repeatable: `METHOD /path` of calls that run at most once.
-        retention_ms: How long an idempotency key is kept.
+        retention_ms: How long an idempotency key is kept, in ms.
     """
 
     kind: str = attrs.field(validator=_one_of("generate", "plain"))
@@ -199,10 +199,10 @@
 
 @attrs.frozen
 class VmSpec:
-    """A VM, named by its IP number.
+    """A VM, named by its IP address.
 
     Attributes:
-        leaving: Whether it gets no new work.
+        leaving: Whether the VM is leaving and gets no new work.
     """
 
     leaving: bool = True
@@ -218,6 +218,6 @@
 
 
 def allowed(field: "attrs.Attribute[Any]") -> str:
-    """Returns what a field allows beyond its type, or empty."""
+    """Returns a description of the allowed values beyond the type, or empty."""
     rule = field.validator
     return rule.allowed if isinstance(rule, _Rule) else ""
--- a/rhubarbwinch/stores/__init__.py
+++ b/rhubarbwinch/stores/__init__.py
@@ -1,1 +1,1 @@
-"""The key-value store: its interface, its adapters and its keys."""
+"""Defines the key-value store's interface, its adapters and its keys."""
--- a/rhubarbwinch/stores/etcdstore.py
+++ b/rhubarbwinch/stores/etcdstore.py
@@ -1,4 +1,4 @@
-"""The store adapter for etcd v3, through its published JSON gateway."""
+"""Implements the store interface for etcd v3 through its JSON gateway."""
 
 import base64
 from collections.abc import AsyncIterator
@@ -12,8 +12,8 @@
 
 JSON = dict[str, Any]
 
-# The server sends progress on an idle watch; a watch without a byte for this
-# long is taken as cut.
+# The server sends progress messages on an idle watch. A watch that receives no
+# byte for this time counts as disconnected.
 WATCH_SILENCE_S = 15.0
 
 
@@ -51,11 +51,11 @@
 
 @STORES.register("etcd")
 class EtcdStore:
-    """A store spoken to over HTTP.
+    """An etcd store, accessed over HTTP.
 
     Args:
-        address: `a.b.c.d:port` of the gateway.
-        timeout_ms: The longest wait for an answer.
+        address: `a.b.c.d:port` of the JSON gateway.
+        timeout_ms: The timeout of each call.
     """
 
     def __init__(self, address: str, timeout_ms: int) -> None:
@@ -95,7 +95,10 @@
         return await self._txn(key, expected, delete)
 
     async def grant_lease(self, ttl_ms: int) -> int:
-        """Returns the id of a new lease; etcd counts whole seconds."""
+        """Returns the id of a new lease.
+
+        etcd leases last whole seconds, so `ttl_ms` is rounded up.
+        """
         body = {"TTL": str(max(1, -(-ttl_ms // 1000))), "ID": "0"}
         answer = await self._write("/v3/lease/grant", body)
         return int(answer["ID"])
@@ -178,6 +181,7 @@
         except httpx.HTTPError as error:
             raise StoreUncertain(f"{path}: {error!r}") from error
         if response.status_code != httpx.codes.OK:
-            # The gateway answers 503 also for a write whose fate it has lost.
+            # The gateway also responds with 503 to a write whose outcome it
+            # does not know.
             raise StoreUncertain(f"{path}: status {response.status_code}")
         return orjson.loads(response.content)
--- a/rhubarbwinch/stores/keys.py
+++ b/rhubarbwinch/stores/keys.py
@@ -1,4 +1,4 @@
-"""The keys in the platform's store, all in one place."""
+"""Defines all keys in the platform's store."""
 
 ROOT = "rhubarbwinch/"
 RECORDS = ROOT + "records/"
@@ -20,7 +20,7 @@
 
 
 def status(kind: str, name: str) -> str:
-    """Returns the key of the status beside a record."""
+    """Returns the key of a record's status."""
     return f"{STATUS}{kind}/{name}"
 
 
@@ -30,7 +30,7 @@
 
 
 def order_holder(pool: str) -> str:
-    """Returns the key, under a lease, of the holder of a pool's orders."""
+    """Returns the key of the holder of a pool's orders; it is under a lease."""
     return f"{ORDERS}holder/{pool}"
 
 
@@ -50,12 +50,12 @@
 
 
 def claims_window(window: int) -> str:
-    """Returns the prefix of a window's pages; the digits sort by time."""
+    """Returns the prefix of a window's pages; prefixes sort by time."""
     return f"{CLAIMS}{window:012d}"
 
 
 def meter(period: int, entry: str, incarnation: int) -> str:
-    """Returns the key of what an entry counted in a period."""
+    """Returns the key of an entry's counters of a period."""
     return f"{meter_period(period)}{entry}/{incarnation:x}"
 
 
@@ -70,5 +70,5 @@
 
 
 def trial(endpoint: str) -> str:
-    """Returns the key that is held while a suspect runs on an endpoint."""
+    """Returns the key that is locked while a suspect runs on an endpoint."""
     return f"{QUARANTINE}trials/{endpoint}"
--- a/rhubarbwinch/stores/memstore.py
+++ b/rhubarbwinch/stores/memstore.py
@@ -1,4 +1,4 @@
-"""A store in memory, for tests and for programs that embed the parts."""
+"""An in-memory store, for tests and for programs that embed this package."""
 
 import itertools
 from collections.abc import AsyncIterator
@@ -13,11 +13,12 @@
 
 @attrs.define
 class StoreFaults:
-    """What goes wrong with the next calls.
+    """Faults to inject into the next calls.
 
     Attributes:
-        down: Every call fails without effect.
-        lose_answers: How many of the next writes take effect and then fail.
+        down: Whether every call fails without effect.
+        lose_answers: The number of following writes that take effect but raise
+            an error, as if the response had been lost.
     """
 
     down: bool = False
@@ -26,7 +27,7 @@
 
 @attrs.define
 class _Lease:
-    """A lease's end and the keys under it."""
+    """A lease's expiry time and the keys under it."""
 
     ttl_ms: int
     ends: int
@@ -34,10 +35,10 @@
 
 
 class MemoryStore:
-    """A key-value store without a network.
+    """A key-value store in the memory of this process.
 
     Args:
-        clock: The time by which leases lapse.
+        clock: The source of time for the expiry of leases.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -85,7 +86,7 @@
         if (current.revision if current else 0) != expected:
             return Swap(False, current.revision if current else 0, current)
         if lease and lease not in self._leases:
-            raise StoreUnavailable(f"lease {lease} is gone")
+            raise StoreUnavailable(f"lease {lease} does not exist")
         self._revision += 1
         entry = Entry(key, value, self._revision)
         self._entries[key] = entry
@@ -148,13 +149,13 @@
         """Does nothing; there are no connections."""
 
     def expire_leases(self) -> None:
-        """Ends the leases whose time is over; each call does so as well."""
+        """Ends the expired leases; every call to the store does so as well."""
         now = self._clock.now()
         for lease in [k for k, v in self._leases.items() if v.ends <= now]:
             self._end_lease(lease)
 
     def wake_watches(self) -> None:
-        """Lets watches look at the faults."""
+        """Wakes the watches, so that they check for faults."""
         self._changed.set()
         self._changed = anyio.Event()
 
--- a/rhubarbwinch/stores/store.py
+++ b/rhubarbwinch/stores/store.py
@@ -1,4 +1,4 @@
-"""The interface of the platform's key-value store, and its adapters."""
+"""Defines the interface of the key-value store and the adapter registry."""
 
 from collections.abc import AsyncIterator, Callable
 from typing import Protocol
@@ -33,12 +33,14 @@
 
 @attrs.frozen
 class Swap:
-    """The answer to a compare-and-swap.
+    """The result of a compare-and-swap.
 
     Attributes:
         won: Whether the value was written.
-        revision: The revision written, or else of the value in the way.
-        current: The value in the way; None if the key is absent.
+        revision: The new revision if the value was written, else that of the
+            current value.
+        current: If nothing was written, the current value; None if the key is
+            absent.
     """
 
     won: bool
@@ -48,7 +50,7 @@
 
 @attrs.frozen
 class Change:
-    """One change under a watched prefix; no entry means a deletion."""
+    """One change under a watched prefix; for a deletion the entry is None."""
 
     key: str
     revision: int
@@ -73,8 +75,8 @@
 class Store(Protocol):
     """A key-value store with compare-and-swap, leases and watches.
 
-    Every method raises `StoreUnavailable` when certainly nothing was written,
-    and `StoreUncertain` when a write may have taken effect.
+    Every method raises `StoreUnavailable` if it is certain that nothing was
+    written, and `StoreUncertain` if a write may have taken effect.
     """
 
     async def get(self, key: str) -> Entry | None:
@@ -117,23 +119,28 @@
 
 
 class PollingStore(Store, Protocol):
-    """A store whose watches are answered by batches of changes."""
+    """A store whose changes are read by long polling."""
 
     async def poll(self, prefix: str, after: int, wait_ms: int) -> ChangeBatch:
-        """Returns the changes after a revision, or waits for the first.
+        """Returns the changes after a revision; waits if there are none.
+
+        Args:
+            prefix: The prefix of the keys.
+            after: The revision after which changes are returned.
+            wait_ms: The longest wait for a change.
 
         Raises:
-            StoreCompacted: The changes are no longer known.
-            StoreUnavailable: The store did not answer.
+            StoreCompacted: The store no longer has the changes.
+            StoreUnavailable: The store did not respond.
         """
         ...
 
 
 async def delete_prefix(store: Store, prefix: str) -> int:
-    """Deletes what is under a prefix; returns how many keys there were.
+    """Deletes all keys under a prefix; returns the number of keys found.
 
     Raises:
-        StoreError: Some of it may be left.
+        StoreError: Some of the keys may not have been deleted.
     """
     listing = await store.scan(prefix)
     for entry in listing.entries:
--- a/rhubarbwinch/stores/tracedstore.py
+++ b/rhubarbwinch/stores/tracedstore.py
@@ -1,4 +1,4 @@
-"""A store whose calls within a request are spans of the request's trace."""
+"""Wraps a store so that its calls become spans of the request's trace."""
 
 from collections.abc import AsyncIterator
 
@@ -7,12 +7,12 @@
 
 
 class TracedStore:
-    """Passes calls on to another store, each in a span.
+    """Forwards calls to another store, each in a span.
 
-    Calls outside a recorded span, such as lease renewals, make none.
+    Calls outside a recorded span, such as lease renewals, create no span.
 
     Args:
-        store: The store that does the work.
+        store: The store to which calls are forwarded.
     """
 
     def __init__(self, store: Store) -> None:
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,4 +1,4 @@
-"""A small deployment of separate processes on the loopback address."""
+"""Runs a small deployment of separate processes on the loopback address."""
 
 import json
 
@@ -11,13 +11,15 @@
 
 
 class Fleet(Processes):
-    """Stand-ins, a control, a broker and entries; started on entering.
+    """Stand-ins, a control, a broker and entries; a context manager.
+
+    The processes are started on entering the context.
 
     Args:
-        entries: How many entries there are.
-        engines: How many engines there are.
-        speed: How much faster than real time the engines run.
-        control_options: More flags of the control.
+        entries: The number of entries.
+        engines: The number of engines.
+        speed: How many times faster than real time the engines run.
+        control_options: Additional flags of the control.
         logs: The directory for the logs of all processes, or None.
     """
 
@@ -56,14 +58,14 @@
         self.start(name, "lab.standins.engine", *options)
 
     def start_role(self, role, name, http, *options):
-        """Starts one of the programs."""
+        """Starts a program: an entry, a broker or a control."""
         self.links[name] = free_address()
         arguments = ["--name", name, "--link", self.links[name], "--http", http]
         arguments += ["--store", self.store, "--data-center", "dc-a"]
         self.start(name, f"rhubarbwinch {role}", *arguments, *options)
 
     def add_entry(self, name):
-        """Starts one more entry and returns its address."""
+        """Starts an additional entry and returns its address."""
         address = free_address()
         self.start_role("entry", name, address)
         self.wait_ready(address)
@@ -86,7 +88,7 @@
         ]
 
     def apply(self, items):
-        """Applies records by the command line; returns its exit status."""
+        """Applies records with rhubarbwinchctl; returns its exit status."""
         path = ROOT / ".work" / f"records-{self.store}.json"
         path.parent.mkdir(exist_ok=True)
         rows = [json.loads(item.to_bytes()) for item in items]
@@ -94,13 +96,16 @@
         return self.ctl("apply", str(path))
 
     def ctl(self, *arguments):
-        """Runs the command line and returns its exit status."""
+        """Runs rhubarbwinchctl and returns its exit status."""
         options = ("--store", self.store, *arguments)
         self.start("ctl", "rhubarbwinch ctl", *options)
         return self.wait("ctl")
 
     def wait_ready(self, address):
-        """Waits until an entry has a configuration and sees a broker."""
+        """Waits until an entry serves a generation.
+
+        For that it needs a configuration and a broker.
+        """
         body = {"model": "chat", "prompt": "len=1"}
         url = f"http://{address}/v1/completions"
 
--- a/tests/records/test_accepted.py
+++ b/tests/records/test_accepted.py
@@ -1,4 +1,4 @@
-"""Snapshots of the accepted configuration."""
+"""Tests of snapshots of the accepted configuration."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class SnapshotTest(unittest.TestCase):
-    """Snapshots built at once and in steps."""
+    """Snapshots built from all records and by revision."""
 
     def test_a_revised_snapshot_equals_one_built_from_nothing(self):
         old = [builders.account("a"), builders.account("b"), builders.model()]
--- a/tests/records/test_records.py
+++ b/tests/records/test_records.py
@@ -1,4 +1,4 @@
-"""Records: rules, both schemas and schemas of the future."""
+"""Tests of the rules of records and of old, current and newer schemas."""
 
 import json
 import unittest
@@ -11,7 +11,7 @@
 
 
 def _fault(record):
-    """Returns field, value and what is allowed of a record's only fault."""
+    """Returns the field, value and allowed values of a record's only error."""
     found = records.errors(record)
     if len(found) != 1 or found[0].record != record.key:
         raise AssertionError(found)
@@ -19,7 +19,7 @@
 
 
 class RulesTest(unittest.TestCase):
-    """What a field allows."""
+    """The allowed values of fields."""
 
     def test_a_fault_names_field_value_and_range(self):
         name = "1 to 63 of a-z, 0-9, dot and dash"
@@ -87,7 +87,7 @@
 
 
 class SchemaTest(unittest.TestCase):
-    """Schema versions side by side."""
+    """Schema versions that are in use at the same time."""
 
     def test_schema_1_is_read_as_schema_2(self):
         pairs = [
