--- a/rhubarbwinch/configuration/follower.py
+++ b/rhubarbwinch/configuration/follower.py
@@ -85,7 +85,7 @@
         if self._members is None:
             return True
         me = self._members.me
-        seeds = self._members.seeds("config", me.data_center, SEEDS)
+        seeds = self._members.elect("config", me.data_center, SEEDS)
         return me.name in seeds
 
     def chunk(self, name: str) -> bytes:
--- a/rhubarbwinch/membership/leaving.py
+++ b/rhubarbwinch/membership/leaving.py
@@ -9,12 +9,12 @@
 from rhubarbwinch.shared import events, misc
 from rhubarbwinch.shared.clock import Clock
 
-RUMOUR = "vm"
+UPDATE_KIND = "vm"
 # A notice from the list expires after this time unless it is repeated.
-NOTICE_MS = 90_000
+NOTICE_TTL_MS = 90_000
 # Shorter than the time for which gossip keeps an update, so that a member
 # that starts receives the notice from its neighbours.
-REPEAT_MS = 20_000
+NOTICE_REPEAT_MS = 20_000
 
 
 class Notice(enum.StrEnum):
@@ -35,16 +35,16 @@
     def __init__(self, gossip: Gossip, clock: Clock) -> None:
         self._gossip = gossip
         self._clock = clock
-        self._by_record: set[str] = set()
-        self._by_list: dict[str, int] = {}
-        self._last: set[str] = set()
+        self._hosts_from_records: set[str] = set()
+        self._notice_expires_at: dict[str, int] = {}
+        self._last_hosts: set[str] = set()
         self._listeners: list[Callable[[], None]] = []
-        gossip.on(RUMOUR, self._take_news)
+        gossip.on(UPDATE_KIND, self._handle_update)
 
     @property
     def hosts(self) -> set[str]:
         """The IP addresses of the leaving VMs."""
-        return self._by_record | set(self._by_list)
+        return self._hosts_from_records | set(self._notice_expires_at)
 
     def on_change(self, listener: Callable[[], None]) -> None:
         """Calls `listener` after each change."""
@@ -61,43 +61,47 @@
 
     def configure(self, snapshot: Snapshot) -> None:
         """Applies the VM records of a new snapshot."""
-        self._by_record = {h for h, vm in snapshot.vms.items() if vm.leaving}
-        self._tell()
+        self._hosts_from_records = {
+            h for h, vm in snapshot.vms.items() if vm.leaving
+        }
+        self._notify_if_changed()
 
-    def share(self, host: str, notice: Notice) -> None:
+    def broadcast(self, host: str, notice: Notice) -> None:
         """Broadcasts the state of a VM on the platform's list."""
-        self._gossip.share(RUMOUR, host, notice.encode())
-        self._take(host, notice)
+        self._gossip.share(UPDATE_KIND, host, notice.encode())
+        self._apply_notice(host, notice)
 
     def expire(self) -> None:
         """Drops notices that were not repeated in time."""
         now = self._clock.now()
-        for host in [h for h, until in self._by_list.items() if until <= now]:
-            del self._by_list[host]
-        self._tell()
+        for host in [
+            h for h, until in self._notice_expires_at.items() if until <= now
+        ]:
+            del self._notice_expires_at[host]
+        self._notify_if_changed()
 
     async def run(self) -> None:
         """Drops expired notices periodically until cancelled."""
         while True:
-            await self._clock.sleep(REPEAT_MS)
+            await self._clock.sleep(NOTICE_REPEAT_MS)
             self.expire()
 
-    async def _take_news(self, host: str, data: bytes) -> None:
-        self._take(host, Notice(data.decode()))
+    async def _handle_update(self, host: str, data: bytes) -> None:
+        self._apply_notice(host, Notice(data.decode()))
 
-    def _take(self, host: str, notice: Notice) -> None:
+    def _apply_notice(self, host: str, notice: Notice) -> None:
         if notice is Notice.LEAVING:
-            self._by_list[host] = self._clock.now() + NOTICE_MS
+            self._notice_expires_at[host] = self._clock.now() + NOTICE_TTL_MS
         else:
-            self._by_list.pop(host, None)
-        self._tell()
+            self._notice_expires_at.pop(host, None)
+        self._notify_if_changed()
 
-    def _tell(self) -> None:
+    def _notify_if_changed(self) -> None:
         hosts = self.hosts
-        for host in sorted(hosts ^ self._last):
+        for host in sorted(hosts ^ self._last_hosts):
             events.VM_LEAVING.log(vm=host, leaving=host in hosts)
-        if hosts == self._last:
+        if hosts == self._last_hosts:
             return
-        self._last = hosts
+        self._last_hosts = hosts
         for listener in self._listeners:
             listener()
--- a/rhubarbwinch/membership/members.py
+++ b/rhubarbwinch/membership/members.py
@@ -94,7 +94,7 @@
         return self._me
 
     @property
-    def my_news(self) -> MemberNews:
+    def own_update(self) -> MemberNews:
         """The update that describes this process."""
         return MemberNews(self._me)
 
@@ -122,68 +122,70 @@
 
     def get(self, name: str) -> Member | None:
         """Returns the member called `name`; None if it is unknown or dead."""
-        news = self._known.get(name)
-        if news is None or news.health is Health.DEAD:
+        update = self._known.get(name)
+        if update is None or update.health is Health.DEAD:
             return None
-        return news.member
+        return update.member
 
     def health(self, name: str) -> Health:
         """Returns a member's health; an unknown member counts as dead."""
-        news = self._known.get(name)
-        return news.health if news else Health.DEAD
+        update = self._known.get(name)
+        return update.health if update else Health.DEAD
 
-    def news_of(self, name: str) -> MemberNews | None:
+    def update_of(self, name: str) -> MemberNews | None:
         """Returns the latest update about a member, also of a dead one."""
         return self._known.get(name)
 
-    def near(self, data_center: str) -> list[str]:
+    def names_in(self, data_center: str) -> list[str]:
         """Returns the names of a data centre's members, sorted."""
         return [m.name for m in self.all() if m.data_center == data_center]
 
-    def seeds(self, key: str, data_center: str, count: int) -> list[str]:
+    def elect(self, task: str, data_center: str, count: int) -> list[str]:
         """Returns the members elected for a task of their data centre.
 
-        Rendezvous hashing of `key` over the live members chooses `count` of
+        Rendezvous hashing of `task` over the live members chooses `count` of
         them, so that every member computes the same result.
         """
         alive = [
             name
-            for name in self.near(data_center)
+            for name in self.names_in(data_center)
             if self.health(name) is Health.ALIVE
         ]
-        return rendezvous.ranking(key, alive)[:count]
+        return rendezvous.ranking(task, alive)[:count]
 
     def set_state(self, state: MemberState) -> None:
         """Changes the state of this process."""
         if state is not self._me.state:
-            self._change_me(state=state)
+            self._update_self(state=state)
 
     def leave(self) -> None:
         """Marks this process as leaving."""
         self.set_state(MemberState.LEAVING)
 
-    def merge(self, news: MemberNews) -> MemberNews | None:
+    def merge(self, update: MemberNews) -> MemberNews | None:
         """Applies an update from a peer or from the store.
 
         Returns:
             The update to broadcast: the given one if it was new, a refutation
             if it said that this process is suspected or dead, else None.
         """
-        name = news.member.name
+        name = update.member.name
         if name == self._me.name:
-            return self._merge_own(news)
+            return self._merge_own(update)
         old = self._known.get(name)
-        if old is not None and not news.is_newer_than(old):
+        if old is not None and not update.is_newer_than(old):
             return None
-        self._known[name] = news
-        if old is None or old.health is not news.health:
+        self._known[name] = update
+        if old is None or old.health is not update.health:
             events.MEMBER_CHANGED.log(
-                member=name, health=news.health.name, state=news.member.state
+                member=name,
+                health=update.health.name,
+                state=update.member.state,
             )
-        self._changed()
-        return news
+        self._view_changed()
+        return update
 
-    def suspect(self, name: str) -> MemberNews | None:
+    def mark_suspect(self, name: str) -> MemberNews | None:
         """Marks a member as suspected; returns the update to broadcast."""
         return self._mark(name, Health.SUSPECT)
 
@@ -199,11 +201,11 @@
     def digests(self) -> list[int]:
         """Returns a hash for each bucket of the members that are not dead."""
         if not self._digests:
-            found = [0] * BUCKETS
+            digests = [0] * BUCKETS
             for member in self.all():
                 text = f"{member.name}\0{member.version}".encode()
-                found[_bucket(member.name)] ^= xxhash.xxh3_64_intdigest(text)
-            self._digests = found
+                digests[_bucket(member.name)] ^= xxhash.xxh3_64_intdigest(text)
+            self._digests = digests
         return self._digests
 
     def digest(self) -> int:
@@ -211,18 +213,20 @@
         packed = b"".join(d.to_bytes(8, "big") for d in self.digests())
         return xxhash.xxh3_64_intdigest(packed)
 
-    def differing(self, digests: list[int]) -> list[MemberNews]:
+    def updates_in_differing_buckets(
+        self, digests: list[int]
+    ) -> list[MemberNews]:
         """Returns the members in the buckets that differ from `digests`."""
         mine = self.digests()
-        wanted = {
+        differing_buckets = {
             i
             for i in range(BUCKETS)
             if i >= len(digests) or digests[i] != mine[i]
         }
         return [
-            news
-            for name, news in self._known.items()
-            if _bucket(name) in wanted
+            update
+            for name, update in self._known.items()
+            if _bucket(name) in differing_buckets
         ]
 
     def _mark(self, name: str, health: Health) -> MemberNews | None:
@@ -231,16 +235,16 @@
             return None
         return self.merge(MemberNews(known.member, health))
 
-    def _merge_own(self, news: MemberNews) -> MemberNews | None:
+    def _merge_own(self, update: MemberNews) -> MemberNews | None:
         """Refutes an update about this process that it did not publish."""
-        own = news.member.incarnation == self._me.incarnation
-        if own and news.health is Health.ALIVE:
+        is_own = update.member.incarnation == self._me.incarnation
+        if is_own and update.health is Health.ALIVE:
             return None
-        if news.member.version < self._me.version:
+        if update.member.version < self._me.version:
             return None
-        return self._change_me(version=news.member.version)
+        return self._update_self(version=update.member.version)
 
-    def _change_me(
+    def _update_self(
         self, version: int | None = None, state: MemberState | None = None
     ) -> MemberNews:
         self._me = attrs.evolve(
@@ -249,16 +253,16 @@
             state=state or self._me.state,
         )
         self._known[self._me.name] = MemberNews(self._me)
-        self._changed()
-        return self.my_news
+        self._view_changed()
+        return self.own_update
 
     def _find_serving(self, role: Role) -> list[Member]:
         of_role = [m for m in self.all() if m.role is role]
-        fit = [m for m in of_role if m.state is MemberState.SERVING]
-        sound = [m for m in fit if self.health(m.name) is Health.ALIVE]
-        return sound or fit or of_role
+        available = [m for m in of_role if m.state is MemberState.SERVING]
+        healthy = [m for m in available if self.health(m.name) is Health.ALIVE]
+        return healthy or available or of_role
 
-    def _changed(self) -> None:
+    def _view_changed(self) -> None:
         self._serving.clear()
         self._digests = []
         for listener in self._listeners:
--- a/rhubarbwinch/membership/overlay.py
+++ b/rhubarbwinch/membership/overlay.py
@@ -21,7 +21,7 @@
 
 
 def _successor(ring: str, me: str, others: list[str]) -> str:
-    mine = rendezvous.score(ring, me)
+    own_score = rendezvous.score(ring, me)
     scores = [(rendezvous.score(ring, name), name) for name in others]
-    after = [pair for pair in scores if pair[0] > mine]
-    return min(after or scores)[1]
+    following = [pair for pair in scores if pair[0] > own_score]
+    return min(following or scores)[1]
--- a/rhubarbwinch/membership/ownership.py
+++ b/rhubarbwinch/membership/ownership.py
@@ -8,7 +8,7 @@
 
 # Entries report their open streams to a new owner at once. Requests wait for
 # these reports: without them the engines look idle and would be overfilled.
-REBUILD_MS = 150
+NEW_OWNER_WAIT_MS = 150
 
 
 class Ownership:
@@ -42,4 +42,4 @@
             owner = rendezvous.owner(pool, brokers) or ""
             self._owners[pool] = owner
             if owner == me and old not in ("", me):
-                self._ready_at[pool] = self._clock.now() + REBUILD_MS
+                self._ready_at[pool] = self._clock.now() + NEW_OWNER_WAIT_MS
--- a/rhubarbwinch/membership/registration.py
+++ b/rhubarbwinch/membership/registration.py
@@ -9,8 +9,8 @@
 from rhubarbwinch.stores import keys
 from rhubarbwinch.stores.store import Store
 
-SEEDS = 2
-SCAN_MS = 30_000
+READERS_PER_DATA_CENTER = 2
+SCAN_INTERVAL_MS = 30_000
 
 
 class Registration:
@@ -36,42 +36,44 @@
         self._clock = clock
         self._lease_ms = lease_ms
         self._lease = 0
-        self._written: Member | None = None
-        self._store_ok = True
-        self._read_at: int | None = None
-        self._wake = anyio.Event()
+        self._written_member: Member | None = None
+        self._is_store_available = True
+        self._scanned_at: int | None = None
+        self._renewal_requested = anyio.Event()
 
     async def run(self) -> None:
         """Renews the registration until cancelled."""
         while True:
             await self.step()
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._wait, tasks.cancel_scope)
-                await self._wake.wait()
+                tasks.start_soon(
+                    self._wait_for_renewal_time, tasks.cancel_scope
+                )
+                await self._renewal_requested.wait()
                 tasks.cancel_scope.cancel()
-            self._wake = anyio.Event()
+            self._renewal_requested = anyio.Event()
 
     def hurry(self) -> None:
         """Renews the registration now, to write a change of state."""
-        self._wake.set()
+        self._renewal_requested.set()
 
     async def step(self) -> None:
         """Renews once; a store outage leaves the cluster view unchanged."""
         try:
             await self._register()
             if self._is_scan_due():
-                await self._read_others()
+                await self._scan_members()
         except StoreError as error:
-            if self._store_ok:
+            if self._is_store_available:
                 events.STORE_DOWN.log(error=str(error))
-            self._store_ok = False
+            self._is_store_available = False
             # Registrations made during the outage have been missed, so the
             # list is read again after it.
-            self._read_at = None
+            self._scanned_at = None
             return
-        if not self._store_ok:
+        if not self._is_store_available:
             events.STORE_UP.log()
-        self._store_ok = True
+        self._is_store_available = True
 
     async def holds_lease(self, name: str) -> bool:
         """Returns whether a member's registration is under a valid lease.
@@ -88,39 +90,41 @@
         if self._lease:
             await self._store.revoke_lease(self._lease)
 
-    async def _wait(self, scope: anyio.CancelScope) -> None:
+    async def _wait_for_renewal_time(self, scope: anyio.CancelScope) -> None:
         await self._clock.sleep(self._lease_ms // 3)
         scope.cancel()
 
     async def _register(self) -> None:
         if not self._lease or not await self._store.keep_lease(self._lease):
             self._lease = await self._store.grant_lease(self._lease_ms)
-            self._written = None
+            self._written_member = None
         me = self._members.me
-        if self._written == me:
+        if self._written_member == me:
             return
         key = keys.member(me.name)
         current = await self._store.get(key)
         expected = current.revision if current else 0
         value = codec.encode(me)
         swap = await self._store.swap(key, expected, value, self._lease)
-        self._written = me if swap.won else None
+        self._written_member = me if swap.won else None
 
     def _is_scan_due(self) -> bool:
-        if self._read_at is None:
+        if self._scanned_at is None:
             return True
-        if self._clock.now() - self._read_at < SCAN_MS:
+        if self._clock.now() - self._scanned_at < SCAN_INTERVAL_MS:
             return False
         me = self._members.me
-        return me.name in self._members.seeds("members", me.data_center, SEEDS)
+        return me.name in self._members.elect(
+            "members", me.data_center, READERS_PER_DATA_CENTER
+        )
 
-    async def _read_others(self) -> None:
+    async def _scan_members(self) -> None:
         listing = await self._store.scan(keys.MEMBERS)
-        self._read_at = self._clock.now()
+        self._scanned_at = self._clock.now()
         for entry in listing.entries:
             try:
-                found = codec.decode(entry.value, Member)
+                member = codec.decode(entry.value, Member)
             except CodecError as error:
                 events.PEER_REFUSED.log(error=str(error))
                 continue
-            self._members.merge(MemberNews(found))
+            self._members.merge(MemberNews(member))
--- a/rhubarbwinch/membership/rumours.py
+++ b/rhubarbwinch/membership/rumours.py
@@ -41,96 +41,102 @@
 
 
 @attrs.define
-class _Held:
+class _StoredUpdate:
     """A received update and its delivery state.
 
     Attributes:
-        rumour: The update.
-        until: The time at which the update expires.
-        told: The peers that are known to have the update.
-        answered: The peers that were sent the update in a reply.
+        update: The update.
+        expires_at: The time at which the update expires.
+        delivered_to: The peers that are known to have the update.
+        replied_to: The peers that were sent the update in a reply.
     """
 
-    rumour: Rumour
-    until: int
-    told: set[str] = attrs.field(factory=set)
-    answered: set[str] = attrs.field(factory=set)
+    update: Rumour
+    expires_at: int
+    delivered_to: set[str] = attrs.field(factory=set)
+    replied_to: set[str] = attrs.field(factory=set)
 
 
-class Rumours:
+class UpdateBuffer:
     """The updates that a member has received recently and relays."""
 
     def __init__(self) -> None:
-        self._held: dict[_Topic, _Held] = {}
+        self._updates: dict[_Topic, _StoredUpdate] = {}
 
-    def take(self, rumour: Rumour, now: int) -> bool:
+    def add(self, update: Rumour, now: int) -> bool:
         """Adds an update; returns whether it is new."""
-        topic = _topic(rumour)
-        old = self._held.get(topic)
-        if old is not None and old.rumour.version >= rumour.version:
+        topic = _topic(update)
+        old = self._updates.get(topic)
+        if old is not None and old.update.version >= update.version:
             return False
-        self._held[topic] = _Held(rumour, now + TTL_MS)
+        self._updates[topic] = _StoredUpdate(update, now + TTL_MS)
         return True
 
     def next_version(self, kind: str, key: str, origin: int, wall: int) -> int:
         """Returns a version above that of the stored update."""
-        old = self._held.get(_Topic(kind, key, origin))
-        return max(wall, old.rumour.version + 1 if old else 0)
+        old = self._updates.get(_Topic(kind, key, origin))
+        return max(wall, old.update.version + 1 if old else 0)
 
-    def pick(self, peer: str, max_bytes: int) -> list[Rumour]:
+    def pick_for_message(self, peer: str, max_bytes: int) -> list[Rumour]:
         """Returns the updates that a peer may not have, oldest first.
 
         Args:
             peer: The peer's name.
             max_bytes: The greatest total size of the updates.
         """
-        waiting = [h for h in self._held.values() if peer not in h.told]
-        return [held.rumour for held in _fit(waiting, max_bytes)]
+        candidates = [
+            h for h in self._updates.values() if peer not in h.delivered_to
+        ]
+        return [stored.update for stored in _fit(candidates, max_bytes)]
 
-    def pick_answer(self, peer: str, max_bytes: int) -> list[Rumour]:
+    def pick_for_reply(self, peer: str, max_bytes: int) -> list[Rumour]:
         """Returns the updates for a reply, each update once for each peer.
 
         A reply is not acknowledged. If it is lost, the members that have this
         peer as a neighbour still send it the updates.
         """
-        waiting = [
+        candidates = [
             h
-            for h in self._held.values()
-            if peer not in h.told and peer not in h.answered
+            for h in self._updates.values()
+            if peer not in h.delivered_to and peer not in h.replied_to
         ]
-        found = _fit(waiting, max_bytes)
-        for held in found:
-            held.answered.add(peer)
-        return [held.rumour for held in found]
+        fitting = _fit(candidates, max_bytes)
+        for stored in fitting:
+            stored.replied_to.add(peer)
+        return [stored.update for stored in fitting]
 
-    def mark(self, peer: str, rumours: list[Rumour]) -> None:
+    def mark_delivered(self, peer: str, updates: list[Rumour]) -> None:
         """Records that a peer has these updates."""
-        for rumour in rumours:
-            held = self._held.get(_topic(rumour))
-            if held is not None and held.rumour.version <= rumour.version:
-                held.told.add(peer)
+        for update in updates:
+            stored = self._updates.get(_topic(update))
+            if stored is not None and stored.update.version <= update.version:
+                stored.delivered_to.add(peer)
 
     def expire(self, now: int) -> None:
         """Drops the updates whose lifetime has passed."""
-        for topic in [k for k, v in self._held.items() if v.until <= now]:
-            del self._held[topic]
+        for topic in [
+            k for k, v in self._updates.items() if v.expires_at <= now
+        ]:
+            del self._updates[topic]
 
 
-def _topic(rumour: Rumour) -> _Topic:
-    return _Topic(rumour.kind, rumour.key, rumour.origin)
+def _topic(update: Rumour) -> _Topic:
+    return _Topic(update.kind, update.key, update.origin)
 
 
-def _fit(waiting: list[_Held], max_bytes: int) -> list[_Held]:
+def _fit(
+    candidates: list[_StoredUpdate], max_bytes: int
+) -> list[_StoredUpdate]:
     """Returns the updates that fit into a message.
 
     Updates about members come last: when there are too many of them, members
     still obtain the rest by comparing views.
     """
-    found = []
-    waiting.sort(key=lambda held: held.rumour.origin == 0)
-    for held in waiting:
-        max_bytes -= held.rumour.size
+    fitting = []
+    candidates.sort(key=lambda stored: stored.update.origin == 0)
+    for stored in candidates:
+        max_bytes -= stored.update.size
         if max_bytes < 0:
             break
-        found.append(held)
-    return found
+        fitting.append(stored)
+    return fitting
--- a/rhubarbwinch/membership/vmlist.py
+++ b/rhubarbwinch/membership/vmlist.py
@@ -8,14 +8,14 @@
 import httpx
 import orjson
 
-from rhubarbwinch.membership.leaving import REPEAT_MS, LeavingVms, Notice
+from rhubarbwinch.membership.leaving import NOTICE_REPEAT_MS, LeavingVms, Notice
 from rhubarbwinch.membership.members import Members, Role
 from rhubarbwinch.shared import events, rendezvous
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import VmListError
 from rhubarbwinch.shared.registry import Registry
 
-POLL_MS = 500
+POLL_INTERVAL_MS = 500
 READ_TIMEOUT_S = 2.0
 
 
@@ -104,42 +104,45 @@
         self._members = members
         self._leaving = leaving
         self._clock = clock
-        self._told: dict[str, int] = {}
-        self._silent = False
+        self._broadcast_at: dict[str, int] = {}
+        self._is_list_failing = False
 
     async def run(self) -> None:
         """Reads the list until cancelled."""
         while True:
             await self.step()
-            await self._clock.sleep(POLL_MS)
+            await self._clock.sleep(POLL_INTERVAL_MS)
 
     async def step(self) -> None:
         """Reads the list once if this control is the elected reader."""
         names = [m.name for m in self._members.serving(Role.CONTROL)]
         if rendezvous.owner("vm-list", names) != self._members.me.name:
-            self._told.clear()
+            self._broadcast_at.clear()
             return
         try:
-            found = await self._vms.read()
+            vms = await self._vms.read()
         except VmListError as error:
-            if not self._silent:
+            if not self._is_list_failing:
                 events.VM_LIST_SILENT.log(error=str(error))
-            self._silent = True
+            self._is_list_failing = True
             # Repeats the last notices, so that they don't expire meanwhile.
-            found = [Vm(host, VmState.LEAVING) for host in self._told]
+            vms = [Vm(host, VmState.LEAVING) for host in self._broadcast_at]
         else:
-            self._silent = False
-        self._tell(found)
+            self._is_list_failing = False
+        self._broadcast_notices(vms)
 
-    def _tell(self, found: list[Vm]) -> None:
+    def _broadcast_notices(self, vms: list[Vm]) -> None:
         now = self._clock.now()
-        leaving = {vm.host for vm in found if vm.state is VmState.LEAVING}
-        live = {vm.host for vm in found if vm.state is VmState.LIVE}
+        leaving = {vm.host for vm in vms if vm.state is VmState.LEAVING}
+        live = {vm.host for vm in vms if vm.state is VmState.LIVE}
         for host in sorted(leaving):
-            if now - self._told.get(host, -REPEAT_MS) >= REPEAT_MS:
-                self._told[host] = now
-                self._leaving.share(host, Notice.LEAVING)
-        for host in sorted(set(self._told) - leaving):
-            del self._told[host]
+            if (
+                now - self._broadcast_at.get(host, -NOTICE_REPEAT_MS)
+                >= NOTICE_REPEAT_MS
+            ):
+                self._broadcast_at[host] = now
+                self._leaving.broadcast(host, Notice.LEAVING)
+        for host in sorted(set(self._broadcast_at) - leaving):
+            del self._broadcast_at[host]
             if host in live:
-                self._leaving.share(host, Notice.LIVE)
+                self._leaving.broadcast(host, Notice.LIVE)
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -7,11 +7,11 @@
 from lab.memberset import MemberSet
 from rhubarbwinch.membership import overlay
 from rhubarbwinch.membership.members import MemberState, Role
-from rhubarbwinch.membership.rumours import Rumour, Rumours
+from rhubarbwinch.membership.rumours import Rumour, UpdateBuffer
 from tests.helpers import GoldTestCase, asynchronous
 
 
-class Watcher:
+class ViewRecorder:
     """Records every member's view of the members as text.
 
     Args:
@@ -49,88 +49,92 @@
             marks += "(suspect)"
         return member.name + marks
 
-    def say(self, line):
+    def add_line(self, line):
         self.lines.append(line)
 
 
 class MembershipTest(GoldTestCase):
     """Members that start, fail and shut down, compared with gold files."""
 
-    async def _run(self, name, title, play):
+    async def _run(self, name, title, scenario):
         async with anyio.create_task_group() as tasks:
-            watcher = Watcher(tasks)
-            watcher.say(f"# {title}")
-            await watcher.wait(3000)
-            await play(watcher)
+            recorder = ViewRecorder(tasks)
+            recorder.add_line(f"# {title}")
+            await recorder.wait(3000)
+            await scenario(recorder)
             tasks.cancel_scope.cancel()
-        self.assert_gold(name, "\n".join(watcher.lines) + "\n")
+        self.assert_gold(name, "\n".join(recorder.lines) + "\n")
 
     @asynchronous
-    async def test_members_come_and_go_while_the_store_is_down(self):
-        async def play(watcher):
-            fleet = watcher.fleet
-            watcher.say("# the store is down; one is killed, one starts")
+    async def test_members_join_and_leave_while_the_store_is_down(self):
+        async def scenario(recorder):
+            fleet = recorder.fleet
+            recorder.add_line("# the store is down; one is killed, one starts")
             fleet.store.faults.down = True
             fleet.kill("broker-2")
             fleet.add("broker-9", Role.BROKER, peers=["broker-2", "broker-0"])
-            await watcher.wait(2000)
-            await watcher.wait(8000)
-            watcher.say("# one leaves")
+            await recorder.wait(2000)
+            await recorder.wait(8000)
+            recorder.add_line("# one leaves")
             fleet.nodes["broker-1"].members.leave()
             fleet.nodes["broker-1"].gossip.announce()
-            await watcher.wait(1000)
-            watcher.tasks.start_soon(
+            await recorder.wait(1000)
+            recorder.tasks.start_soon(
                 fleet.nodes["broker-1"].gossip.announce_end
             )
             await fleet.clock.advance(20)
             fleet.kill("broker-1")
-            await watcher.wait(1000)
-            watcher.say("# the store is back")
+            await recorder.wait(1000)
+            recorder.add_line("# the store is back")
             fleet.store.faults.down = False
-            await watcher.wait(8000)
+            await recorder.wait(8000)
 
-        await self._run("members-store-down", "Without the store", play)
+        await self._run("members-store-down", "Without the store", scenario)
 
     @asynchronous
-    async def test_either_the_lease_or_a_heartbeat_is_evidence_of_life(self):
-        async def play(watcher):
-            fleet = watcher.fleet
-            watcher.say("# one is cut off from its peers, not from the store")
+    async def test_a_member_with_a_lease_or_with_heartbeats_is_not_marked_dead(
+        self,
+    ):
+        async def scenario(recorder):
+            fleet = recorder.fleet
+            recorder.add_line(
+                "# one is cut off from its peers, not from the store"
+            )
             fleet.network.cut.add("broker-3")
-            await watcher.wait(70_000)
-            watcher.say("# the link is back; it denies the suspicion")
+            await recorder.wait(70_000)
+            recorder.add_line("# the link is back; it denies the suspicion")
             fleet.network.cut.discard("broker-3")
-            await watcher.wait(5000)
-            watcher.say("# one is cut off from both")
+            await recorder.wait(5000)
+            recorder.add_line("# one is cut off from both")
             fleet.network.cut.add("broker-4")
             fleet.nodes["broker-4"].stop()
-            await watcher.wait(15_000)
-            watcher.say("# it is started again")
+            await recorder.wait(15_000)
+            recorder.add_line("# it is started again")
             fleet.network.cut.discard("broker-4")
             fleet.add("broker-4", Role.BROKER)
-            await watcher.wait(5000)
+            await recorder.wait(5000)
 
-        await self._run("members-evidence", "Lease and heartbeat", play)
+        await self._run("members-evidence", "Lease and heartbeat", scenario)
 
 
-class RumourTest(GoldTestCase):
+class UpdateTest(GoldTestCase):
     """Updates that are broadcast to all members."""
 
     @asynchronous
-    async def test_every_member_hears_each_rumour_once_also_over_a_lossy_link(
+    async def test_every_member_receives_each_update_once_despite_a_lossy_link(
         self,
     ):
         async with anyio.create_task_group() as tasks:
-            watcher = Watcher(tasks, size=20)
-            fleet = watcher.fleet
+            recorder = ViewRecorder(tasks, size=20)
+            fleet = recorder.fleet
             await fleet.clock.advance(3000)
-            heard = []
+            received = []
             for name, node in fleet.nodes.items():
-                node.gossip.on("strike", _collector(heard, name))
+                node.gossip.on("strike", _make_collector(received, name))
             origin = fleet.nodes["broker-0"].gossip
             origin.share("strike", "f1", b"1")
             await fleet.clock.advance(100)
-            quick = len(heard)
+            quick = len(received)
             fleet.network.cut.add("broker-7")
             origin.share("strike", "f2", b"2")
             await fleet.clock.advance(2000)
@@ -138,28 +142,28 @@
             await fleet.clock.advance(3000)
             tasks.cancel_scope.cancel()
         self.assertEqual(quick, 19)
-        self.assertEqual(len(heard), len(set(heard)))
+        self.assertEqual(len(received), len(set(received)))
         for key in ("f1", "f2"):
-            names = {name for name, found in heard if found == key}
+            names = {name for name, found in received if found == key}
             self.assertEqual(len(names), 19)
 
-    def test_a_long_rumour_is_refused(self):
+    def test_a_too_long_update_is_refused(self):
         fleet = MemberSet(None)
         with self.assertRaises(ValueError):
             _lone_gossip(fleet).share("strike", "f", bytes(513))
 
-    def test_the_news_in_a_message_stays_within_its_room(self):
-        rumours = Rumours()
+    def test_the_updates_in_a_message_stay_within_the_byte_limit(self):
+        updates = UpdateBuffer()
         for i in range(100):
-            rumours.take(Rumour("k", str(i), 1, 1, bytes(100)), 0)
+            updates.add(Rumour("k", str(i), 1, 1, bytes(100)), 0)
         seen = []
-        while picked := rumours.pick("peer", 1200):
-            self.assertLessEqual(sum(r.size for r in picked), 1200)
-            rumours.mark("peer", picked)
-            seen += picked
+        while chosen := updates.pick_for_message("peer", 1200):
+            self.assertLessEqual(sum(r.size for r in chosen), 1200)
+            updates.mark_delivered("peer", chosen)
+            seen += chosen
         self.assertEqual(len(seen), 100)
 
-    def test_the_graph_of_heartbeats_reaches_all_after_many_losses(self):
+    def test_the_heartbeat_graph_stays_connected_after_many_failures(self):
         names = [f"m-{i}" for i in range(100)]
         alive = random.Random(2).sample(names, 60)
         graph = {name: overlay.neighbours(name, alive) for name in alive}
@@ -174,9 +178,9 @@
         self.assertEqual(reached, set(alive))
 
 
-def _collector(heard, name):
+def _make_collector(received, name):
     async def collect(key, _):
-        heard.append((name, key))
+        received.append((name, key))
 
     return collect
 
--- a/tests/membership/test_leaving.py
+++ b/tests/membership/test_leaving.py
@@ -18,11 +18,11 @@
 from tests.helpers import GoldTestCase, asynchronous
 
 POOL = "vintner.dc-a"
-ASK_EVERY_MS = 50
+REQUEST_INTERVAL_MS = 50
 LIMIT_MS = 2000
 
 
-class ListStandIn:
+class FakeVmList:
     """The platform's VM list as a test sets it; None makes reading it fail."""
 
     def __init__(self):
@@ -34,7 +34,7 @@
         return list(self.vms)
 
 
-class Work:
+class Deployment:
     """Three brokers that grant permits continuously, and two controls.
 
     Args:
@@ -44,9 +44,9 @@
     def __init__(self, tasks):
         self.tasks = tasks
         self.fleet = MemberSet(tasks)
-        self.list = ListStandIn()
+        self.list = FakeVmList()
         self.lines = []
-        self.granted = {}
+        self.granted_at = {}
         for i in range(2):
             node = self.fleet.add(f"control-{i}", Role.CONTROL)
             reader = VmListReader(
@@ -70,20 +70,20 @@
         node.leaving.on_change(
             lambda: keeper.mark_leaving(node.leaving.endpoints_of)
         )
-        self.tasks.start_soon(self._work, name, keeper)
+        self.tasks.start_soon(self._request_permits, name, keeper)
 
-    async def _work(self, name, keeper):
+    async def _request_permits(self, name, keeper):
         """Requests permits in a loop and records their endpoints."""
         number = 0
         while True:
-            await self.fleet.clock.sleep(ASK_EVERY_MS)
+            await self.fleet.clock.sleep(REQUEST_INTERVAL_MS)
             number += 1
             request = builders.permit_request(f"{name}-{number}", wait_ms=0)
             reply = await keeper.answer(request)
             if reply.grant is None:
                 continue
             now = self.fleet.clock.now()
-            self.granted[name, reply.grant.endpoint] = now
+            self.granted_at[name, reply.grant.endpoint] = now
             release = PermitRelease(request.request_id, POOL, StreamEnd.UNUSED)
             await keeper.release(release)
 
@@ -94,7 +94,7 @@
         await clock.advance(seconds * 1000)
         self.lines.append(f"# {title}")
         for name in sorted(n for n in self.fleet.nodes if "broker" in n):
-            last = self.granted.get((name, endpoint))
+            last = self.granted_at.get((name, endpoint))
             if last is None:
                 found = "never any"
             elif last > clock.now() - LIMIT_MS:
@@ -119,38 +119,40 @@
     @asynchronous
     async def test_a_leaving_vms_endpoints_get_no_work_after_two_seconds(self):
         async with anyio.create_task_group() as tasks:
-            work = Work(tasks)
-            clock, store = work.fleet.clock, work.fleet.store
+            deployment = Deployment(tasks)
+            clock, store = deployment.fleet.clock, deployment.fleet.store
             await clock.advance(3000)
             await ctl.apply(store, _records())
-            await work.observe("no notice", "engine-0")
-            work.list.vms = [Vm("10.0.0.0", VmState.LEAVING)]
-            await work.observe("the list says that it leaves", "engine-0")
-            work.add_broker("broker-new")
+            await deployment.observe("no notice", "engine-0")
+            deployment.list.vms = [Vm("10.0.0.0", VmState.LEAVING)]
+            await deployment.observe("the list says that it leaves", "engine-0")
+            deployment.add_broker("broker-new")
             await clock.advance(3000)
-            await work.observe("a broker that starts later", "engine-0")
-            work.list.vms = None
-            await work.observe("the list is silent", "engine-0", 120)
-            work.list.vms = [Vm("10.0.0.0", VmState.LIVE)]
-            await work.observe("the list was wrong", "engine-0")
-            work.list.vms = []
-            await work.observe("the list has lost the VM", "engine-0")
+            await deployment.observe("a broker that starts later", "engine-0")
+            deployment.list.vms = None
+            await deployment.observe("the list is silent", "engine-0", 120)
+            deployment.list.vms = [Vm("10.0.0.0", VmState.LIVE)]
+            await deployment.observe("the list was wrong", "engine-0")
+            deployment.list.vms = []
+            await deployment.observe("the list has lost the VM", "engine-0")
             store.faults.down = True
             store.wake_watches()
             readers = [
                 name
-                for name, node in work.fleet.nodes.items()
+                for name, node in deployment.fleet.nodes.items()
                 if node.members.me.role is Role.CONTROL
             ]
-            work.fleet.kill(readers[0])
+            deployment.fleet.kill(readers[0])
             await clock.advance(10_000)
-            work.list.vms = [Vm("10.0.0.1", VmState.LEAVING)]
+            deployment.list.vms = [Vm("10.0.0.1", VmState.LEAVING)]
             title = "the store is down and a control is dead"
-            await work.observe(title, "engine-1")
+            await deployment.observe(title, "engine-1")
             store.faults.down = False
             await clock.advance(3000)
             mark = Record("vm", "10.0.0.2", 2, {"leaving": True})
             await ctl.apply(store, [mark])
-            await work.observe("an operator marks the VM", "engine-2")
+            await deployment.observe("an operator marks the VM", "engine-2")
             tasks.cancel_scope.cancel()
-        self.assert_gold("leaving-endpoints", "\n".join(work.lines) + "\n")
+        self.assert_gold(
+            "leaving-endpoints", "\n".join(deployment.lines) + "\n"
+        )
--- a/tests/membership/test_ownership.py
+++ b/tests/membership/test_ownership.py
@@ -65,7 +65,7 @@
         return await self._links.call(address, message, answer, timeout_ms)
 
 
-class Asker:
+class PermitRequester:
     """An entry that requests permits.
 
     Args:
@@ -85,17 +85,17 @@
         )
         tasks.start_soon(reporter.run)
 
-    async def ask(self, what, avoid=""):
+    async def request_permit(self, label, avoid=""):
         """Requests a permit and records the result."""
         self._number += 1
         request = builders.permit_request(
             f"r{self._number}", pool=POOL, entry="entry-0", wait_ms=5000
         )
-        answer = await self.permits.ask(request, avoid)
-        found = "granted" if answer.is_ok() else answer.err_value.reason
-        self.lines.append(f"{what}: {found}")
+        reply = await self.permits.ask(request, avoid)
+        result = "granted" if reply.is_ok() else reply.err_value.reason
+        self.lines.append(f"{label}: {result}")
 
-    def say_held(self):
+    def record_endpoints(self):
         held = sorted(p.grant.endpoint for p in self.permits.open_permits)
         self.lines.append(f"streams run at {' '.join(held)}")
 
@@ -104,45 +104,49 @@
     """A broker that shuts down and whose pools get a new owner."""
 
     @asynchronous
-    async def test_the_next_owner_neither_overfills_engines_nor_refuses(self):
+    async def test_a_new_owner_neither_overfills_engines_nor_refuses(
+        self,
+    ):
         async with anyio.create_task_group() as tasks:
             fleet = MemberSet(tasks)
             fleet.add("control-0", Role.CONTROL)
             for i in range(2):
                 _add_broker(fleet, tasks, f"broker-{i}")
-            asker = Asker(fleet, tasks)
+            requester = PermitRequester(fleet, tasks)
             engines = [builders.endpoint(f"engine-{i}") for i in range(2)]
             await fleet.clock.advance(3000)
             pool = builders.pool("vintner", engines, max_running=1)
             await ctl.apply(fleet.store, [builders.model(), pool])
             await fleet.clock.advance(1000)
-            for what in ("first", "second"):
-                tasks.start_soon(asker.ask, what)
+            for label in ("first", "second"):
+                tasks.start_soon(requester.request_permit, label)
                 await fleet.clock.advance(1000)
-            asker.say_held()
-            owner = pool_owner(POOL, asker.members).name
-            asker.lines.append(
+            requester.record_endpoints()
+            owner = pool_owner(POOL, requester.members).name
+            requester.lines.append(
                 "# the pool's owner leaves; the next one is asked before it "
                 "has the entry's report"
             )
-            heir = next(n for n in ("broker-0", "broker-1") if n != owner)
+            successor = next(n for n in ("broker-0", "broker-1") if n != owner)
             # At this time the entry's next regular report would reach the new
             # owner too late.
             await fleet.clock.advance(300)
             leaver = fleet.nodes[owner]
             leaver.members.leave()
             leaver.gossip.announce()
-            while pool_owner(POOL, fleet.nodes[heir].members).name == owner:
+            while (
+                pool_owner(POOL, fleet.nodes[successor].members).name == owner
+            ):
                 await fleet.clock.advance(1)
-            tasks.start_soon(asker.ask, "third", owner)
+            tasks.start_soon(requester.request_permit, "third", owner)
             await fleet.clock.advance(2000)
-            asker.say_held()
-            asker.lines.append("# the first ends")
-            permit = asker.permits.open_permits[0]
+            requester.record_endpoints()
+            requester.lines.append("# the first ends")
+            permit = requester.permits.open_permits[0]
             tasks.start_soon(
-                asker.permits.give_back, permit, StreamEnd.FINISHED
+                requester.permits.give_back, permit, StreamEnd.FINISHED
             )
             await fleet.clock.advance(500)
-            asker.say_held()
+            requester.record_endpoints()
             tasks.cancel_scope.cancel()
-        self.assert_gold("pool-handover", "\n".join(asker.lines) + "\n")
+        self.assert_gold("pool-handover", "\n".join(requester.lines) + "\n")
