--- a/tests/endpoints/__init__.py
+++ b/tests/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of `rhubarbwinch.endpoints.endpoints`."""
+"""Tests of `rhubarbwinch.endpoints`."""
--- a/tests/orders/__init__.py
+++ b/tests/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of `rhubarbwinch.orders.orders`."""
+"""Tests of `rhubarbwinch.orders`."""
--- a/tests/records/__init__.py
+++ b/tests/records/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of `rhubarbwinch.records.records`."""
+"""Tests of `rhubarbwinch.records`."""
