--- a/rhubarbwinch/configuration/distribution.py
+++ b/rhubarbwinch/configuration/distribution.py
@@ -49,7 +49,7 @@
 
 
 @attrs.frozen
-class HeldHead:
+class PeerHead:
     """A head and the address of a peer that has its chunks."""
 
     head: Head = attrs.field(factory=Head)
@@ -76,17 +76,17 @@
         self._links = links
         self._members = members
         self._rng = rng
-        self._head: Callable[[], Head] = Head
-        self._chunk: Callable[[str], bytes] = lambda _name: b""
-        server.on(HeadRequest, self._show_head)
-        server.on(ChunkRequest, self._show_chunk)
+        self._get_head: Callable[[], Head] = Head
+        self._get_chunk: Callable[[str], bytes] = lambda _name: b""
+        server.on(HeadRequest, self._handle_head_request)
+        server.on(ChunkRequest, self._handle_chunk_request)
 
-    def serve(
-        self, head: Callable[[], Head], chunk: Callable[[str], bytes]
+    def set_source(
+        self, get_head: Callable[[], Head], get_chunk: Callable[[str], bytes]
     ) -> None:
         """Sets the functions that return the active head and its chunks."""
-        self._head = head
-        self._chunk = chunk
+        self._get_head = get_head
+        self._get_chunk = get_chunk
 
     async def head(self, address: str) -> Head | None:
         """Returns a peer's active head, or None if it does not reply."""
@@ -99,24 +99,24 @@
             return None
         return reply.head
 
-    async def newest_head(self, addresses: list[str]) -> HeldHead:
+    async def newest_head(self, addresses: list[str]) -> PeerHead:
         """Returns the newest head of some peers; generation 0 if none."""
-        best = HeldHead()
+        newest = PeerHead()
         for address in addresses:
             head = await self.head(address)
-            if head is not None and head.generation > best.head.generation:
-                best = HeldHead(head, address)
-        return best
+            if head is not None and head.generation > newest.head.generation:
+                newest = PeerHead(head, address)
+        return newest
 
-    async def chunk(self, name: str, holder: str) -> bytes | None:
+    async def chunk(self, name: str, first_address: str) -> bytes | None:
         """Returns a chunk from a peer, or None if no asked peer has it.
 
         Args:
             name: The chunk's digest.
-            holder: The address of the peer to ask first, or empty.
+            first_address: The address of the peer to ask first, or empty.
         """
-        others = self.some_peers(MAX_PEERS_ASKED)
-        for address in [holder, *others] if holder else others:
+        others = self.choose_peers(MAX_PEERS_ASKED)
+        for address in [first_address, *others] if first_address else others:
             try:
                 reply = await self._links.call(
                     address, ChunkRequest(name), ChunkReply, FETCH_TIMEOUT_MS
@@ -128,7 +128,7 @@
                 return reply.chunk
         return None
 
-    def some_peers(self, count: int) -> list[str]:
+    def choose_peers(self, count: int) -> list[str]:
         """Returns addresses of peers, those in this data centre first."""
         me = self._members.me
         others = [m for m in self._members.all() if m.name != me.name]
@@ -136,8 +136,8 @@
         others.sort(key=lambda m: m.data_center != me.data_center)
         return [m.link for m in others[:count]]
 
-    async def _show_head(self, _: HeadRequest) -> HeadReply:
-        return HeadReply(self._head())
+    async def _handle_head_request(self, _: HeadRequest) -> HeadReply:
+        return HeadReply(self._get_head())
 
-    async def _show_chunk(self, request: ChunkRequest) -> ChunkReply:
-        return ChunkReply(self._chunk(request.name))
+    async def _handle_chunk_request(self, request: ChunkRequest) -> ChunkReply:
+        return ChunkReply(self._get_chunk(request.name))
--- a/rhubarbwinch/configuration/follower.py
+++ b/rhubarbwinch/configuration/follower.py
@@ -19,12 +19,12 @@
 from rhubarbwinch.stores import keys
 from rhubarbwinch.stores.store import Store
 
-RETRY_MS = 500
-SEEDS = 2
+RETRY_DELAY_MS = 500
+WATCHERS_PER_DATA_CENTER = 2
 
 
 @attrs.define
-class _Offer:
+class _AvailableUpdate:
     """A generation and the address of a peer that has it."""
 
     generation: int = 0
@@ -61,13 +61,13 @@
         self._chunks: dict[str, bytes] = {}
         self._head = Head()
         self._listeners: list[Callable[[Snapshot], None]] = []
-        self._offer = _Offer()
-        self._offered = anyio.Event()
+        self._available_update = _AvailableUpdate()
+        self._newer_generation_seen = anyio.Event()
         self._members_changed = anyio.Event()
         if members is not None:
-            members.on_change(self._wake)
+            members.on_change(self._signal_members_changed)
         if peers is not None:
-            peers.serve(lambda: self._head, self.chunk)
+            peers.set_source(lambda: self._head, self.chunk)
 
     @property
     def snapshot(self) -> Snapshot:
@@ -85,8 +85,10 @@
         if self._members is None:
             return True
         me = self._members.me
-        seeds = self._members.elect("config", me.data_center, SEEDS)
-        return me.name in seeds
+        elected = self._members.elected(
+            "config", me.data_center, WATCHERS_PER_DATA_CENTER
+        )
+        return me.name in elected
 
     def chunk(self, name: str) -> bytes:
         """Returns a chunk of the active head; empty for any other chunk."""
@@ -98,29 +100,31 @@
 
     def notice(self, generation: int, address: str) -> None:
         """Records that a peer has a newer generation."""
-        if generation > max(self._head.generation, self._offer.generation):
-            self._offer = _Offer(generation, address)
-        self._offered.set()
+        if generation > max(
+            self._head.generation, self._available_update.generation
+        ):
+            self._available_update = _AvailableUpdate(generation, address)
+        self._newer_generation_seen.set()
 
     async def run(self) -> None:
         """Activates each newer generation until cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._follow_store)
+            tasks.start_soon(self._watch_while_elected)
             if self._peers is not None:
-                tasks.start_soon(self._follow_peers)
+                tasks.start_soon(self._fetch_newer_from_peers)
 
-    async def read(self) -> int:
+    async def read_store(self) -> int:
         """Reads the store's head and applies it; returns its revision."""
         head, revision = await accepted.read_head(self._store)
-        await self.offer(head)
+        await self.update(head)
         return revision
 
-    async def offer(self, head: Head, holder: str = "") -> bool:
+    async def update(self, head: Head, peer_address: str = "") -> bool:
         """Activates a head if it is newer than the active one.
 
         Args:
             head: The head.
-            holder: The address of a peer that has its chunks, or empty.
+            peer_address: The address of a peer that has its chunks, or empty.
 
         Returns:
             Whether the head was activated.
@@ -137,17 +141,17 @@
             return False
         chunks = {}
         for name in filter(None, head.chunks):
-            held = self._chunks.get(name)
-            chunks[name] = held or await self._fetch(name, holder)
+            known = self._chunks.get(name)
+            chunks[name] = known or await self._fetch_chunk(name, peer_address)
         if head.generation <= self._head.generation:
             # A newer head was activated while the chunks were fetched.
             return False
-        self._put_in_force(head, chunks)
+        self._activate(head, chunks)
         return True
 
-    async def _follow_store(self) -> None:
+    async def _watch_while_elected(self) -> None:
         """Watches the store while this process is an elected watcher."""
-        await self._start()
+        await self._fetch_initial()
         while True:
             self._members_changed = anyio.Event()
             changed = self._members_changed
@@ -161,17 +165,17 @@
                     self._members_changed = changed = anyio.Event()
                 tasks.cancel_scope.cancel()
 
-    async def _start(self) -> None:
+    async def _fetch_initial(self) -> None:
         """Fetches the first head from a peer, or else from the store."""
         if self._peers is None:
             return
-        asked = self._peers.some_peers(MAX_PEERS_ASKED) or self._addresses
-        held = await self._peers.newest_head(asked)
+        addresses = self._peers.choose_peers(MAX_PEERS_ASKED) or self._addresses
+        peer_head = await self._peers.newest_head(addresses)
         try:
-            if held.head.generation:
-                await self.offer(held.head, held.address)
+            if peer_head.head.generation:
+                await self.update(peer_head.head, peer_head.address)
             else:
-                await self.read()
+                await self.read_store()
         except (StoreError, CodecError):
             # A heartbeat or the watch delivers the head later.
             return
@@ -179,51 +183,54 @@
     async def _watch(self) -> None:
         while True:
             try:
-                revision = await self.read()
+                revision = await self.read_store()
                 changes = self._store.watch(keys.ACCEPTED_HEAD, revision)
                 async for change in changes:
                     if change.entry is not None:
-                        await self.offer(
+                        await self.update(
                             accepted.parse_head(change.entry.value)
                         )
             except (StoreError, CodecError):
-                await self._clock.sleep(RETRY_MS)
+                await self._clock.sleep(RETRY_DELAY_MS)
 
-    async def _follow_peers(self) -> None:
+    async def _fetch_newer_from_peers(self) -> None:
         """Fetches newer generations from the peers that have them."""
         while True:
-            await self._offered.wait()
-            self._offered = anyio.Event()
-            offer, self._offer = self._offer, _Offer()
-            if offer.generation <= self._head.generation:
+            await self._newer_generation_seen.wait()
+            self._newer_generation_seen = anyio.Event()
+            update, self._available_update = (
+                self._available_update,
+                _AvailableUpdate(),
+            )
+            if update.generation <= self._head.generation:
                 continue
             assert self._peers is not None
-            head = await self._peers.head(offer.address)
+            head = await self._peers.head(update.address)
             try:
-                if head is not None and head.generation >= offer.generation:
-                    await self.offer(head, offer.address)
+                if head is not None and head.generation >= update.generation:
+                    await self.update(head, update.address)
             except (StoreError, CodecError):
                 # The next heartbeat announces the generation again.
                 continue
 
-    async def _fetch(self, name: str, holder: str) -> bytes:
+    async def _fetch_chunk(self, name: str, peer_address: str) -> bytes:
         """Returns a chunk from a peer, or else from the store.
 
         A process that read the head from the store is among the first to
         fetch its chunks, so it reads the store without asking peers.
         """
-        if self._peers is not None and holder:
-            chunk = await self._peers.chunk(name, holder)
+        if self._peers is not None and peer_address:
+            chunk = await self._peers.chunk(name, peer_address)
             if chunk is not None:
                 return chunk
         return await accepted.read_chunk(self._store, name)
 
-    def _put_in_force(self, head: Head, chunks: dict[str, bytes]) -> None:
+    def _activate(self, head: Head, chunks: dict[str, bytes]) -> None:
         # Only changed chunks are parsed: parsing a whole configuration would
         # block every open stream for longer than the allowed gap between
         # tokens.
-        removed = _records_besides(self._chunks, chunks)
-        added = _records_besides(chunks, self._chunks)
+        removed = _records_not_in(self._chunks, chunks)
+        added = _records_not_in(chunks, self._chunks)
         self._snapshot = accepted.revise(
             self._snapshot, head.generation, removed, added
         )
@@ -234,11 +241,11 @@
         for listener in self._listeners:
             listener(self._snapshot)
 
-    def _wake(self) -> None:
+    def _signal_members_changed(self) -> None:
         self._members_changed.set()
 
 
-def _records_besides(
+def _records_not_in(
     chunks: dict[str, bytes], others: dict[str, bytes]
 ) -> list[Record]:
     """Returns the records of those chunks that are not in `others`."""
--- a/rhubarbwinch/configuration/publisher.py
+++ b/rhubarbwinch/configuration/publisher.py
@@ -37,7 +37,7 @@
 
 
 @attrs.define
-class _View:
+class _StoreCopy:
     """The publisher's copy of the store's content, updated by a watch.
 
     Attributes:
@@ -72,15 +72,15 @@
     def __init__(self, store: Store, follower: Follower) -> None:
         self._store = store
         self._follower = follower
-        self._view: _View | None = None
+        self._store_copy: _StoreCopy | None = None
         self._unused: set[str] = set()
 
     @property
     def revision(self) -> int:
         """The revision up to which the records have been read."""
-        return self._view.revision if self._view else 0
+        return self._store_copy.revision if self._store_copy else 0
 
-    async def start(self) -> Head:
+    async def publish_all(self) -> Head:
         """Reads the store and publishes all changes.
 
         Raises:
@@ -100,7 +100,7 @@
             )
         statuses = await self._store.scan(keys.STATUS)
         listing = await self._store.scan(keys.RECORDS)
-        self._view = _View(
+        self._store_copy = _StoreCopy(
             head,
             head_revision,
             {e.key.removeprefix(keys.RECORDS): e for e in listing.entries},
@@ -108,54 +108,54 @@
             await self._read_chunks(head),
             listing.revision,
         )
-        names = set(self._view.records)
-        return await self._publish(self._view, names, set(range(SLOTS)))
+        names = set(self._store_copy.records)
+        return await self._publish(self._store_copy, names, set(range(SLOTS)))
 
-    async def update(self, changes: list[Change]) -> Head:
+    async def publish_changes(self, changes: list[Change]) -> Head:
         """Applies changes of records to the local copy and publishes them.
 
         Raises:
             StoreError: The store failed, or another publisher moved the head
-                first; call `start` again.
+                first; call `publish_all` again.
         """
-        view = self._view
-        if view is None:
-            return await self.start()
+        store_copy = self._store_copy
+        if store_copy is None:
+            return await self.publish_all()
         names = set()
         for change in changes:
             name = change.key.removeprefix(keys.RECORDS)
             names.add(name)
-            view.revision = max(view.revision, change.revision)
+            store_copy.revision = max(store_copy.revision, change.revision)
             if change.entry is None:
-                view.records.pop(name, None)
+                store_copy.records.pop(name, None)
             else:
-                view.records[name] = change.entry
+                store_copy.records[name] = change.entry
         slots = {accepted.slot_of_key(name) for name in names}
-        return await self._publish(view, names, slots)
+        return await self._publish(store_copy, names, slots)
 
-    async def collect(self) -> int:
+    async def collect_garbage(self) -> int:
         """Deletes chunks found unused in two consecutive calls.
 
         Returns:
             The number of deleted chunks.
         """
-        if self._view is None:
+        if self._store_copy is None:
             return 0
         listing = await self._store.scan(keys.CHUNKS)
-        used = {keys.chunk(name) for name in self._view.head.chunks}
+        used = {keys.chunk(name) for name in self._store_copy.head.chunks}
         unused = {e.key: e for e in listing.entries if e.key not in used}
-        doomed = [e for key, e in unused.items() if key in self._unused]
+        deletable = [e for key, e in unused.items() if key in self._unused]
         self._unused = set(unused)
-        if doomed:
+        if deletable:
             # Another publisher that has been paused since before the previous
             # call may be about to refer to these chunks. Moving the head makes
             # that publisher's compare-and-swap fail.
-            await self._move_head(self._view, self._view.head)
-        for entry in doomed:
+            await self._move_head(self._store_copy, self._store_copy.head)
+        for entry in deletable:
             await self._store.delete(entry.key, entry.revision)
-        if doomed:
-            events.CHUNKS_COLLECTED.log(count=len(doomed))
-        return len(doomed)
+        if deletable:
+            events.CHUNKS_COLLECTED.log(count=len(deletable))
+        return len(deletable)
 
     async def _read_chunks(self, head: Head) -> dict[str, bytes]:
         found = {}
@@ -165,50 +165,53 @@
         return found
 
     async def _publish(
-        self, view: _View, names: set[str], slots: set[int]
+        self, store_copy: _StoreCopy, names: set[str], slots: set[int]
     ) -> Head:
         """Publishes `slots` after the records called `names` have changed."""
-        in_force = _records_in(view, slots)
-        judged = {name: _judge(view.records.get(name), name) for name in names}
+        active = _records_in(store_copy, slots)
+        results = {
+            name: _check_record(store_copy.records.get(name), name)
+            for name in names
+        }
         # Iterating over the stored records drops deleted records from their
         # slots.
-        wanted: dict[int, list[Record]] = {slot: [] for slot in slots}
-        for name in view.records:
+        slot_records: dict[int, list[Record]] = {slot: [] for slot in slots}
+        for name in store_copy.records:
             slot = accepted.slot_of_key(name)
             if slot not in slots:
                 continue
-            good = judged[name].record if name in judged else None
-            chosen = good or in_force.get(name)
-            if chosen is not None:
-                wanted[slot].append(chosen)
-        head = await self._swap_head(view, wanted)
-        for name, verdict in sorted(judged.items()):
+            valid_record = results[name].record if name in results else None
+            chosen_record = valid_record or active.get(name)
+            if chosen_record is not None:
+                slot_records[slot].append(chosen_record)
+        head = await self._swap_head(store_copy, slot_records)
+        for name, verdict in sorted(results.items()):
             if verdict.is_final:
-                await self._write_status(view, name, verdict)
+                await self._write_status(store_copy, name, verdict)
         return head
 
     async def _swap_head(
-        self, view: _View, wanted: dict[int, list[Record]]
+        self, store_copy: _StoreCopy, slot_records: dict[int, list[Record]]
     ) -> Head:
-        chunks = list(view.head.chunks)
+        chunks = list(store_copy.head.chunks)
         packed = {}
-        for slot, items in wanted.items():
+        for slot, items in slot_records.items():
             chunk = accepted.pack_chunk(items)
             chunks[slot] = accepted.digest(chunk)
             packed[chunks[slot]] = chunk
-        if chunks == view.head.chunks:
-            return view.head
+        if chunks == store_copy.head.chunks:
+            return store_copy.head
         for name, chunk in packed.items():
-            if name and name not in view.chunks:
+            if name and name not in store_copy.chunks:
                 await accepted.write_chunk(self._store, chunk)
-        head = Head(view.head.generation + 1, chunks)
-        await self._move_head(view, head)
-        known = view.chunks | packed
-        view.chunks = {name: known[name] for name in filter(None, chunks)}
+        head = Head(store_copy.head.generation + 1, chunks)
+        await self._move_head(store_copy, head)
+        known = store_copy.chunks | packed
+        store_copy.chunks = {name: known[name] for name in filter(None, chunks)}
         events.PUBLISHED.log(generation=head.generation)
         return head
 
-    async def _move_head(self, view: _View, head: Head) -> None:
+    async def _move_head(self, store_copy: _StoreCopy, head: Head) -> None:
         """Swaps the head in the store.
 
         Raises:
@@ -217,7 +220,7 @@
         value = head.to_bytes()
         try:
             swap = await self._store.swap(
-                keys.ACCEPTED_HEAD, view.head_revision, value
+                keys.ACCEPTED_HEAD, store_copy.head_revision, value
             )
             revision = swap.revision if swap.won else 0
         except StoreUncertain:
@@ -226,20 +229,20 @@
             written = entry is not None and entry.value == value
             revision = entry.revision if entry and written else 0
         if not revision:
-            self._view = None
+            self._store_copy = None
             raise StoreUnavailable("another publisher was first")
-        view.head, view.head_revision = head, revision
+        store_copy.head, store_copy.head_revision = head, revision
 
     async def _write_status(
-        self, view: _View, name: str, verdict: "_Verdict"
+        self, store_copy: _StoreCopy, name: str, verdict: "_Verdict"
     ) -> None:
         """Writes or removes the status of a record."""
-        current = view.statuses.get(name)
+        current = store_copy.statuses.get(name)
         key = keys.STATUS + name
         if not verdict.error:
             if current is not None:
                 await self._store.delete(key, current.revision)
-                del view.statuses[name]
+                del store_copy.statuses[name]
             return
         value = Judgement(verdict.revision, verdict.error).to_bytes()
         if current is not None and current.value == value:
@@ -247,9 +250,9 @@
         expected = current.revision if current else 0
         swap = await self._store.swap(key, expected, value)
         if swap.won:
-            view.statuses[name] = Entry(key, value, swap.revision)
+            store_copy.statuses[name] = Entry(key, value, swap.revision)
         elif swap.current is not None:
-            view.statuses[name] = swap.current
+            store_copy.statuses[name] = swap.current
 
 
 @attrs.frozen
@@ -269,7 +272,7 @@
     is_final: bool = True
 
 
-def _judge(entry: Entry | None, name: str) -> _Verdict:
+def _check_record(entry: Entry | None, name: str) -> _Verdict:
     """Checks a record.
 
     A record of a newer schema is neither accepted nor rejected: its active
@@ -290,12 +293,12 @@
         return _Verdict(entry.revision, None, str(fault))
 
 
-def _records_in(view: _View, slots: set[int]) -> dict[str, Record]:
+def _records_in(store_copy: _StoreCopy, slots: set[int]) -> dict[str, Record]:
     """Returns the active records in some slots, by name."""
     found = {}
     for slot in slots:
-        name = view.head.chunks[slot]
-        chunk = view.chunks.get(name, b"") if name else b""
+        name = store_copy.head.chunks[slot]
+        chunk = store_copy.chunks.get(name, b"") if name else b""
         for record in accepted.unpack_chunk(chunk):
             found[record.key] = record
     return found
--- a/rhubarbwinch/configuration/publishing.py
+++ b/rhubarbwinch/configuration/publishing.py
@@ -11,10 +11,10 @@
 from rhubarbwinch.stores import keys
 from rhubarbwinch.stores.store import Change, Store
 
-RETRY_MS = 500
-BATCH_MS = 50
-PACE_MS = 200
-COLLECT_MS = 600_000
+RETRY_DELAY_MS = 500
+BATCH_DELAY_MS = 50
+MIN_PUBLISH_INTERVAL_MS = 200
+GARBAGE_INTERVAL_MS = 600_000
 
 
 class Publishing:
@@ -46,10 +46,10 @@
         self._changes: list[Change] = []
         self._changed = anyio.Event()
         self._members_changed = anyio.Event()
-        members.on_change(self._wake)
+        members.on_change(self._signal_members_changed)
 
     @property
-    def is_chosen(self) -> bool:
+    def is_elected(self) -> bool:
         """Whether this control is the elected publisher."""
         names = [m.name for m in self._members.serving(Role.CONTROL)]
         return rendezvous.owner("publisher", names) == self._members.me.name
@@ -58,33 +58,33 @@
         """Publishes while this control is elected, until cancelled."""
         while True:
             self._members_changed = anyio.Event()
-            if not self.is_chosen:
+            if not self.is_elected:
                 await self._members_changed.wait()
                 continue
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._publish)
-                tasks.start_soon(self._collect)
-                while self.is_chosen:
+                tasks.start_soon(self._publish_while_elected)
+                tasks.start_soon(self._collect_garbage)
+                while self.is_elected:
                     self._members_changed = anyio.Event()
                     await self._members_changed.wait()
                 tasks.cancel_scope.cancel()
 
-    async def _publish(self) -> None:
+    async def _publish_while_elected(self) -> None:
         while True:
             self._changes = []
             self._changed = anyio.Event()
             try:
                 async with self._lock:
-                    await self._publisher.start()
+                    await self._publisher.publish_all()
                 async with anyio.create_task_group() as tasks:
-                    tasks.start_soon(self._watch, tasks.cancel_scope)
-                    await self._update()
+                    tasks.start_soon(self._queue_changes, tasks.cancel_scope)
+                    await self._publish_changes()
             except* (StoreError, CodecError):
-                # `start` reads everything again, so no change is lost.
+                # `publish_all` reads everything again, so no change is lost.
                 pass
-            await self._clock.sleep(RETRY_MS)
+            await self._clock.sleep(RETRY_DELAY_MS)
 
-    async def _watch(self, scope: anyio.CancelScope) -> None:
+    async def _queue_changes(self, scope: anyio.CancelScope) -> None:
         """Queues changes; cancels the updates when the watch fails."""
         try:
             after = self._publisher.revision
@@ -94,27 +94,27 @@
         except StoreError:
             scope.cancel()
 
-    async def _update(self) -> None:
+    async def _publish_changes(self) -> None:
         while True:
             await self._changed.wait()
             # The delay batches changes that arrive together into one
             # generation.
-            await self._clock.sleep(BATCH_MS)
+            await self._clock.sleep(BATCH_DELAY_MS)
             self._changed = anyio.Event()
             changes, self._changes = self._changes, []
             async with self._lock:
-                await self._publisher.update(changes)
-            await self._clock.sleep(PACE_MS)
+                await self._publisher.publish_changes(changes)
+            await self._clock.sleep(MIN_PUBLISH_INTERVAL_MS)
 
-    async def _collect(self) -> None:
+    async def _collect_garbage(self) -> None:
         while True:
-            await self._clock.sleep(COLLECT_MS)
+            await self._clock.sleep(GARBAGE_INTERVAL_MS)
             try:
                 async with self._lock:
-                    await self._publisher.collect()
+                    await self._publisher.collect_garbage()
             except StoreError:
                 # The next call finds the unused chunks again.
                 continue
 
-    def _wake(self) -> None:
+    def _signal_members_changed(self) -> None:
         self._members_changed.set()
--- a/rhubarbwinch/membership/gossip.py
+++ b/rhubarbwinch/membership/gossip.py
@@ -285,8 +285,8 @@
         except (LinkError, CodecError) as error:
             events.PEER_SILENT.log(peer=address, error=str(error))
             return
-        for member_update in reply.news:
-            self._merge(member_update)
+        for news in reply.news:
+            self._merge(news)
 
     def _update_bytes_left(self) -> int:
         """Returns how many bytes of updates the next message may hold."""
--- a/rhubarbwinch/membership/leaving.py
+++ b/rhubarbwinch/membership/leaving.py
@@ -66,7 +66,7 @@
         }
         self._notify_if_changed()
 
-    def broadcast(self, host: str, notice: Notice) -> None:
+    def share(self, host: str, notice: Notice) -> None:
         """Broadcasts the state of a VM on the platform's list."""
         self._gossip.share(UPDATE_KIND, host, notice.encode())
         self._apply_notice(host, notice)
--- a/rhubarbwinch/membership/members.py
+++ b/rhubarbwinch/membership/members.py
@@ -140,7 +140,7 @@
         """Returns the names of a data centre's members, sorted."""
         return [m.name for m in self.all() if m.data_center == data_center]
 
-    def elect(self, task: str, data_center: str, count: int) -> list[str]:
+    def elected(self, task: str, data_center: str, count: int) -> list[str]:
         """Returns the members elected for a task of their data centre.
 
         Rendezvous hashing of `task` over the live members chooses `count` of
@@ -201,11 +201,11 @@
     def digests(self) -> list[int]:
         """Returns a hash for each bucket of the members that are not dead."""
         if not self._digests:
-            digests = [0] * BUCKETS
+            hashes = [0] * BUCKETS
             for member in self.all():
                 text = f"{member.name}\0{member.version}".encode()
-                digests[_bucket(member.name)] ^= xxhash.xxh3_64_intdigest(text)
-            self._digests = digests
+                hashes[_bucket(member.name)] ^= xxhash.xxh3_64_intdigest(text)
+            self._digests = hashes
         return self._digests
 
     def digest(self) -> int:
--- a/rhubarbwinch/membership/registration.py
+++ b/rhubarbwinch/membership/registration.py
@@ -114,7 +114,7 @@
         if self._clock.now() - self._scanned_at < SCAN_INTERVAL_MS:
             return False
         me = self._members.me
-        return me.name in self._members.elect(
+        return me.name in self._members.elected(
             "members", me.data_center, READERS_PER_DATA_CENTER
         )
 
--- a/rhubarbwinch/membership/vmlist.py
+++ b/rhubarbwinch/membership/vmlist.py
@@ -141,8 +141,8 @@
                 >= NOTICE_REPEAT_MS
             ):
                 self._broadcast_at[host] = now
-                self._leaving.broadcast(host, Notice.LEAVING)
+                self._leaving.share(host, Notice.LEAVING)
         for host in sorted(set(self._broadcast_at) - leaving):
             del self._broadcast_at[host]
             if host in live:
-                self._leaving.broadcast(host, Notice.LIVE)
+                self._leaving.share(host, Notice.LIVE)
--- a/tests/configuration/test_distribution.py
+++ b/tests/configuration/test_distribution.py
@@ -26,7 +26,7 @@
 LIMIT_MS = 20_000
 
 
-class Session:
+class Scenario:
     """Two controls and four entries, and a text record of what happens.
 
     Args:
@@ -38,7 +38,7 @@
         self.fleet = MemberSet(tasks)
         self.fleet.store = FaultyStore(self.fleet.clock)
         self.lines = [f"# {title}"]
-        self.falls = 0
+        self.drops = 0
         for i in range(2):
             self.add(f"control-{i}", Role.CONTROL)
         for i in range(4):
@@ -59,173 +59,187 @@
 
         def see(snapshot):
             nonlocal highest
-            self.falls += snapshot.generation < highest
+            self.drops += snapshot.generation < highest
             highest = max(highest, snapshot.generation)
 
         node.follower.on_change(see)
 
-    def say(self, line):
+    def add_line(self, line):
         self.lines.append(line)
 
     async def apply(self, *items):
         """Applies records as an operator does and records the result."""
         try:
             changed = await ctl.apply(self.store, list(items))
-            self.say(f"applied {len(changed)}")
+            self.add_line(f"applied {len(changed)}")
         except (ConflictError, StoreError) as error:
-            self.say(f"not applied: {type(error).__name__}")
+            self.add_line(f"not applied: {type(error).__name__}")
 
-    async def until(self, generation, names=None):
+    async def wait_for_generation(self, generation, names=None):
         """Waits until members have a generation; records how long it took."""
         names = names or sorted(self.fleet.nodes)
         took = 0
         while any(self.generation(n) < generation for n in names):
             if took > LIMIT_MS:
-                self.say(f"generation {generation} is missing: {self.all()}")
+                self.add_line(
+                    f"generation {generation} is missing: {self.generations()}"
+                )
                 return
             await self.fleet.clock.advance(10)
             took += 10
         in_time = "within 5 s" if took <= 5000 else f"after {took} ms"
-        self.say(f"generation {generation} everywhere {in_time}")
+        self.add_line(f"generation {generation} everywhere {in_time}")
 
     async def wait(self, ms):
         """Advances the clock and records the active generations."""
         await self.fleet.clock.advance(ms)
-        self.say(f"{ms} ms later: {self.all()}")
+        self.add_line(f"{ms} ms later: {self.generations()}")
 
     def generation(self, name):
         return self.fleet.nodes[name].follower.head.generation
 
-    def all(self):
-        found = [self.generation(name) for name in sorted(self.fleet.nodes)]
-        return " ".join(map(str, found))
+    def generations(self):
+        distribution = [
+            self.generation(name) for name in sorted(self.fleet.nodes)
+        ]
+        return " ".join(map(str, distribution))
 
     def weight(self, name="entry-0", account="acme"):
         snapshot = self.fleet.nodes[name].follower.snapshot
-        found = snapshot.accounts.get(account)
-        return found.weight if found else None
+        distribution = snapshot.accounts.get(account)
+        return distribution.weight if distribution else None
 
 
 class DistributionTest(GoldTestCase):
     """Operators, publishers and followers, compared with gold files."""
 
-    async def _run(self, name, title, play):
+    async def _run(self, name, title, play_scenario):
         async with anyio.create_task_group() as tasks:
-            session = Session(tasks, title)
-            await session.fleet.clock.advance(3000)
-            await play(session)
-            session.say(f"# a generation in force fell {session.falls} times")
+            scenario = Scenario(tasks, title)
+            await scenario.fleet.clock.advance(3000)
+            await play_scenario(scenario)
+            scenario.add_line(
+                f"# a generation in force fell {scenario.drops} times"
+            )
             tasks.cancel_scope.cancel()
-        self.assert_gold(name, session.text)
+        self.assert_gold(name, scenario.text)
 
     @asynchronous
     async def test_an_outage_before_during_and_after_an_apply_reverts_nothing(
         self,
     ):
-        async def play(session):
-            faults = session.store.faults
-            await session.apply(builders.account())
-            await session.until(1)
-            session.say("# the store is down before an apply")
+        async def play_scenario(scenario):
+            faults = scenario.store.faults
+            await scenario.apply(builders.account())
+            await scenario.wait_for_generation(1)
+            scenario.add_line("# the store is down before an apply")
             faults.down = True
-            session.store.wake_watches()
-            await session.apply(builders.account(weight=2.0))
-            await session.wait(10_000)
-            session.say("# a daemon starts meanwhile, with one peer's address")
-            session.add("entry-new", peers=["entry-1"])
-            await session.until(1)
-            session.say("# the store is back")
+            scenario.store.wake_watches()
+            await scenario.apply(builders.account(weight=2.0))
+            await scenario.wait(10_000)
+            scenario.add_line(
+                "# a daemon starts meanwhile, with one peer's address"
+            )
+            scenario.add("entry-new", peers=["entry-1"])
+            await scenario.wait_for_generation(1)
+            scenario.add_line("# the store is back")
             faults.down = False
-            await session.apply(builders.account(weight=2.0))
-            await session.until(2)
-            session.say("# it goes down when the record is written")
-            await session.apply(builders.account(weight=3.0))
+            await scenario.apply(builders.account(weight=2.0))
+            await scenario.wait_for_generation(2)
+            scenario.add_line("# it goes down when the record is written")
+            await scenario.apply(builders.account(weight=3.0))
             faults.down = True
-            session.store.wake_watches()
-            await session.wait(10_000)
+            scenario.store.wake_watches()
+            await scenario.wait(10_000)
             faults.down = False
-            await session.until(3)
-            session.say("# it goes down when the first member has the change")
-            await session.apply(builders.account(weight=4.0))
-            while "4" not in session.all():
-                await session.fleet.clock.advance(1)
+            await scenario.wait_for_generation(3)
+            scenario.add_line(
+                "# it goes down when the first member has the change"
+            )
+            await scenario.apply(builders.account(weight=4.0))
+            while "4" not in scenario.generations():
+                await scenario.fleet.clock.advance(1)
             faults.down = True
-            session.store.wake_watches()
-            await session.until(4)
-            session.say(f"weight {session.weight('entry-new')}")
+            scenario.store.wake_watches()
+            await scenario.wait_for_generation(4)
+            scenario.add_line(f"weight {scenario.weight('entry-new')}")
 
-        await self._run("config-store-down", "The store's outages", play)
+        await self._run(
+            "config-store-down", "The store's outages", play_scenario
+        )
 
     @asynchronous
-    async def test_a_lost_answer_to_the_heads_swap_is_settled_by_reading(self):
-        async def play(session):
-            await session.apply(builders.account())
-            await session.until(1)
+    async def test_a_lost_reply_to_the_heads_swap_is_resolved_by_reading(self):
+        async def play_scenario(scenario):
+            await scenario.apply(builders.account())
+            await scenario.wait_for_generation(1)
             for lost in ("after", "before"):
-                session.say(f"# the answer is lost {lost} the write")
-                session.store.lost = lost
+                scenario.add_line(f"# the answer is lost {lost} the write")
+                scenario.store.lost = lost
                 weight = 2.0 if lost == "after" else 3.0
-                await session.apply(builders.account(weight=weight))
+                await scenario.apply(builders.account(weight=weight))
                 generation = 2 if lost == "after" else 3
-                await session.until(generation)
-                session.say(f"weight {session.weight()}")
-            await session.fleet.clock.advance(5000)
-            heads = [json.loads(h)["generation"] for h in session.store.heads]
-            session.say(f"heads written: {heads}")
+                await scenario.wait_for_generation(generation)
+                scenario.add_line(f"weight {scenario.weight()}")
+            await scenario.fleet.clock.advance(5000)
+            heads = [json.loads(h)["generation"] for h in scenario.store.heads]
+            scenario.add_line(f"heads written: {heads}")
 
-        await self._run("config-lost-answer", "Lost answers", play)
+        await self._run("config-lost-answer", "Lost answers", play_scenario)
 
     @asynchronous
-    async def test_an_older_head_from_the_store_is_never_taken(self):
-        async def play(session):
-            await session.apply(builders.account())
-            await session.until(1)
-            old = await session.store.get(keys.ACCEPTED_HEAD)
-            await session.apply(builders.account(weight=2.0))
-            await session.until(2)
-            session.say("# every reading of the head gives generation 1")
-            session.store.stale = old
-            session.store.faults.down = True
-            session.store.wake_watches()
-            await session.fleet.clock.advance(1000)
-            session.store.faults.down = False
-            await session.apply(builders.account(weight=3.0))
-            await session.wait(10_000)
-            session.say(f"weight {session.weight()}")
-            session.say("# readings are right again")
-            session.store.stale = None
-            await session.until(3)
-            session.say(f"weight {session.weight()}")
-            session.say("# the store itself is set back to generation 1")
-            now = await session.store.get(keys.ACCEPTED_HEAD)
-            await session.store.swap(
+    async def test_an_older_head_from_the_store_is_never_activated(self):
+        async def play_scenario(scenario):
+            await scenario.apply(builders.account())
+            await scenario.wait_for_generation(1)
+            old = await scenario.store.get(keys.ACCEPTED_HEAD)
+            await scenario.apply(builders.account(weight=2.0))
+            await scenario.wait_for_generation(2)
+            scenario.add_line("# every reading of the head gives generation 1")
+            scenario.store.stale = old
+            scenario.store.faults.down = True
+            scenario.store.wake_watches()
+            await scenario.fleet.clock.advance(1000)
+            scenario.store.faults.down = False
+            await scenario.apply(builders.account(weight=3.0))
+            await scenario.wait(10_000)
+            scenario.add_line(f"weight {scenario.weight()}")
+            scenario.add_line("# readings are right again")
+            scenario.store.stale = None
+            await scenario.wait_for_generation(3)
+            scenario.add_line(f"weight {scenario.weight()}")
+            scenario.add_line("# the store itself is set back to generation 1")
+            now = await scenario.store.get(keys.ACCEPTED_HEAD)
+            await scenario.store.swap(
                 keys.ACCEPTED_HEAD, now.revision, old.value
             )
-            session.store.faults.down = True
-            session.store.wake_watches()
-            await session.fleet.clock.advance(1000)
-            session.store.faults.down = False
-            await session.apply(builders.account(weight=4.0))
-            await session.wait(10_000)
-            found = await session.store.get(keys.ACCEPTED_HEAD)
-            session.say(f"published over it: {found.value != old.value}")
+            scenario.store.faults.down = True
+            scenario.store.wake_watches()
+            await scenario.fleet.clock.advance(1000)
+            scenario.store.faults.down = False
+            await scenario.apply(builders.account(weight=4.0))
+            await scenario.wait(10_000)
+            distribution = await scenario.store.get(keys.ACCEPTED_HEAD)
+            scenario.add_line(
+                f"published over it: {distribution.value != old.value}"
+            )
 
-        await self._run("config-older-head", "An older head", play)
+        await self._run("config-older-head", "An older head", play_scenario)
 
     @asynchronous
     async def test_racing_operators_and_publishers_lose_no_change(self):
-        async def play(session):
-            store = session.store
-            await session.apply(builders.account())
-            await session.until(1)
-            await self._race_operators(session)
-            await session.until(2)
-            session.say(f"weight {session.weight()}")
-            session.say("# two controls publish at once")
-            nodes = session.fleet.nodes
+        async def play_scenario(scenario):
+            store = scenario.store
+            await scenario.apply(builders.account())
+            await scenario.wait_for_generation(1)
+            await self._race_operators(scenario)
+            await scenario.wait_for_generation(2)
+            scenario.add_line(f"weight {scenario.weight()}")
+            scenario.add_line("# two controls publish at once")
+            nodes = scenario.fleet.nodes
             first, second = nodes["control-0"], nodes["control-1"]
             for node in (first, second):
-                await node.publisher.start()
+                await node.publisher.publish_all()
             for i in range(2):
                 record = builders.account(f"vineyard-{i}")
                 key = keys.record("account", record.name)
@@ -237,129 +251,141 @@
             ]
             for node, change in zip((first, second), changes, strict=True):
                 try:
-                    head = await node.publisher.update([change])
-                    session.say(f"published {head.generation}")
+                    head = await node.publisher.publish_changes([change])
+                    scenario.add_line(f"published {head.generation}")
                 except StoreError as error:
-                    session.say(f"lost: {error}")
-            await session.until(4)
+                    scenario.add_line(f"lost: {error}")
+            await scenario.wait_for_generation(4)
             names = sorted(nodes["entry-0"].follower.snapshot.accounts)
-            session.say(f"accounts {' '.join(names)}")
+            scenario.add_line(f"accounts {' '.join(names)}")
 
-        await self._run("config-race", "Races", play)
+        await self._run("config-race", "Races", play_scenario)
 
-    async def _race_operators(self, session):
-        session.say("# two operators change the same record at once")
-        store = session.store
+    async def _race_operators(self, scenario):
+        scenario.add_line("# two operators change the same record at once")
+        store = scenario.store
         read = store.get
         winner = builders.account(weight=5.0)
 
         async def get(key):
             """Lets the second operator write after the first one's read."""
-            found = await read(key)
+            distribution = await read(key)
             if key == keys.record("account", "acme"):
                 store.get = read
                 await ctl.apply(store, [winner])
-            return found
+            return distribution
 
         store.get = get
         try:
             await ctl.apply(store, [builders.account(weight=6.0)])
-            session.say("both won")
+            scenario.add_line("both won")
         except ConflictError as error:
             entry = await store.get(keys.record("account", "acme"))
-            session.say(f"the loser is told of a conflict on {error.key}")
+            scenario.add_line(f"the loser is told of a conflict on {error.key}")
             is_winners = error.winner_revision == entry.revision
-            session.say(f"it names the winner's revision: {is_winners}")
+            scenario.add_line(f"it names the winner's revision: {is_winners}")
 
     @asynchronous
-    async def test_an_invalid_record_keeps_the_last_good_one_in_force(self):
-        async def play(session):
-            store = session.store
-            await session.apply(builders.account(weight=2.0))
-            await session.until(1)
-            session.say("# the record is made invalid past the command line")
+    async def test_the_last_valid_version_of_an_invalid_record_stays_active(
+        self,
+    ):
+        async def play_scenario(scenario):
+            store = scenario.store
+            await scenario.apply(builders.account(weight=2.0))
+            await scenario.wait_for_generation(1)
+            scenario.add_line(
+                "# the record is made invalid past the command line"
+            )
             key = keys.record("account", "acme")
             entry = await store.get(key)
             bad = builders.account(weight=0.0).to_bytes()
             await store.swap(key, entry.revision, bad)
-            await session.apply(builders.account("other"))
-            await session.until(2)
+            await scenario.apply(builders.account("other"))
+            await scenario.wait_for_generation(2)
             status = await store.get(keys.status("account", "acme"))
-            session.say(f"status {json.loads(status.value)['error']}")
-            session.say(f"weight {session.weight()}")
-            session.say("# the publisher changes, and a daemon starts")
+            scenario.add_line(f"status {json.loads(status.value)['error']}")
+            scenario.add_line(f"weight {scenario.weight()}")
+            scenario.add_line("# the publisher changes, and a daemon starts")
             chosen = [
                 name
-                for name, node in session.fleet.nodes.items()
+                for name, node in scenario.fleet.nodes.items()
                 if node.members.me.role is Role.CONTROL
-                and node.publishing.is_chosen
+                and node.publishing.is_elected
             ]
-            session.fleet.kill(chosen[0])
-            session.add("entry-new")
-            await session.wait(15_000)
-            session.say(f"weight at the new one {session.weight('entry-new')}")
-            session.say("# the record is mended")
-            await session.apply(builders.account(weight=3.0))
-            await session.until(3)
+            scenario.fleet.kill(chosen[0])
+            scenario.add("entry-new")
+            await scenario.wait(15_000)
+            scenario.add_line(
+                f"weight at the new one {scenario.weight('entry-new')}"
+            )
+            scenario.add_line("# the record is mended")
+            await scenario.apply(builders.account(weight=3.0))
+            await scenario.wait_for_generation(3)
             status = await store.get(keys.status("account", "acme"))
-            session.say(f"status {status}, weight {session.weight()}")
+            scenario.add_line(f"status {status}, weight {scenario.weight()}")
 
-        await self._run("config-invalid", "An invalid record", play)
+        await self._run("config-invalid", "An invalid record", play_scenario)
 
     @asynchronous
-    async def test_schemas_live_side_by_side_and_newer_ones_stay_as_they_are(
+    async def test_schemas_coexist_and_newer_ones_are_kept_unchanged(
         self,
     ):
         newer = b'{"kind":"account", "schema":3,"name":"future",\n "spec":{}}'
 
-        async def play(session):
-            store = session.store
+        async def play_scenario(scenario):
+            store = scenario.store
             one = Record("account", "one", 1, {"max_requests": 7})
             two = Record("account", "two", 2, {"room": {"requests": 8}})
-            await session.apply(one, two)
-            await session.until(1)
-            snapshot = session.fleet.nodes["entry-0"].follower.snapshot
+            await scenario.apply(one, two)
+            await scenario.wait_for_generation(1)
+            snapshot = scenario.fleet.nodes["entry-0"].follower.snapshot
             for name in ("one", "two"):
                 room = snapshot.accounts[name].room.requests
-                session.say(f"account {name} has room for {room}")
-            session.say("# a record of schema 3; the old control leaves it")
+                scenario.add_line(f"account {name} has room for {room}")
+            scenario.add_line(
+                "# a record of schema 3; the old control leaves it"
+            )
             key = keys.record("account", "future")
             await store.swap(key, 0, newer)
-            await session.wait(5000)
-            session.say("# a new control publishes it beside the old one")
+            await scenario.wait(5000)
+            scenario.add_line("# a new control publishes it beside the old one")
             with mock.patch.object(records, "CURRENT_SCHEMA", 3):
-                head = await self._publish_as_new(session)
-            session.say(f"published {head.generation}")
-            await session.until(2)
-            session.say("# the old control publishes another change")
-            await session.apply(builders.account("later"))
-            await session.until(3)
-            follower = session.fleet.nodes["entry-0"].follower
+                head = await self._publish_as_new(scenario)
+            scenario.add_line(f"published {head.generation}")
+            await scenario.wait_for_generation(2)
+            scenario.add_line("# the old control publishes another change")
+            await scenario.apply(builders.account("later"))
+            await scenario.wait_for_generation(3)
+            follower = scenario.fleet.nodes["entry-0"].follower
             chunk = follower.chunk(
                 follower.head.chunks[accepted.slot_of_key("account/future")]
             )
             kept = [r.raw for r in accepted.unpack_chunk(chunk)]
-            session.say(f"byte for byte: {newer in kept}")
+            scenario.add_line(f"byte for byte: {newer in kept}")
             is_used = "future" in follower.snapshot.accounts
-            session.say(f"an old entry uses it: {is_used}")
+            scenario.add_line(f"an old entry uses it: {is_used}")
 
-        await self._run("config-schemas", "Schemas 1, 2 and 3", play)
+        await self._run("config-schemas", "Schemas 1, 2 and 3", play_scenario)
 
-    async def _publish_as_new(self, session):
+    async def _publish_as_new(self, scenario):
         converters = {f"{kind}/2": lambda spec: spec for kind in records.KINDS}
         with mock.patch.dict(records.CONVERTERS._items, converters):
-            return await session.fleet.nodes["control-0"].publisher.start()
+            return await scenario.fleet.nodes[
+                "control-0"
+            ].publisher.publish_all()
 
 
 class SilentPeerTest(unittest.TestCase):
     """A peer that does not reply."""
 
-    def test_it_is_logged_and_nothing_is_taken_from_it(self):
+    def test_a_silent_peer_is_logged_and_yields_no_head(self):
         links = mock.Mock()
         links.call = mock.AsyncMock(side_effect=LinkTimeout("cut"))
         members = mock.Mock()
-        found = Distribution(links, mock.Mock(), members, random.Random(1))
+        distribution = Distribution(
+            links, mock.Mock(), members, random.Random(1)
+        )
         with self.assertLogs("absl", "INFO") as logs:
-            head = anyio.run(found.head, "127.0.0.1:1")
+            head = anyio.run(distribution.head, "127.0.0.1:1")
         self.assertIsNone(head)
         self.assertIn("peer-silent", logs.output[0])
--- a/tests/configuration/test_publisher.py
+++ b/tests/configuration/test_publisher.py
@@ -43,18 +43,18 @@
     ):
         publisher = self._publisher()
         await self._apply(*[builders.account(f"a-{i}") for i in range(200)])
-        await publisher.start()
+        await publisher.publish_all()
         changes = await self._apply(builders.account("a-7", weight=2.0))
         before = self.store.calls
-        head = await publisher.update(changes)
+        head = await publisher.publish_changes(changes)
         self.assertEqual(self.store.calls - before, 2)
         self.assertEqual(head.generation, 2)
         more = [builders.account(f"a-{i}", weight=3.0) for i in range(20)]
-        head = await publisher.update(await self._apply(*more))
+        head = await publisher.publish_changes(await self._apply(*more))
         self.assertEqual(head.generation, 3)
 
     @asynchronous
-    async def test_a_record_that_is_deleted_leaves_also_when_nobody_watched(
+    async def test_a_record_that_is_deleted_without_a_watch_is_removed(
         self,
     ):
         # The two records must be in different slots.
@@ -62,36 +62,36 @@
         self.assertNotEqual(
             accepted.slot_of_key("account/a"), accepted.slot_of_key("account/c")
         )
-        await self._publisher().start()
+        await self._publisher().publish_all()
         entry = await self.store.get(keys.record("account", "a"))
         await self.store.delete(entry.key, entry.revision)
-        await self._publisher().start()
+        await self._publisher().publish_all()
         follower = Follower(self.store, ManualClock())
-        await follower.read()
+        await follower.read_store()
         self.assertEqual(set(follower.snapshot.accounts), {"c"})
 
     @asynchronous
     async def test_unused_chunks_go_and_a_paused_publisher_can_not_use_them(
         self,
     ):
-        paused, awake = self._publisher(), self._publisher()
+        paused, running = self._publisher(), self._publisher()
         await self._apply(builders.account(weight=1.0))
-        await awake.start()
-        await paused.start()
+        await running.publish_all()
+        await paused.publish_all()
         write = accepted.write_chunk
-        stopped, go_on = anyio.Event(), anyio.Event()
+        stopped, resume_event = anyio.Event(), anyio.Event()
 
         async def pause(store, chunk):
             await write(store, chunk)
             stopped.set()
-            await go_on.wait()
+            await resume_event.wait()
 
         changes = await self._apply(builders.account(weight=2.0))
         failed = []
 
         async def publish():
             try:
-                await paused.update(changes)
+                await paused.publish_changes(changes)
             except StoreError:
                 failed.append(True)
 
@@ -102,9 +102,9 @@
                 await stopped.wait()
             finally:
                 accepted.write_chunk = write
-            self.assertEqual(await awake.collect(), 0)
-            self.assertEqual(await awake.collect(), 1)
-            go_on.set()
+            self.assertEqual(await running.collect_garbage(), 0)
+            self.assertEqual(await running.collect_garbage(), 1)
+            resume_event.set()
         self.assertEqual(failed, [True])
         head, _ = await accepted.read_head(self.store)
         self.assertEqual(await self._chunks(), set(filter(None, head.chunks)))
--- a/tests/membership/test_ownership.py
+++ b/tests/membership/test_ownership.py
@@ -85,7 +85,7 @@
         )
         tasks.start_soon(reporter.run)
 
-    async def request_permit(self, label, avoid=""):
+    async def ask(self, label, avoid=""):
         """Requests a permit and records the result."""
         self._number += 1
         request = builders.permit_request(
@@ -119,7 +119,7 @@
             await ctl.apply(fleet.store, [builders.model(), pool])
             await fleet.clock.advance(1000)
             for label in ("first", "second"):
-                tasks.start_soon(requester.request_permit, label)
+                tasks.start_soon(requester.ask, label)
                 await fleet.clock.advance(1000)
             requester.record_endpoints()
             owner = pool_owner(POOL, requester.members).name
@@ -138,7 +138,7 @@
                 pool_owner(POOL, fleet.nodes[successor].members).name == owner
             ):
                 await fleet.clock.advance(1)
-            tasks.start_soon(requester.request_permit, "third", owner)
+            tasks.start_soon(requester.ask, "third", owner)
             await fleet.clock.advance(2000)
             requester.record_endpoints()
             requester.lines.append("# the first ends")
