--- a/rhubarbwinch/orders/fencing.py
+++ b/rhubarbwinch/orders/fencing.py
@@ -134,12 +134,12 @@
             return HoldState.WAITING
         return HoldState.HELD
 
-    def number_to_send(self, pool: str) -> int | None:
+    def fence_to_send(self, pool: str) -> int | None:
         """Returns the fencing number if an order may be sent now, else None.
 
         The lease must outlast the longest flight of an order. Call this
         method directly before the send, without an `await` in between, and
-        call `settle` when the endpoint has responded.
+        call `mark_settled` when the endpoint has responded.
         """
         if self.ms_left <= self._flight_ms:
             return None
@@ -148,7 +148,7 @@
         self._unsettled.add(pool)
         return self._holds[pool].number
 
-    def settle(self, pool: str) -> None:
+    def mark_settled(self, pool: str) -> None:
         """Records that no order to the pool is in flight any more."""
         self._unsettled.discard(pool)
 
@@ -159,17 +159,17 @@
             StoreError: The store failed; the lease stays valid until it
                 expires.
         """
-        began = self._clock.now()
-        if self._lease and began < self._valid_until:
+        started_at = self._clock.now()
+        if self._lease and started_at < self._valid_until:
             left = await self._store.keep_lease(self._lease)
             if left:
-                self._valid_until = began + min(left, self._lease_ms)
+                self._valid_until = started_at + min(left, self._lease_ms)
                 return
         self._drop_all()
         self._lease = await self._store.grant_lease(self._lease_ms)
-        self._valid_until = began + self._lease_ms
+        self._valid_until = started_at + self._lease_ms
 
-    async def take(self, pool: str) -> bool:
+    async def acquire(self, pool: str) -> bool:
         """Tries to become a pool's holder; returns whether it is the holder.
 
         Raises:
@@ -179,21 +179,21 @@
         if pool in self._holds:
             return True
         key = keys.order_holder(pool)
-        mine = codec.encode(
+        own_value = codec.encode(
             HolderRecord(self._name, self._incarnation, self._lease)
         )
         current = await self._store.get(key)
         if current is None:
-            swap = await self._store.swap(key, 0, mine, self._lease)
+            swap = await self._store.swap(key, 0, own_value, self._lease)
             if not swap.won:
                 return False
-        elif current.value != mine:
+        elif current.value != own_value:
             return False
         # If the reply to an earlier swap was lost, the key is this process's
         # own, and the pool counts as acquired.
         return await self._raise_fence(pool)
 
-    async def give_up(self, pool: str) -> None:
+    async def release(self, pool: str) -> None:
         """Releases a pool so that another member can acquire it.
 
         If an order may be in flight, the next holder waits as after an expired
@@ -255,7 +255,7 @@
         """Releases all pools; if the store fails, the lease expires instead."""
         try:
             for pool in self.held:
-                await self.give_up(pool)
+                await self.release(pool)
             if self._lease:
                 await self._store.revoke_lease(self._lease)
         except StoreError as error:
--- a/rhubarbwinch/orders/orders.py
+++ b/rhubarbwinch/orders/orders.py
@@ -16,8 +16,8 @@
     EndpointState,
     Order,
     OrderKind,
-    orders_towards,
-    wanted_loads,
+    desired_loads,
+    orders_to_reach,
 )
 from rhubarbwinch.records.accepted import Snapshot
 from rhubarbwinch.records.records import EndpointSpec
@@ -53,7 +53,7 @@
 
 # Creates a context that ends the process if the block takes longer than the
 # given number of milliseconds.
-Guard = Callable[[int], AbstractContextManager[None]]
+PauseGuard = Callable[[int], AbstractContextManager[None]]
 
 
 @contextmanager
@@ -134,18 +134,20 @@
 
     def __init__(self, clock: Clock, loads_per_minute: int) -> None:
         self._clock = clock
-        self._per_minute = loads_per_minute
+        self._loads_per_minute = loads_per_minute
         self._next_at = 0
 
-    def may_load(self, sharers: int) -> bool:
+    def try_acquire(self, control_count: int) -> bool:
         """Returns whether a load order may be sent now, and counts it if so.
 
-        `sharers` processes divide the rate equally.
+        `control_count` processes divide the rate equally.
         """
         now = self._clock.now()
         if now < self._next_at:
             return False
-        self._next_at = now + 60_000 * max(1, sharers) // self._per_minute
+        self._next_at = (
+            now + 60_000 * max(1, control_count) // self._loads_per_minute
+        )
         return True
 
 
@@ -167,7 +169,7 @@
         fencing: Fencing,
         client: OrderClient,
         pacer: LoadPacer,
-        guard: Guard = _no_guard,
+        guard: PauseGuard = _no_guard,
     ) -> None:
         self._name = name
         self._fencing = fencing
@@ -187,30 +189,34 @@
         """
         try:
             await self._fencing.renew()
-            await self._share_out(snapshot, controls)
+            await self._acquire_pools(snapshot, controls)
         except StoreError as error:
             events.STORE_DOWN.log(error=str(error))
 
-    async def converge(self, snapshot: Snapshot, sharers: int) -> None:
+    async def converge(self, snapshot: Snapshot, control_count: int) -> None:
         """Sends the orders that the held pools need and the limits allow.
 
         Args:
             snapshot: The active configuration.
-            sharers: The number of controls that divide the rate of loads.
+            control_count: The number of controls that divide the rate of loads.
         """
         for pool in self._fencing.held:
             spec = snapshot.pools.get(pool)
             if spec is None or self._fencing.state(pool) is not HoldState.HELD:
                 continue
-            loads = wanted_loads(snapshot, spec.target)
-            found = await self._read_states(spec.endpoints)
+            loads = desired_loads(snapshot, spec.target)
+            actual_states = await self._read_states(spec.endpoints)
             for endpoint in spec.endpoints:
-                if endpoint.name in found:
-                    wanted = EndpointState(loads, endpoint.role)
-                    orders = orders_towards(wanted, found[endpoint.name])
-                    await self._send_all(pool, endpoint, orders, sharers)
-
-    async def _share_out(self, snapshot: Snapshot, controls: list[str]) -> None:
+                if endpoint.name in actual_states:
+                    desired = EndpointState(loads, endpoint.role)
+                    orders = orders_to_reach(
+                        desired, actual_states[endpoint.name]
+                    )
+                    await self._send_all(pool, endpoint, orders, control_count)
+
+    async def _acquire_pools(
+        self, snapshot: Snapshot, controls: list[str]
+    ) -> None:
         """Acquires the pools that rendezvous hashing assigns to this member.
 
         All other pools are released.
@@ -219,20 +225,20 @@
             if spec.target not in snapshot.models:
                 continue
             if rendezvous.owner(pool, controls) == self._name:
-                await self._fencing.take(pool)
+                await self._fencing.acquire(pool)
             else:
-                await self._fencing.give_up(pool)
+                await self._fencing.release(pool)
 
     async def _read_states(
         self, endpoints: list[EndpointSpec]
     ) -> dict[str, EndpointState]:
         """Returns the states by endpoint name, without failed endpoints."""
-        found: dict[str, EndpointState] = {}
+        actual_states: dict[str, EndpointState] = {}
 
         async def read(endpoint: EndpointSpec) -> None:
             try:
                 state = await self._client.read_state(endpoint.address)
-                found[endpoint.name] = state
+                actual_states[endpoint.name] = state
             except EndpointError as error:
                 events.ORDER_FAILED.log(
                     endpoint=endpoint.name, error=str(error)
@@ -241,37 +247,41 @@
         async with anyio.create_task_group() as tasks:
             for endpoint in endpoints:
                 tasks.start_soon(read, endpoint)
-        return found
+        return actual_states
 
     async def _send_all(
         self,
         pool: str,
         endpoint: EndpointSpec,
         orders: list[Order],
-        sharers: int,
+        control_count: int,
     ) -> None:
         try:
             for order in orders:
-                if not await self._send(pool, endpoint, order, sharers):
+                if not await self._send(pool, endpoint, order, control_count):
                     return
         except EndpointError as error:
             # The next round reads the state again and sends what is missing.
             events.ORDER_FAILED.log(endpoint=endpoint.name, error=str(error))
 
     async def _send(
-        self, pool: str, endpoint: EndpointSpec, order: Order, sharers: int
+        self,
+        pool: str,
+        endpoint: EndpointSpec,
+        order: Order,
+        control_count: int,
     ) -> bool:
         is_load = order.kind is OrderKind.LOAD
-        if is_load and not self._pacer.may_load(sharers):
+        if is_load and not self._pacer.try_acquire(control_count):
             return False
         ms_left = self._fencing.ms_left
         needs_guard = not endpoint.checks_fencing and ms_left
         with self._guard(ms_left) if needs_guard else nullcontext():
-            fence = self._fencing.number_to_send(pool)
+            fence = self._fencing.fence_to_send(pool)
             if fence is None:
                 return False
             await self._client.send(endpoint.address, order, fence)
-            self._fencing.settle(pool)
+            self._fencing.mark_settled(pool)
         events.ORDER_SENT.log(
             endpoint=endpoint.name,
             kind=order.kind,
--- a/rhubarbwinch/orders/placementplan.py
+++ b/rhubarbwinch/orders/placementplan.py
@@ -41,20 +41,22 @@
     role: str = "mixed"
 
 
-def wanted_loads(snapshot: Snapshot, target: str) -> frozenset[str]:
+def desired_loads(snapshot: Snapshot, target: str) -> frozenset[str]:
     """Returns what a model's endpoints must have loaded for its services."""
-    found = set()
+    subjects = set()
     for service in snapshot.services.values():
         if service.kind != "generate" or service.target != target:
             continue
         base = f"{target}@{service.version}"
-        found.add(base)
+        subjects.add(base)
         if service.adapter:
-            found.add(f"{base}+{service.adapter}")
-    return frozenset(found)
+            subjects.add(f"{base}+{service.adapter}")
+    return frozenset(subjects)
 
 
-def orders_towards(wanted: EndpointState, actual: EndpointState) -> list[Order]:
+def orders_to_reach(
+    desired: EndpointState, actual: EndpointState
+) -> list[Order]:
     """Returns the orders that lead from the actual to the desired state.
 
     Loads come before unloads, so that an endpoint always has something loaded
@@ -62,12 +64,12 @@
     """
     orders = [
         Order(OrderKind.LOAD, subject)
-        for subject in sorted(wanted.loaded - actual.loaded)
+        for subject in sorted(desired.loaded - actual.loaded)
     ]
-    if wanted.role != actual.role:
-        orders.append(Order(OrderKind.SET_ROLE, wanted.role))
+    if desired.role != actual.role:
+        orders.append(Order(OrderKind.SET_ROLE, desired.role))
     orders += [
         Order(OrderKind.UNLOAD, subject)
-        for subject in sorted(actual.loaded - wanted.loaded, reverse=True)
+        for subject in sorted(actual.loaded - desired.loaded, reverse=True)
     ]
     return orders
--- a/tests/configuration/test_publisher.py
+++ b/tests/configuration/test_publisher.py
@@ -71,7 +71,7 @@
         self.assertEqual(set(follower.snapshot.accounts), {"c"})
 
     @asynchronous
-    async def test_unused_chunks_go_and_a_paused_publisher_can_not_use_them(
+    async def test_a_paused_publisher_can_not_use_deleted_chunks(
         self,
     ):
         paused, running = self._publisher(), self._publisher()
--- a/tests/orders/test_orders.py
+++ b/tests/orders/test_orders.py
@@ -20,27 +20,27 @@
 
 
 @attrs.define
-class FakeEngines:
+class FakeOrderClient:
     """An order client whose engines are in-memory order boards.
 
     Attributes:
         boards: The engines' order boards by address.
         lines: The text record of the test.
-        pause_before: Functions by address; each runs once, after the lease
+        before_arrival: Functions by address; each runs once, after the lease
             check and before the arrival of the next order at that address.
     """
 
     boards: dict
     lines: list
-    pause_before: dict = attrs.field(factory=dict)
+    before_arrival: dict = attrs.field(factory=dict)
 
     async def read_state(self, address):
         state = self.boards[address].state()
         return EndpointState(frozenset(state["loaded"]), state["role"])
 
     async def send(self, address, order, fence):
-        if address in self.pause_before:
-            await self.pause_before.pop(address)()
+        if address in self.before_arrival:
+            await self.before_arrival.pop(address)()
         taken = self.boards[address].take(order.kind, order.subject, fence)
         verb = "takes" if taken else "refuses"
         self.lines.append(
@@ -53,7 +53,7 @@
         pass
 
 
-class Session:
+class Scenario:
     """Two controls and a pool of two engines.
 
     One engine checks fencing numbers and the other ignores them.
@@ -74,7 +74,7 @@
             fencing = Fencing(
                 self.store, self.clock, name, number, LEASE_MS, FLIGHT_MS
             )
-            engines = FakeEngines(self.boards, self.lines)
+            engines = FakeOrderClient(self.boards, self.lines)
             pacer = LoadPacer(self.clock, 1_000_000)
             self.fencings[name] = fencing
             self.engines[name] = engines
@@ -94,22 +94,22 @@
         ]
         return accepted.make_snapshot(1, items)
 
-    async def step(self, name, controls=None):
+    async def run_round(self, name, controls=None):
         """Runs one round of a control, by default as the pool's owner."""
         title = f"# {self.clock.now()} ms: {name}"
         self.lines.append(title)
         snapshot = self.snapshot()
         await self.orderers[name].keep(snapshot, controls or [name])
-        await self.orderers[name].converge(snapshot, sharers=1)
+        await self.orderers[name].converge(snapshot, control_count=1)
         if self.lines[-1] == title:
             # A round without orders is left out of the record.
             self.lines.pop()
 
-    def note(self, text):
+    def add_comment(self, text):
         """Adds a comment line to the text record."""
         self.lines.append(f"# {text}")
 
-    def old_after_new(self):
+    def late_orders(self):
         """Returns the orders that took effect after a higher fence number."""
         found = []
         for board in self.boards.values():
@@ -125,144 +125,150 @@
     """Two controls and two types of engines, compared with gold files."""
 
     @asynchronous
-    async def test_a_paused_holder_sends_nothing_after_its_lease_lapsed(self):
-        session = Session()
-        await session.step("a")
-        session.note("a is paused, its lease lapses, b takes over")
-        session.version = "2"
-        session.clock.set(LEASE_MS + 1)
-        await session.step("b")
-        session.clock.set(2 * LEASE_MS)
-        await session.step("b")
-        session.note("b has waited out the old lease and its last flight")
-        await self._keep(session, "b", LEASE_MS + FLIGHT_MS + 1000)
-        session.note("a wakes up and still believes that it holds the lease")
-        session.version = "3"
-        number = session.fencings["a"].number_to_send(POOL)
-        session.note(f"a may send with fence {number}")
-        await session.step("a")
-        await session.step("b")
-        self.assertEqual(session.old_after_new(), [])
-        self.assert_gold("orders-paused-holder", _text(session))
-
-    async def _keep(self, session, name, ms):
+    async def test_a_paused_holder_sends_nothing_after_its_lease_expired(self):
+        scenario = Scenario()
+        await scenario.run_round("a")
+        scenario.add_comment("a is paused, its lease lapses, b takes over")
+        scenario.version = "2"
+        scenario.clock.set(LEASE_MS + 1)
+        await scenario.run_round("b")
+        scenario.clock.set(2 * LEASE_MS)
+        await scenario.run_round("b")
+        scenario.add_comment(
+            "b has waited out the old lease and its last flight"
+        )
+        await self._run_rounds(scenario, "b", LEASE_MS + FLIGHT_MS + 1000)
+        scenario.add_comment(
+            "a wakes up and still believes that it holds the lease"
+        )
+        scenario.version = "3"
+        number = scenario.fencings["a"].fence_to_send(POOL)
+        scenario.add_comment(f"a may send with fence {number}")
+        await scenario.run_round("a")
+        await scenario.run_round("b")
+        self.assertEqual(scenario.late_orders(), [])
+        self.assert_gold("orders-paused-holder", _text(scenario))
+
+    async def _run_rounds(self, scenario, name, ms):
         """Runs rounds of a control for a number of milliseconds."""
         for _ in range(ms // 1000):
-            session.clock.set(session.clock.now() + 1000)
-            await session.step(name)
+            scenario.clock.set(scenario.clock.now() + 1000)
+            await scenario.run_round(name)
 
     @asynchronous
-    async def test_a_pause_between_check_and_send_is_undone_by_the_next(self):
+    async def test_a_late_order_of_a_paused_holder_is_refused_or_reverted(self):
         checking = await self._pause_at_send("127.0.0.1:1")
         ignoring = await self._pause_at_send("127.0.0.1:2")
-        self.assertEqual(checking.old_after_new(), [])
+        self.assertEqual(checking.late_orders(), [])
         # An engine that ignores fencing numbers can't refuse the late order.
         # The next round finds its effect and reverts it.
-        self.assertEqual(len(ignoring.old_after_new()), 1)
+        self.assertEqual(len(ignoring.late_orders()), 1)
         text = _text(checking) + _text(ignoring)
         self.assert_gold("orders-paused-at-send", text)
 
     async def _pause_at_send(self, address):
         """Pauses a holder between its lease check and an order to an engine."""
-        session = Session()
-        await session.step("a")
-        session.version = "2"
+        scenario = Scenario()
+        await scenario.run_round("a")
+        scenario.version = "2"
 
         async def pause():
-            session.note("a is paused after the check; b takes over meanwhile")
-            session.version = "3"
-            session.clock.set(LEASE_MS + 1)
-            await session.step("b")
-            await self._keep(session, "b", LEASE_MS + FLIGHT_MS + 4000)
-            session.note("a's order arrives")
-
-        session.engines["a"].pause_before[address] = pause
-        session.clock.set(1000)
-        await session.step("a")
-        await self._keep(session, "b", 2000)
-        for board in session.boards.values():
+            scenario.add_comment(
+                "a is paused after the check; b takes over meanwhile"
+            )
+            scenario.version = "3"
+            scenario.clock.set(LEASE_MS + 1)
+            await scenario.run_round("b")
+            await self._run_rounds(scenario, "b", LEASE_MS + FLIGHT_MS + 4000)
+            scenario.add_comment("a's order arrives")
+
+        scenario.engines["a"].before_arrival[address] = pause
+        scenario.clock.set(1000)
+        await scenario.run_round("a")
+        await self._run_rounds(scenario, "b", 2000)
+        for board in scenario.boards.values():
             self.assertEqual(board.state()["loaded"], ["vintner@3"])
-        return session
+        return scenario
 
     @asynchronous
-    async def test_no_order_goes_out_while_the_store_is_down_for_long(self):
-        session = Session()
-        await session.step("a")
-        session.store.faults.down = True
-        session.note("the store is down")
-        session.clock.set(LEASE_MS - FLIGHT_MS)
-        session.version = "2"
-        await session.step("a")
-        loaded = [board.state()["loaded"] for board in session.boards.values()]
+    async def test_no_order_is_sent_in_a_long_store_outage(self):
+        scenario = Scenario()
+        await scenario.run_round("a")
+        scenario.store.faults.down = True
+        scenario.add_comment("the store is down")
+        scenario.clock.set(LEASE_MS - FLIGHT_MS)
+        scenario.version = "2"
+        await scenario.run_round("a")
+        loaded = [board.state()["loaded"] for board in scenario.boards.values()]
         self.assertEqual(loaded, [["vintner@1"], ["vintner@1"]])
-        session.store.faults.down = False
-        session.note("the store answers again")
-        session.clock.set(LEASE_MS + 1)
-        await session.step("a")
-        await self._keep(session, "a", LEASE_MS + FLIGHT_MS + 1000)
-        self.assert_gold("orders-store-down", _text(session))
+        scenario.store.faults.down = False
+        scenario.add_comment("the store answers again")
+        scenario.clock.set(LEASE_MS + 1)
+        await scenario.run_round("a")
+        await self._run_rounds(scenario, "a", LEASE_MS + FLIGHT_MS + 1000)
+        self.assert_gold("orders-store-down", _text(scenario))
 
     @asynchronous
-    async def test_a_holder_that_leaves_hands_over_without_a_wait(self):
-        session = Session()
-        await session.step("a")
-        await session.fencings["a"].close()
-        session.version = "2"
-        await session.step("b")
-        self.assertIs(session.fencings["b"].state(POOL), HoldState.HELD)
-        self.assertEqual(session.old_after_new(), [])
+    async def test_a_pool_released_at_shutdown_is_acquired_without_a_wait(self):
+        scenario = Scenario()
+        await scenario.run_round("a")
+        await scenario.fencings["a"].close()
+        scenario.version = "2"
+        await scenario.run_round("b")
+        self.assertIs(scenario.fencings["b"].state(POOL), HoldState.HELD)
+        self.assertEqual(scenario.late_orders(), [])
         self.assertEqual(
-            [b.state()["loaded"] for b in session.boards.values()],
+            [b.state()["loaded"] for b in scenario.boards.values()],
             [["vintner@2"], ["vintner@2"]],
         )
 
     @asynchronous
-    async def test_a_pool_given_up_with_an_order_in_flight_is_waited_for(self):
-        session = Session()
+    async def test_a_pool_released_with_an_order_in_flight_is_waited_for(self):
+        scenario = Scenario()
 
-        async def give_up():
-            await session.fencings["a"].give_up(POOL)
-            await session.step("b")
-            self.assertIs(session.fencings["b"].state(POOL), HoldState.WAITING)
+        async def release():
+            await scenario.fencings["a"].release(POOL)
+            await scenario.run_round("b")
+            self.assertIs(scenario.fencings["b"].state(POOL), HoldState.WAITING)
 
-        session.engines["a"].pause_before["127.0.0.1:2"] = give_up
-        await session.step("a")
-        self.assertEqual(session.old_after_new(), [])
+        scenario.engines["a"].before_arrival["127.0.0.1:2"] = release
+        await scenario.run_round("a")
+        self.assertEqual(scenario.late_orders(), [])
 
     @asynchronous
-    async def test_two_controls_at_once_take_a_pool_only_once(self):
-        session = Session()
+    async def test_only_one_of_two_controls_acquires_a_pool(self):
+        scenario = Scenario()
         both = ["a", "b"]
         winner = rendezvous.owner(POOL, both)
         for name in both:
-            await session.step(name, both)
-            await session.step(name)
-        holding = [n for n in both if session.fencings[n].held]
+            await scenario.run_round(name, both)
+            await scenario.run_round(name)
+        holding = [n for n in both if scenario.fencings[n].held]
         self.assertEqual(len(holding), 1)
-        self.assertEqual(session.old_after_new(), [])
+        self.assertEqual(scenario.late_orders(), [])
         self.assertIn(winner, both)
 
     @asynchronous
-    async def test_a_lost_answer_leaves_the_pool_taken_or_free_not_stuck(self):
+    async def test_after_a_lost_reply_the_pool_can_still_be_acquired(self):
         for lost in range(1, 4):
-            session = Session()
-            await session.fencings["a"].renew()
-            session.store.faults.lose_answers = lost
+            scenario = Scenario()
+            await scenario.fencings["a"].renew()
+            scenario.store.faults.lose_answers = lost
             for _ in range(4):
-                session.clock.set(session.clock.now() + 1000)
-                await session.step("a")
-            await self._keep(session, "a", LEASE_MS + FLIGHT_MS + 1000)
-            self.assertIs(session.fencings["a"].state(POOL), HoldState.HELD)
+                scenario.clock.set(scenario.clock.now() + 1000)
+                await scenario.run_round("a")
+            await self._run_rounds(scenario, "a", LEASE_MS + FLIGHT_MS + 1000)
+            self.assertIs(scenario.fencings["a"].state(POOL), HoldState.HELD)
 
     def test_loads_are_spaced_by_the_rate_and_shared_among_controls(self):
         clock = ManualClock()
         pacer = LoadPacer(clock, loads_per_minute=60)
-        self.assertTrue(pacer.may_load(sharers=2))
+        self.assertTrue(pacer.try_acquire(control_count=2))
         clock.set(1999)
-        self.assertFalse(pacer.may_load(sharers=2))
+        self.assertFalse(pacer.try_acquire(control_count=2))
         clock.set(2000)
-        self.assertTrue(pacer.may_load(sharers=2))
+        self.assertTrue(pacer.try_acquire(control_count=2))
 
 
-def _text(session):
-    return "\n".join(session.lines) + "\n"
+def _text(scenario):
+    return "\n".join(scenario.lines) + "\n"
--- a/tests/orders/test_pauseguard.py
+++ b/tests/orders/test_pauseguard.py
@@ -30,7 +30,7 @@
         self.assertEqual(status, -signal.SIGALRM)
         self.assertEqual(received, b"")
 
-    def test_without_the_guard_the_order_goes_out(self):
+    def test_without_the_guard_the_order_is_sent(self):
         status, received = self._run("bare")
         self.assertEqual(status, 0)
         self.assertEqual(received, b"order")
