--- a/rhubarbwinch/endpoints/endpoints.py
+++ b/rhubarbwinch/endpoints/endpoints.py
@@ -13,7 +13,7 @@
 from rhubarbwinch.shared import events, tracing
 from rhubarbwinch.shared.exceptions import EndpointError, GenerationLostError
 
-CONNECT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 GENERATION_HEADER = "x-generation-id"
 PRIORITY_HEADER = "x-priority"
 
@@ -22,18 +22,22 @@
     """An HTTP client for endpoints, both engines and plain services.
 
     Args:
-        silence_ms: A call fails if no byte is received for this many ms.
+        read_timeout_ms: A call fails if no byte is received for this many ms.
         transport: The HTTP transport; `transport.Transport` by default.
     """
 
     def __init__(
         self,
-        silence_ms: int,
+        read_timeout_ms: int,
         transport: httpx.AsyncBaseTransport | None = None,
     ) -> None:
-        silence = silence_ms / 1000
+        read_timeout_s = read_timeout_ms / 1000
         self._client = httpx.AsyncClient(
-            timeout=httpx.Timeout(silence, connect=CONNECT_S, pool=CONNECT_S),
+            timeout=httpx.Timeout(
+                read_timeout_s,
+                connect=CONNECT_TIMEOUT_S,
+                pool=CONNECT_TIMEOUT_S,
+            ),
             transport=transport or Transport(),
         )
 
@@ -61,7 +65,7 @@
             PRIORITY_HEADER: str(priority),
         }
         url = f"http://{address}{path}"
-        return self._traced("POST", url, body, headers)
+        return self._traced_stream("POST", url, body, headers)
 
     def resume(
         self, address: str, generation: str, index: int
@@ -74,7 +78,7 @@
                 know the generation.
         """
         url = f"http://{address}/v1/generations/{generation}?from={index}"
-        return self._traced("GET", url, b"", {})
+        return self._traced_stream("GET", url, b"", {})
 
     async def cancel(self, address: str, generation: str) -> None:
         """Cancels a generation; if the engine is unreachable, logs that."""
@@ -130,7 +134,7 @@
             raise EndpointError(f"{url}: {error}", sent=True) from error
 
     @asynccontextmanager
-    async def _traced(
+    async def _traced_stream(
         self, method: str, url: str, body: bytes, headers: dict[str, str]
     ) -> AsyncIterator[EventStream]:
         with tracing.stream_span("endpoint", headers, url=url):
@@ -149,7 +153,7 @@
                 method, url, content=body, headers=headers
             ) as response:
                 _check_status(url, response.status_code)
-                yield _events(response)
+                yield _read_events(response)
         except (httpx.ConnectError, httpx.ConnectTimeout) as error:
             raise EndpointError(f"{url}: {error!r}", sent=False) from error
         except httpx.HTTPError as error:
@@ -168,12 +172,12 @@
     raise EndpointError(text, sent=not refused)
 
 
-async def _events(response: httpx.Response) -> EventStream:
+async def _read_events(response: httpx.Response) -> EventStream:
     splitter = Splitter()
     # `aiter_raw` would add several calls for each token, so the underlying
     # stream is read directly.
     assert isinstance(response.stream, httpx.AsyncByteStream)
     async for data in response.stream:
-        arrived = splitter.feed(data)
-        if arrived:
-            yield arrived
+        received = splitter.feed(data)
+        if received:
+            yield received
--- a/rhubarbwinch/endpoints/metering.py
+++ b/rhubarbwinch/endpoints/metering.py
@@ -18,9 +18,9 @@
 from rhubarbwinch.stores.store import Store, delete_prefix
 
 PERIOD_MS = 3_600_000
-MAX_MARKS = 5_000
-CLEANED_PERIODS = 48
-LAST_FLUSH_S = 1.0
+MAX_INTERRUPTED_STREAMS = 5_000
+MAX_CLEANED_PERIODS = 48
+FINAL_FLUSH_TIMEOUT_S = 1.0
 
 
 @attrs.define
@@ -129,8 +129,8 @@
         self._last_number = 0
         self._counts: dict[tuple[str, str], MeterCount] = {}
         self._open: dict[str, _OpenStream] = {}
-        self._broken: dict[str, GenerationMark] = {}
-        self._written = self._document(with_open=False)
+        self._interrupted: dict[str, GenerationMark] = {}
+        self._last_written = self._encode_document(include_open=False)
         self._revision: int | None = None
 
     def start(self, position: Position, account: str, service: str) -> None:
@@ -139,7 +139,7 @@
         origin, number = origin_of(generation)
         if origin == f"{self._incarnation:x}":
             self._last_number = max(self._last_number, number)
-        self._broken.pop(generation, None)
+        self._interrupted.pop(generation, None)
         self._open[generation] = _OpenStream(position, account, service)
 
     def end(self, generation: str, finished: bool) -> None:
@@ -153,11 +153,13 @@
         if stream is None:
             return
         mark = stream.mark()
-        is_ours = origin_of(generation)[0] == f"{self._incarnation:x}"
-        if (finished and is_ours) or len(self._broken) >= MAX_MARKS:
-            self._add(mark)
+        started_here = origin_of(generation)[0] == f"{self._incarnation:x}"
+        if (finished and started_here) or len(
+            self._interrupted
+        ) >= MAX_INTERRUPTED_STREAMS:
+            self._add_to_totals(mark)
         elif mark.tokens:
-            self._broken[generation] = mark
+            self._interrupted[generation] = mark
 
     async def run(self) -> None:
         """Writes the totals periodically, and once more when cancelled."""
@@ -166,7 +168,7 @@
                 await self._clock.sleep(self._flush_ms)
                 await self.flush()
         finally:
-            with anyio.move_on_after(LAST_FLUSH_S, shield=True):
+            with anyio.move_on_after(FINAL_FLUSH_TIMEOUT_S, shield=True):
                 await self.flush()
 
     async def flush(self) -> None:
@@ -176,14 +178,14 @@
             if now > self._period:
                 # The open streams are removed from the old period before they
                 # are listed in the new one.
-                await self._write(self._document(with_open=False))
+                await self._write(self._encode_document(include_open=False))
                 self._start_period(now)
-            await self._write(self._document(with_open=True))
+            await self._write(self._encode_document(include_open=True))
         except StoreError as error:
             self._revision = None
             events.METER_UNRECORDED.log(error=str(error))
 
-    def _add(self, mark: GenerationMark) -> None:
+    def _add_to_totals(self, mark: GenerationMark) -> None:
         name = (mark.account, mark.service)
         count = self._counts.setdefault(name, MeterCount(*name))
         count.generations += 1
@@ -192,15 +194,15 @@
     def _start_period(self, period: int) -> None:
         self._period = period
         self._counts = {}
-        self._broken = {}
-        self._written = self._document(with_open=False)
+        self._interrupted = {}
+        self._last_written = self._encode_document(include_open=False)
         self._revision = 0
 
-    def _document(self, with_open: bool) -> bytes:
-        marks = list(self._broken.values())
-        if with_open:
-            found = [stream.mark() for stream in self._open.values()]
-            marks += [mark for mark in found if mark.tokens]
+    def _encode_document(self, include_open: bool) -> bytes:
+        marks = list(self._interrupted.values())
+        if include_open:
+            open_marks = [stream.mark() for stream in self._open.values()]
+            marks += [mark for mark in open_marks if mark.tokens]
         document = MeterDocument(
             f"{self._incarnation:x}",
             self._last_number,
@@ -210,7 +212,7 @@
         return codec.encode(document)
 
     async def _write(self, data: bytes) -> None:
-        if data == self._written:
+        if data == self._last_written:
             return
         key = keys.meter(self._period, self._entry, self._incarnation)
         if self._revision is None:
@@ -222,7 +224,7 @@
         if not swap.won:
             raise StoreUncertain(f"{key}: an earlier write took effect late")
         self._revision = swap.revision
-        self._written = data
+        self._last_written = data
 
 
 class MeterCleaner:
@@ -231,13 +233,13 @@
     Args:
         store: The platform's store.
         clock: The source of time.
-        keep_ms: The retention time of counters.
+        retention_ms: The retention time of counters.
     """
 
-    def __init__(self, store: Store, clock: Clock, keep_ms: int) -> None:
+    def __init__(self, store: Store, clock: Clock, retention_ms: int) -> None:
         self._store = store
         self._clock = clock
-        self._keep_ms = keep_ms
+        self._retention_ms = retention_ms
 
     async def run(self) -> None:
         """Deletes expired counters once per period until cancelled."""
@@ -250,6 +252,6 @@
 
     async def step(self) -> None:
         """Deletes the periods that ended before the retention time."""
-        end = (self._clock.wall() - self._keep_ms) // PERIOD_MS
-        for period in range(end - CLEANED_PERIODS, end):
+        end = (self._clock.wall() - self._retention_ms) // PERIOD_MS
+        for period in range(end - MAX_CLEANED_PERIODS, end):
             await delete_prefix(self._store, keys.meter_period(period))
--- a/rhubarbwinch/endpoints/relay.py
+++ b/rhubarbwinch/endpoints/relay.py
@@ -22,7 +22,7 @@
 # A stream from an endpoint; each item holds the events of one read, in order.
 EventStream = AsyncIterator[list[StreamEvent]]
 # Opens the stream at an index.
-Opener = Callable[[int], AbstractAsyncContextManager[EventStream]]
+StreamOpener = Callable[[int], AbstractAsyncContextManager[EventStream]]
 
 
 @attrs.define
@@ -56,7 +56,7 @@
         return self.next_index if self.passed else max(0, self.next_index - 1)
 
     @property
-    def next_head(self) -> bytes:
+    def next_first_line(self) -> bytes:
         """The first line of the next event."""
         return f"id: {self.generation}:{self.next_index}\n".encode()
 
@@ -75,8 +75,8 @@
     def __init__(
         self,
         position: Position,
-        start: Opener,
-        resume: Opener,
+        start: StreamOpener,
+        resume: StreamOpener,
         clock: Clock,
         backoff: Backoff,
     ) -> None:
@@ -116,13 +116,13 @@
                 # even if the latest attempt failed before sending.
                 self._was_sent = self._was_sent or self._is_open or error.sent
                 error.sent = self._was_sent
-                if position.finished and self._is_hopeless(error):
+                if position.finished and self._is_permanent(error):
                     # All tokens were received; only the end marker is missing.
                     yield [StreamEvent(DONE)]
                     return
-                if self._is_hopeless(error):
+                if self._is_permanent(error):
                     raise
-                await self._prepare_resume(error)
+                await self._wait_before_resume(error)
 
     async def _read(self) -> EventStream:
         """Opens the stream once and yields its new events."""
@@ -130,24 +130,24 @@
         self._is_open = False
         async with self._opener(position.open_index) as stream:
             self._is_open = True
-            async for arrived in stream:
-                fresh = []
+            async for received in stream:
+                new_events = []
                 try:
-                    for event in arrived:
+                    for event in received:
                         if _is_next(position, event):
-                            fresh.append(event)
+                            new_events.append(event)
                 except EndpointError:
                     # The events before the invalid one are still valid.
-                    if fresh:
-                        yield fresh
+                    if new_events:
+                        yield new_events
                     raise
-                if fresh:
+                if new_events:
                     self._failures = 0
-                    yield fresh
-                if fresh and fresh[-1].is_done:
+                    yield new_events
+                if new_events and new_events[-1].is_done:
                     return
 
-    def _is_hopeless(self, error: EndpointError) -> bool:
+    def _is_permanent(self, error: EndpointError) -> bool:
         """Returns whether opening the stream again can't succeed."""
         if isinstance(error, (ForeignGenerationError, GenerationLostError)):
             return True
@@ -157,7 +157,7 @@
         # this engine has accepted the request and is only slow.
         return self._position.next_index == 0 and not self._is_open
 
-    async def _prepare_resume(self, error: EndpointError) -> None:
+    async def _wait_before_resume(self, error: EndpointError) -> None:
         position = self._position
         self._failures += 1
         position.resumes += 1
@@ -179,7 +179,7 @@
         GenerationLostError: The engine reports a failure.
         EndpointError: Events before this event are missing.
     """
-    if event.raw.startswith(position.next_head):
+    if event.raw.startswith(position.next_first_line):
         position.next_index += 1
         position.passed += 1
         if event.is_last_token:
@@ -189,10 +189,10 @@
         if not position.finished:
             raise EndpointError("the end came before the last token", sent=True)
         return True
-    return _is_other(position, event)
+    return _check_other_event(position, event)
 
 
-def _is_other(position: Position, event: StreamEvent) -> bool:
+def _check_other_event(position: Position, event: StreamEvent) -> bool:
     """Does the work of `_is_next` for an event with another first line."""
     if event.is_comment:
         return False
--- a/rhubarbwinch/endpoints/retries.py
+++ b/rhubarbwinch/endpoints/retries.py
@@ -22,8 +22,8 @@
 
     def wait_ms(self, failures: int) -> int:
         """Returns the delay in ms after `failures` failures, at least 1."""
-        top = min(self.max_ms, self.first_ms * 2 ** (failures - 1))
-        return self.rng.randint(top // 2, top)
+        longest = min(self.max_ms, self.first_ms * 2 ** (failures - 1))
+        return self.rng.randint(longest // 2, longest)
 
 
 class RetryBudget(Protocol):
--- a/tests/endpoints/test_endpoints.py
+++ b/tests/endpoints/test_endpoints.py
@@ -10,7 +10,7 @@
 SILENCE_MS = 1_000
 
 
-def refuse(request):
+def refuse_connection(request):
     """Fails like a connection to an engine that has stopped."""
     raise httpx.ConnectError("refused", request=request)
 
@@ -18,8 +18,10 @@
 class EndpointClientTest(unittest.TestCase):
     """An engine that can't be reached."""
 
-    def test_a_change_that_an_engine_is_not_told_of_is_logged(self):
-        client = EndpointClient(SILENCE_MS, httpx.MockTransport(refuse))
+    def test_a_failed_cancel_or_priority_change_is_logged(self):
+        client = EndpointClient(
+            SILENCE_MS, httpx.MockTransport(refuse_connection)
+        )
         for call in (
             lambda: client.cancel("127.0.0.1:1", "g1"),
             lambda: client.set_priority("127.0.0.1:1", "g1", 3),
--- a/tests/endpoints/test_relay.py
+++ b/tests/endpoints/test_relay.py
@@ -13,7 +13,7 @@
 from tests import builders
 from tests.helpers import GoldTestCase, asynchronous
 
-G = "1-1-tag~engine-0"
+GENERATION = "1-1-tag~engine-0"
 SILENCE = EndpointError("silence", sent=True)
 CUT = EndpointError("cut", sent=True)
 UNREACHED = EndpointError("no connection", sent=False)
@@ -54,7 +54,7 @@
                 raise step
             parts = step if isinstance(step, list) else [step]
             data = b"".join(
-                p if isinstance(p, bytes) else builders.token(G, p)
+                p if isinstance(p, bytes) else builders.token(GENERATION, p)
                 for p in parts
             )
             events = splitter.feed(data)
@@ -62,12 +62,12 @@
                 yield events
 
 
-LAST = builders.token(G, 3, last=True)
+LAST = builders.token(GENERATION, 3, last=True)
 DONE = b"data: [DONE]\n\n"
 TAIL = [3, LAST, DONE]
 FOREIGN = builders.token("2-1-tag~engine-0", 2)
 
-SESSIONS = [
+SCENARIOS = [
     ("no fault", 0, [[0, 1, 2, LAST, DONE]]),
     ("three tokens in one read", 0, [[[0, 1, 2], [LAST, DONE]]]),
     (
@@ -76,7 +76,7 @@
         [
             [
                 0,
-                b"id: " + G.encode(),
+                b"id: " + GENERATION.encode(),
                 b':1\ndata: {"choices":[{"finish_reason":null}]}\n\n',
                 2,
                 LAST,
@@ -90,7 +90,7 @@
         [
             [
                 b": ping\r\n\r\n",
-                builders.token(G, 0).replace(b"\n", b"\r\n"),
+                builders.token(GENERATION, 0).replace(b"\n", b"\r\n"),
                 1,
                 2,
                 LAST,
@@ -150,23 +150,23 @@
     """A relay that reads from a scripted engine."""
 
     @asynchronous
-    async def test_each_fault_of_a_stream_ends_as_in_the_gold(self):
+    async def test_each_stream_fault_has_the_expected_outcome(self):
         text = ""
-        for title, first, openings in SESSIONS:
+        for title, first, openings in SCENARIOS:
             text += f"# {title}\n{await _play(first, openings)}"
         self.assert_gold("relay", text)
 
     @asynchronous
     async def test_progress_resets_the_limit_of_resumes(self):
         openings = [[i, CUT] for i in range(40)]
-        openings += [[builders.token(G, 40, last=True), DONE]]
+        openings += [[builders.token(GENERATION, 40, last=True), DONE]]
         self.assertIn("resumes 40\nend whole", await _play(0, openings))
 
 
 async def _play(first, openings):
     """Runs a relay and returns a text record of its events."""
     engine = ScriptedEngine(*openings)
-    position = Position(G, first)
+    position = Position(GENERATION, first)
     clock = ManualClock()
     start = engine.resume if first else engine.start
     backoff = Backoff(random.Random(1))
