--- a/rhubarbwinch/records/accepted.py
+++ b/rhubarbwinch/records/accepted.py
@@ -133,7 +133,7 @@
     services: dict[str, ServiceSpec] = attrs.field(factory=dict)
     vms: dict[str, VmSpec] = attrs.field(factory=dict)
 
-    def pools_of(self, target: str) -> list[str]:
+    def pools_for_target(self, target: str) -> list[str]:
         """Returns the names of a target's pools, sorted."""
         return sorted(n for n, p in self.pools.items() if p.target == target)
 
@@ -149,7 +149,7 @@
                 of one data centre.
         """
         return sorted(
-            rendezvous.ranking(request, self.pools_of(target)),
+            rendezvous.ranking(request, self.pools_for_target(target)),
             key=lambda name: self.pools[name].data_center != data_center,
         )
 
--- a/rhubarbwinch/records/records.py
+++ b/rhubarbwinch/records/records.py
@@ -66,7 +66,7 @@
 
 
 @CONVERTERS.register("account/1")
-def _account_1(spec: JSON) -> JSON:
+def _convert_account_1(spec: JSON) -> JSON:
     """Schema 1 had one key and flat limits."""
     spec = dict(spec)
     if "key_salt" in spec:
@@ -81,7 +81,7 @@
 
 
 @CONVERTERS.register("service/1")
-def _service_1(spec: JSON) -> JSON:
+def _convert_service_1(spec: JSON) -> JSON:
     """Schema 1 marked either all calls of a service as idempotent or none."""
     spec = dict(spec)
     if not spec.pop("idempotent", True):
@@ -90,7 +90,7 @@
 
 
 @CONVERTERS.register("model/1")
-def _model_1(spec: JSON) -> JSON:
+def _convert_model_1(spec: JSON) -> JSON:
     """Schema 1 had one version."""
     spec = dict(spec)
     if "version" in spec:
@@ -100,7 +100,7 @@
 
 @CONVERTERS.register("vm/1")
 @CONVERTERS.register("pool/1")
-def _unchanged(spec: JSON) -> JSON:
+def _convert_unchanged(spec: JSON) -> JSON:
     """Schema 1 is the same as schema 2."""
     return spec
 
@@ -209,31 +209,31 @@
         return [RecordError(record.key, "schema", record.schema, allowed)]
     return [
         RecordError(record.key, found.field, found.value, found.allowed)
-        for found in _spec_faults(upgrade(record).spec, KINDS[record.kind])
+        for found in _spec_errors(upgrade(record).spec, KINDS[record.kind])
     ]
 
 
-def _spec_faults(spec: JSON, kind: Any) -> Iterator[FieldError]:
+def _spec_errors(spec: JSON, kind: Any) -> Iterator[FieldError]:
     """Yields the errors of each field, in the order of the class."""
     fields = attrs.fields(kind)
     for field in fields:
         if field.name in spec:
-            yield from _field_faults(spec[field.name], field)
+            yield from _field_errors(spec[field.name], field)
         elif field.default is attrs.NOTHING:
             yield FieldError(field.name, "missing", "required")
     for extra in sorted(spec.keys() - {field.name for field in fields}):
         yield FieldError(extra, "present", "no such field")
 
 
-def _field_faults(value: Any, field: Any) -> Iterator[FieldError]:
+def _field_errors(value: Any, field: Any) -> Iterator[FieldError]:
     try:
-        made = _converter.structure(value, field.type)
+        structured = _converter.structure(value, field.type)
     except Exception as error:
-        yield from _faults(error, field.name)
+        yield from _flatten_errors(error, field.name)
         return
     try:
         if field.validator is not None:
-            field.validator(None, field, made)
+            field.validator(None, field, structured)
     except FieldError as error:
         yield error
 
@@ -246,7 +246,7 @@
     return Record(record.kind, record.name, CURRENT_SCHEMA, spec)
 
 
-def _strict(kind: type) -> Callable[[Any, Any], Any]:
+def _strict_hook(kind: type) -> Callable[[Any, Any], Any]:
     def structure(value: Any, _: Any) -> Any:
         if type(value) is not kind:
             raise FieldError("", value, f"a {kind.__name__}")
@@ -255,7 +255,7 @@
     return structure
 
 
-def _float(value: Any, _: Any) -> float:
+def _float_hook(value: Any, _: Any) -> float:
     if type(value) not in (int, float):
         raise FieldError("", value, "a number")
     return float(value)
@@ -264,26 +264,26 @@
 def _make_converter() -> cattrs.Converter:
     converter = cattrs.Converter(forbid_extra_keys=True)
     for kind in (int, str, bool):
-        converter.register_structure_hook(kind, _strict(kind))
-    converter.register_structure_hook(float, _float)
+        converter.register_structure_hook(kind, _strict_hook(kind))
+    converter.register_structure_hook(float, _float_hook)
     return converter
 
 
 _converter = _make_converter()
 
 
-def _faults(error: BaseException, path: str) -> Iterator[FieldError]:
+def _flatten_errors(error: BaseException, path: str) -> Iterator[FieldError]:
     """Yields the field errors in a cattrs error tree, with their full paths."""
     if isinstance(error, ClassValidationError | IterableValidationError):
-        noted, plain = error.group_exceptions()
-        for inner, note in noted:
-            step = getattr(note, "name", None) or str(note.index)
-            yield from _faults(inner, f"{path}.{step}".strip("."))
-        for inner in plain:
-            yield from _faults(inner, path)
+        noted_errors, plain_errors = error.group_exceptions()
+        for inner, note in noted_errors:
+            segment = getattr(note, "name", None) or str(note.index)
+            yield from _flatten_errors(inner, f"{path}.{segment}".strip("."))
+        for inner in plain_errors:
+            yield from _flatten_errors(inner, path)
     elif isinstance(error, ExceptionGroup):
         for inner in error.exceptions:
-            yield from _faults(inner, path)
+            yield from _flatten_errors(inner, path)
     elif isinstance(error, FieldError):
         field = f"{path}.{error.field}".strip(".")
         yield FieldError(field, error.value, error.allowed)
@@ -294,8 +294,8 @@
     elif isinstance(error, KeyError):
         missing = str(error.args[0])
         # For a nested class, cattrs has already added the field to the path.
-        noted_already = path.rpartition(".")[2] == missing
-        field = path if noted_already else f"{path}.{missing}"
+        is_in_path = path.rpartition(".")[2] == missing
+        field = path if is_in_path else f"{path}.{missing}"
         yield FieldError(field, "missing", "required")
     else:
         yield FieldError(path or "-", str(error), "another form")
--- a/rhubarbwinch/records/specs.py
+++ b/rhubarbwinch/records/specs.py
@@ -9,7 +9,7 @@
 from rhubarbwinch.shared import misc
 
 MAX_ENDPOINTS = 64
-_NAME = re.compile(r"^[a-z0-9][a-z0-9.-]{0,62}$")
+_NAME_PATTERN = re.compile(r"^[a-z0-9][a-z0-9.-]{0,62}$")
 _HOUR_MS = 3_600_000
 
 
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen
-class _Rule:
+class _Validator:
     """A field validator that can describe the allowed values.
 
     Attributes:
@@ -43,21 +43,21 @@
             raise FieldError(field.name, value, self.allowed)
 
 
-def _between(low: float, high: float) -> _Rule:
-    return _Rule(f"{low} to {high}", lambda value: low <= value <= high)
+def _between(low: float, high: float) -> _Validator:
+    return _Validator(f"{low} to {high}", lambda value: low <= value <= high)
 
 
-def _one_of(*names: str) -> _Rule:
-    return _Rule(", ".join(names), lambda value: value in names)
+def _one_of(*names: str) -> _Validator:
+    return _Validator(", ".join(names), lambda value: value in names)
 
 
-def _at_most(count: int) -> _Rule:
-    return _Rule(f"at most {count}", lambda value: len(value) <= count)
+def _at_most(count: int) -> _Validator:
+    return _Validator(f"at most {count}", lambda value: len(value) <= count)
 
 
 def is_name(value: Any) -> bool:
     """Returns whether a value is a valid record name."""
-    return isinstance(value, str) and bool(_NAME.match(value))
+    return isinstance(value, str) and bool(_NAME_PATTERN.match(value))
 
 
 def _is_address(value: str) -> bool:
@@ -69,8 +69,8 @@
 
 
 NAME_ALLOWED = "1 to 63 of a-z, 0-9, dot and dash"
-_is_name = _Rule(NAME_ALLOWED, is_name)
-_address = _Rule("IP number:port", _is_address)
+_name_validator = _Validator(NAME_ALLOWED, is_name)
+_address_validator = _Validator("IP number:port", _is_address)
 
 
 @attrs.frozen
@@ -101,8 +101,8 @@
         role: The work of an engine: `mixed`, `prefill` or `decode`.
     """
 
-    name: str = attrs.field(validator=_is_name)
-    address: str = attrs.field(validator=_address)
+    name: str = attrs.field(validator=_name_validator)
+    address: str = attrs.field(validator=_address_validator)
     checks_fencing: bool = True
     role: str = attrs.field(
         default="mixed", validator=_one_of("mixed", "prefill", "decode")
@@ -120,8 +120,8 @@
         max_running: The most requests that an endpoint runs at once.
     """
 
-    target: str = attrs.field(validator=_is_name)
-    data_center: str = attrs.field(validator=_is_name)
+    target: str = attrs.field(validator=_name_validator)
+    data_center: str = attrs.field(validator=_name_validator)
     endpoints: list[EndpointSpec] = attrs.field(
         factory=list, validator=_at_most(MAX_ENDPOINTS)
     )
@@ -186,7 +186,7 @@
     """
 
     kind: str = attrs.field(validator=_one_of("generate", "plain"))
-    target: str = attrs.field(validator=_is_name)
+    target: str = attrs.field(validator=_name_validator)
     version: str = "1"
     adapter: str = ""
     interactive: bool = True
@@ -220,4 +220,4 @@
 def allowed(field: "attrs.Attribute[Any]") -> str:
     """Returns a description of the allowed values beyond the type, or empty."""
     rule = field.validator
-    return rule.allowed if isinstance(rule, _Rule) else ""
+    return rule.allowed if isinstance(rule, _Validator) else ""
--- a/rhubarbwinch/stores/etcdstore.py
+++ b/rhubarbwinch/stores/etcdstore.py
@@ -14,14 +14,14 @@
 
 # The server sends progress messages on an idle watch. A watch that receives no
 # byte for this time counts as disconnected.
-WATCH_SILENCE_S = 15.0
+WATCH_READ_TIMEOUT_S = 15.0
 
 
 def _b64(data: bytes) -> str:
     return base64.b64encode(data).decode()
 
 
-def _key(key: str) -> str:
+def _encode_key(key: str) -> str:
     return _b64(key.encode())
 
 
@@ -32,7 +32,7 @@
     return _b64(bytes(data))
 
 
-def _entry(kv: JSON) -> Entry:
+def _parse_entry(kv: JSON) -> Entry:
     return Entry(
         base64.b64decode(kv["key"]).decode(),
         base64.b64decode(kv.get("value", "")),
@@ -40,13 +40,13 @@
     )
 
 
-def _change(event: JSON) -> Change:
+def _parse_change(event: JSON) -> Change:
     kv = event["kv"]
     key = base64.b64decode(kv["key"]).decode()
     revision = int(kv["mod_revision"])
     if event.get("type") == "DELETE":
         return Change(key, revision, None)
-    return Change(key, revision, _entry(kv))
+    return Change(key, revision, _parse_entry(kv))
 
 
 @STORES.register("etcd")
@@ -59,39 +59,43 @@
     """
 
     def __init__(self, address: str, timeout_ms: int) -> None:
-        self._timeout = timeout_ms / 1000
+        self._timeout_s = timeout_ms / 1000
         self._client = httpx.AsyncClient(
-            base_url=f"http://{address}", timeout=self._timeout
+            base_url=f"http://{address}", timeout=self._timeout_s
         )
 
     async def get(self, key: str) -> Entry | None:
         """Returns the entry of `key`, or None."""
-        answer = await self._read("/v3/kv/range", {"key": _key(key)})
-        kvs = answer.get("kvs", [])
-        return _entry(kvs[0]) if kvs else None
+        response = await self._read("/v3/kv/range", {"key": _encode_key(key)})
+        kvs = response.get("kvs", [])
+        return _parse_entry(kvs[0]) if kvs else None
 
     async def scan(self, prefix: str) -> Listing:
         """Returns all entries whose keys start with `prefix`, by key."""
         body = {
-            "key": _key(prefix),
+            "key": _encode_key(prefix),
             "range_end": _range_end(prefix),
             "sort_target": "KEY",
             "sort_order": "ASCEND",
         }
-        answer = await self._read("/v3/kv/range", body)
-        entries = [_entry(kv) for kv in answer.get("kvs", [])]
-        return Listing(entries, int(answer["header"]["revision"]))
+        response = await self._read("/v3/kv/range", body)
+        entries = [_parse_entry(kv) for kv in response.get("kvs", [])]
+        return Listing(entries, int(response["header"]["revision"]))
 
     async def swap(
         self, key: str, expected: int, value: bytes, lease: int = 0
     ) -> Swap:
         """Writes `value` if the key's revision is `expected`; 0 is absent."""
-        put = {"key": _key(key), "value": _b64(value), "lease": str(lease)}
+        put = {
+            "key": _encode_key(key),
+            "value": _b64(value),
+            "lease": str(lease),
+        }
         return await self._txn(key, expected, {"request_put": put})
 
     async def delete(self, key: str, expected: int) -> Swap:
         """Deletes the key if its revision is `expected`."""
-        delete = {"request_delete_range": {"key": _key(key)}}
+        delete = {"request_delete_range": {"key": _encode_key(key)}}
         return await self._txn(key, expected, delete)
 
     async def grant_lease(self, ttl_ms: int) -> int:
@@ -100,13 +104,13 @@
         etcd leases last whole seconds, so `ttl_ms` is rounded up.
         """
         body = {"TTL": str(max(1, -(-ttl_ms // 1000))), "ID": "0"}
-        answer = await self._write("/v3/lease/grant", body)
-        return int(answer["ID"])
+        response = await self._write("/v3/lease/grant", body)
+        return int(response["ID"])
 
     async def keep_lease(self, lease: int) -> int:
         """Renews a lease; returns the milliseconds it has left, 0 if gone."""
-        answer = await self._read("/v3/lease/keepalive", {"ID": str(lease)})
-        return int(answer["result"].get("TTL", 0)) * 1000
+        response = await self._read("/v3/lease/keepalive", {"ID": str(lease)})
+        return int(response["result"].get("TTL", 0)) * 1000
 
     async def revoke_lease(self, lease: int) -> None:
         """Ends a lease; the keys under it are deleted."""
@@ -115,12 +119,12 @@
     async def watch(self, prefix: str, after: int) -> AsyncIterator[Change]:
         """Yields every change under `prefix` after the revision `after`."""
         create = {
-            "key": _key(prefix),
+            "key": _encode_key(prefix),
             "range_end": _range_end(prefix),
             "start_revision": str(after + 1),
             "progress_notify": True,
         }
-        timeout = httpx.Timeout(self._timeout, read=WATCH_SILENCE_S)
+        timeout = httpx.Timeout(self._timeout_s, read=WATCH_READ_TIMEOUT_S)
         try:
             async with self._client.stream(
                 "POST",
@@ -129,8 +133,8 @@
                 timeout=timeout,
             ) as response:
                 async for line in response.aiter_lines():
-                    for event in self._watch_events(line):
-                        yield _change(event)
+                    for event in self._parse_watch_line(line):
+                        yield _parse_change(event)
         except httpx.HTTPError as error:
             raise StoreUnavailable(f"watch: {error!r}") from error
         raise StoreUnavailable("the watch ended")
@@ -139,7 +143,7 @@
         """Closes the connections."""
         await self._client.aclose()
 
-    def _watch_events(self, line: str) -> list[JSON]:
+    def _parse_watch_line(self, line: str) -> list[JSON]:
         if not line:
             return []
         result = orjson.loads(line).get("result", {})
@@ -149,7 +153,7 @@
 
     async def _txn(self, key: str, expected: int, success: JSON) -> Swap:
         compare = {
-            "key": _key(key),
+            "key": _encode_key(key),
             "target": "MOD",
             "result": "EQUAL",
             "mod_revision": str(expected),
@@ -157,14 +161,14 @@
         body = {
             "compare": [compare],
             "success": [success],
-            "failure": [{"request_range": {"key": _key(key)}}],
+            "failure": [{"request_range": {"key": _encode_key(key)}}],
         }
-        answer = await self._write("/v3/kv/txn", body)
-        revision = int(answer["header"]["revision"])
-        if answer.get("succeeded"):
+        response = await self._write("/v3/kv/txn", body)
+        revision = int(response["header"]["revision"])
+        if response.get("succeeded"):
             return Swap(True, revision)
-        found = answer["responses"][0]["response_range"].get("kvs", [])
-        current = _entry(found[0]) if found else None
+        found = response["responses"][0]["response_range"].get("kvs", [])
+        current = _parse_entry(found[0]) if found else None
         return Swap(False, current.revision if current else 0, current)
 
     async def _read(self, path: str, body: JSON) -> JSON:
--- a/rhubarbwinch/stores/memstore.py
+++ b/rhubarbwinch/stores/memstore.py
@@ -30,7 +30,7 @@
     """A lease's expiry time and the keys under it."""
 
     ttl_ms: int
-    ends: int
+    expires_at: int
     keys: set[str] = attrs.field(factory=set)
 
 
@@ -49,7 +49,7 @@
         self._entries: dict[str, Entry] = {}
         self._leases: dict[int, _Lease] = {}
         self._lease_ids = itertools.count(1)
-        self._log: list[Change] = []
+        self._history: list[Change] = []
         self._changed = anyio.Event()
 
     @property
@@ -60,16 +60,16 @@
     @property
     def changes(self) -> list[Change]:
         """Every change so far, in order."""
-        return list(self._log)
+        return list(self._history)
 
     async def get(self, key: str) -> Entry | None:
         """Returns the entry of `key`, or None."""
-        self._begin()
+        self._start_call()
         return self._entries.get(key)
 
     async def scan(self, prefix: str) -> Listing:
         """Returns all entries whose keys start with `prefix`, by key."""
-        self._begin()
+        self._start_call()
         found = [
             self._entries[key]
             for key in sorted(self._entries)
@@ -81,7 +81,7 @@
         self, key: str, expected: int, value: bytes, lease: int = 0
     ) -> Swap:
         """Writes `value` if the key's revision is `expected`; 0 is absent."""
-        self._begin()
+        self._start_call()
         current = self._entries.get(key)
         if (current.revision if current else 0) != expected:
             return Swap(False, current.revision if current else 0, current)
@@ -94,13 +94,13 @@
             other.keys.discard(key)
         if lease:
             self._leases[lease].keys.add(key)
-        self._record(Change(key, self._revision, entry))
+        self._append_change(Change(key, self._revision, entry))
         self._finish_write()
         return Swap(True, self._revision)
 
     async def delete(self, key: str, expected: int) -> Swap:
         """Deletes the key if its revision is `expected`."""
-        self._begin()
+        self._start_call()
         current = self._entries.get(key)
         if current is None or current.revision != expected:
             return Swap(False, current.revision if current else 0, current)
@@ -110,7 +110,7 @@
 
     async def grant_lease(self, ttl_ms: int) -> int:
         """Returns the id of a new lease."""
-        self._begin()
+        self._start_call()
         lease = next(self._lease_ids)
         self._leases[lease] = _Lease(ttl_ms, self._clock.now() + ttl_ms)
         self._finish_write()
@@ -118,26 +118,26 @@
 
     async def keep_lease(self, lease: int) -> int:
         """Renews a lease; returns the milliseconds it has left, 0 if gone."""
-        self._begin()
+        self._start_call()
         if lease not in self._leases:
             return 0
-        held = self._leases[lease]
-        held.ends = self._clock.now() + held.ttl_ms
-        return held.ttl_ms
+        lease_state = self._leases[lease]
+        lease_state.expires_at = self._clock.now() + lease_state.ttl_ms
+        return lease_state.ttl_ms
 
     async def revoke_lease(self, lease: int) -> None:
         """Ends a lease; the keys under it are deleted."""
-        self._begin()
+        self._start_call()
         self._end_lease(lease)
 
     async def watch(self, prefix: str, after: int) -> AsyncIterator[Change]:
         """Yields every change under `prefix` after the revision `after`."""
-        self._begin()
+        self._start_call()
         position = 0
         while True:
             changed = self._changed
-            while position < len(self._log):
-                change = self._log[position]
+            while position < len(self._history):
+                change = self._history[position]
                 position += 1
                 if change.revision > after and change.key.startswith(prefix):
                     yield change
@@ -151,7 +151,9 @@
     def expire_leases(self) -> None:
         """Ends the expired leases; every call to the store does so as well."""
         now = self._clock.now()
-        for lease in [k for k, v in self._leases.items() if v.ends <= now]:
+        for lease in [
+            k for k, v in self._leases.items() if v.expires_at <= now
+        ]:
             self._end_lease(lease)
 
     def wake_watches(self) -> None:
@@ -159,7 +161,7 @@
         self._changed.set()
         self._changed = anyio.Event()
 
-    def _begin(self) -> None:
+    def _start_call(self) -> None:
         self.calls += 1
         if self.faults.down:
             raise StoreUnavailable("the store is down")
@@ -170,17 +172,17 @@
             self.faults.lose_answers -= 1
             raise StoreUncertain("the answer was lost")
 
-    def _record(self, change: Change) -> None:
-        self._log.append(change)
+    def _append_change(self, change: Change) -> None:
+        self._history.append(change)
         self.wake_watches()
 
     def _remove(self, key: str) -> None:
         self._revision += 1
         del self._entries[key]
-        self._record(Change(key, self._revision, None))
+        self._append_change(Change(key, self._revision, None))
 
     def _end_lease(self, lease: int) -> None:
-        held = self._leases.pop(lease, None)
-        for key in sorted(held.keys) if held else []:
+        lease_state = self._leases.pop(lease, None)
+        for key in sorted(lease_state.keys) if lease_state else []:
             if key in self._entries:
                 self._remove(key)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -77,11 +77,11 @@
             builders.endpoint(f"engine-{i}", address)
             for i, address in enumerate(self.engines)
         ]
-        desk = [builders.endpoint("desk", self.service)]
+        service_endpoints = [builders.endpoint("desk", self.service)]
         return [
             builders.model(),
             builders.pool("vintner", engines),
-            builders.pool("bookings", desk),
+            builders.pool("bookings", service_endpoints),
             builders.generate_service(),
             builders.plain_service(),
             builders.account(),
--- a/tests/records/test_accepted.py
+++ b/tests/records/test_accepted.py
@@ -10,7 +10,7 @@
 class SnapshotTest(unittest.TestCase):
     """Snapshots built from all records and by revision."""
 
-    def test_a_revised_snapshot_equals_one_built_from_nothing(self):
+    def test_a_revised_snapshot_equals_one_built_from_all_records(self):
         old = [builders.account("a"), builders.account("b"), builders.model()]
         new = [builders.account("a", weight=2.0), builders.generate_service()]
         first = accepted.make_snapshot(1, old)
@@ -18,7 +18,7 @@
         self.assertEqual(revised, accepted.make_snapshot(2, [old[2], *new]))
         self.assertEqual(first, accepted.make_snapshot(1, old))
 
-    def test_a_record_of_a_newer_schema_is_kept_but_not_in_force(self):
+    def test_a_record_of_a_newer_schema_is_kept_but_not_active(self):
         newer = Record("account", "a", 9, {"unknown": [1, 2]})
         snapshot = accepted.make_snapshot(1, [newer])
         self.assertEqual(snapshot.records["account/a"], newer)
--- a/tests/records/test_records.py
+++ b/tests/records/test_records.py
@@ -10,7 +10,7 @@
 from tests.helpers import ROOT
 
 
-def _fault(record):
+def _only_error(record):
     """Returns the field, value and allowed values of a record's only error."""
     found = records.errors(record)
     if len(found) != 1 or found[0].record != record.key:
@@ -18,10 +18,10 @@
     return found[0].field, found[0].value, found[0].allowed
 
 
-class RulesTest(unittest.TestCase):
+class ValidatorTest(unittest.TestCase):
     """The allowed values of fields."""
 
-    def test_a_fault_names_field_value_and_range(self):
+    def test_an_error_names_field_value_and_range(self):
         name = "1 to 63 of a-z, 0-9, dot and dash"
         desk = builders.endpoint("desk", "nowhere:1")
         cases = [
@@ -43,34 +43,34 @@
             "generate, plain",
         ]
         for (record, field, value), wanted in zip(cases, allowed, strict=True):
-            self.assertEqual(_fault(record), (field, value, wanted))
+            self.assertEqual(_only_error(record), (field, value, wanted))
 
     def test_types_are_not_converted(self):
         for value in ("16", 16.5, True, None, [16]):
-            field, found, _ = _fault(builders.model(context_tokens=value))
+            field, found, _ = _only_error(builders.model(context_tokens=value))
             self.assertEqual((field, found), ("context_tokens", value))
 
     def test_unknown_and_missing_fields_are_named(self):
         self.assertEqual(
-            _fault(builders.model(colour="red")),
+            _only_error(builders.model(colour="red")),
             ("colour", "present", "no such field"),
         )
         self.assertEqual(
-            _fault(Record("service", "s", 2, {"kind": "plain"})),
+            _only_error(Record("service", "s", 2, {"kind": "plain"})),
             ("target", "missing", "required"),
         )
 
-    def test_every_fault_of_a_record_is_found(self):
+    def test_every_error_of_a_record_is_found(self):
         record = builders.generate_service(kind="odd", wait_ms=-1, colour="red")
         fields = {error.field for error in records.errors(record)}
         self.assertEqual(fields, {"kind", "wait_ms", "colour"})
 
     def test_a_pool_has_at_most_64_endpoints(self):
         many = [builders.endpoint(f"e{i}") for i in range(65)]
-        self.assertEqual(_fault(builders.pool("a", many))[2], "at most 64")
+        self.assertEqual(_only_error(builders.pool("a", many))[2], "at most 64")
         self.assertEqual(records.errors(builders.pool("a", many[1:])), [])
 
-    def test_what_is_no_record_is_refused(self):
+    def test_invalid_records_are_refused(self):
         good = json.loads(builders.model().to_bytes())
         for field, value in (
             ("kind", "planet"),
@@ -127,7 +127,7 @@
         newer = Record("model", "m", 3, {"z": 1, "a": {"deep": [1, 2]}})
         again = records.parse(newer.to_bytes())
         self.assertEqual(again.to_bytes(), newer.to_bytes())
-        self.assertEqual(_fault(again), ("schema", 3, "1 to 2"))
+        self.assertEqual(_only_error(again), ("schema", 3, "1 to 2"))
 
     def test_the_examples_are_valid_and_use_both_schemas(self):
         import tomllib
