--- a/rhubarbwinch/membership/members.py
+++ b/rhubarbwinch/membership/members.py
@@ -29,7 +29,7 @@
 class Health(enum.IntEnum):
     """A member's health as its peers see it.
 
-    Of two updates with the same member version, the higher health wins.
+    Of two updates with the same member version, the worse health counts.
     """
 
     ALIVE = 0
--- a/rhubarbwinch/stores/etcdstore.py
+++ b/rhubarbwinch/stores/etcdstore.py
@@ -85,7 +85,7 @@
     async def swap(
         self, key: str, expected: int, value: bytes, lease: int = 0
     ) -> Swap:
-        """Writes `value` if the key's revision is `expected`; 0 is absent."""
+        """Writes `value` if the key's revision is `expected` (0: no key)."""
         put = {
             "key": _encode_key(key),
             "value": _b64(value),
@@ -108,7 +108,7 @@
         return int(response["ID"])
 
     async def keep_lease(self, lease: int) -> int:
-        """Renews a lease; returns the milliseconds it has left, 0 if gone."""
+        """Renews a lease; returns its remaining ms, or 0 if it has ended."""
         response = await self._read("/v3/lease/keepalive", {"ID": str(lease)})
         return int(response["result"].get("TTL", 0)) * 1000
 
--- a/rhubarbwinch/stores/memstore.py
+++ b/rhubarbwinch/stores/memstore.py
@@ -80,7 +80,7 @@
     async def swap(
         self, key: str, expected: int, value: bytes, lease: int = 0
     ) -> Swap:
-        """Writes `value` if the key's revision is `expected`; 0 is absent."""
+        """Writes `value` if the key's revision is `expected` (0: no key)."""
         self._start_call()
         current = self._entries.get(key)
         if (current.revision if current else 0) != expected:
@@ -117,7 +117,7 @@
         return lease
 
     async def keep_lease(self, lease: int) -> int:
-        """Renews a lease; returns the milliseconds it has left, 0 if gone."""
+        """Renews a lease; returns its remaining ms, or 0 if it has ended."""
         self._start_call()
         if lease not in self._leases:
             return 0
--- a/rhubarbwinch/stores/store.py
+++ b/rhubarbwinch/stores/store.py
@@ -90,7 +90,7 @@
     async def swap(
         self, key: str, expected: int, value: bytes, lease: int = 0
     ) -> Swap:
-        """Writes `value` if the key's revision is `expected`; 0 is absent."""
+        """Writes `value` if the key's revision is `expected` (0: no key)."""
         ...
 
     async def delete(self, key: str, expected: int) -> Swap:
@@ -102,7 +102,7 @@
         ...
 
     async def keep_lease(self, lease: int) -> int:
-        """Renews a lease; returns the milliseconds it has left, 0 if gone."""
+        """Renews a lease; returns its remaining ms, or 0 if it has ended."""
         ...
 
     async def revoke_lease(self, lease: int) -> None:
--- a/rhubarbwinch/stores/tracedstore.py
+++ b/rhubarbwinch/stores/tracedstore.py
@@ -35,7 +35,7 @@
     async def swap(
         self, key: str, expected: int, value: bytes, lease: int = 0
     ) -> Swap:
-        """Writes `value` if the key's revision is `expected`; 0 is absent."""
+        """Writes `value` if the key's revision is `expected` (0: no key)."""
         if not tracing.is_recording():
             return await self._store.swap(key, expected, value, lease)
         with tracing.span("store", call="swap", key=key) as begun:
@@ -55,7 +55,7 @@
         return await self._store.grant_lease(ttl_ms)
 
     async def keep_lease(self, lease: int) -> int:
-        """Renews a lease; returns the milliseconds it has left, 0 if gone."""
+        """Renews a lease; returns its remaining ms, or 0 if it has ended."""
         return await self._store.keep_lease(lease)
 
     async def revoke_lease(self, lease: int) -> None:
--- a/tests/configuration/test_distribution.py
+++ b/tests/configuration/test_distribution.py
@@ -119,7 +119,7 @@
             await scenario.fleet.clock.advance(3000)
             await play_scenario(scenario)
             scenario.add_line(
-                f"# a generation in force fell {scenario.drops} times"
+                f"# an active generation fell {scenario.drops} times"
             )
             tasks.cancel_scope.cancel()
         self.assert_gold(name, scenario.text)
@@ -146,7 +146,9 @@
             faults.down = False
             await scenario.apply(builders.account(weight=2.0))
             await scenario.wait_for_generation(2)
-            scenario.add_line("# it goes down when the record is written")
+            scenario.add_line(
+                "# the store goes down when the record is written"
+            )
             await scenario.apply(builders.account(weight=3.0))
             faults.down = True
             scenario.store.wake_watches()
@@ -154,7 +156,7 @@
             faults.down = False
             await scenario.wait_for_generation(3)
             scenario.add_line(
-                "# it goes down when the first member has the change"
+                "# the store goes down when the first member has the change"
             )
             await scenario.apply(builders.account(weight=4.0))
             while "4" not in scenario.generations():
@@ -174,7 +176,7 @@
             await scenario.apply(builders.account())
             await scenario.wait_for_generation(1)
             for lost in ("after", "before"):
-                scenario.add_line(f"# the answer is lost {lost} the write")
+                scenario.add_line(f"# the reply is lost {lost} the write")
                 scenario.store.lost = lost
                 weight = 2.0 if lost == "after" else 3.0
                 await scenario.apply(builders.account(weight=weight))
@@ -195,7 +197,7 @@
             old = await scenario.store.get(keys.ACCEPTED_HEAD)
             await scenario.apply(builders.account(weight=2.0))
             await scenario.wait_for_generation(2)
-            scenario.add_line("# every reading of the head gives generation 1")
+            scenario.add_line("# every read of the head returns generation 1")
             scenario.store.stale = old
             scenario.store.faults.down = True
             scenario.store.wake_watches()
@@ -204,7 +206,7 @@
             await scenario.apply(builders.account(weight=3.0))
             await scenario.wait(10_000)
             scenario.add_line(f"weight {scenario.weight()}")
-            scenario.add_line("# readings are right again")
+            scenario.add_line("# reads are correct again")
             scenario.store.stale = None
             await scenario.wait_for_generation(3)
             scenario.add_line(f"weight {scenario.weight()}")
@@ -221,7 +223,7 @@
             await scenario.wait(10_000)
             distribution = await scenario.store.get(keys.ACCEPTED_HEAD)
             scenario.add_line(
-                f"published over it: {distribution.value != old.value}"
+                f"overwritten by a publisher: {distribution.value != old.value}"
             )
 
         await self._run("config-older-head", "An older head", play_scenario)
@@ -281,9 +283,13 @@
             scenario.add_line("both won")
         except ConflictError as error:
             entry = await store.get(keys.record("account", "acme"))
-            scenario.add_line(f"the loser is told of a conflict on {error.key}")
+            scenario.add_line(
+                f"the second operator gets a conflict on {error.key}"
+            )
             is_winners = error.winner_revision == entry.revision
-            scenario.add_line(f"it names the winner's revision: {is_winners}")
+            scenario.add_line(
+                f"the error has the current revision: {is_winners}"
+            )
 
     @asynchronous
     async def test_the_last_valid_version_of_an_invalid_record_stays_active(
@@ -294,7 +300,7 @@
             await scenario.apply(builders.account(weight=2.0))
             await scenario.wait_for_generation(1)
             scenario.add_line(
-                "# the record is made invalid past the command line"
+                "# an invalid record is written without rhubarbwinchctl"
             )
             key = keys.record("account", "acme")
             entry = await store.get(key)
@@ -305,7 +311,9 @@
             status = await store.get(keys.status("account", "acme"))
             scenario.add_line(f"status {json.loads(status.value)['error']}")
             scenario.add_line(f"weight {scenario.weight()}")
-            scenario.add_line("# the publisher changes, and a daemon starts")
+            scenario.add_line(
+                "# another control publishes, and a daemon starts"
+            )
             chosen = [
                 name
                 for name, node in scenario.fleet.nodes.items()
@@ -316,9 +324,9 @@
             scenario.add("entry-new")
             await scenario.wait(15_000)
             scenario.add_line(
-                f"weight at the new one {scenario.weight('entry-new')}"
+                f"weight at the new entry {scenario.weight('entry-new')}"
             )
-            scenario.add_line("# the record is mended")
+            scenario.add_line("# the record is corrected")
             await scenario.apply(builders.account(weight=3.0))
             await scenario.wait_for_generation(3)
             status = await store.get(keys.status("account", "acme"))
@@ -341,14 +349,14 @@
             snapshot = scenario.fleet.nodes["entry-0"].follower.snapshot
             for name in ("one", "two"):
                 room = snapshot.accounts[name].room.requests
-                scenario.add_line(f"account {name} has room for {room}")
+                scenario.add_line(f"account {name} may have requests: {room}")
             scenario.add_line(
-                "# a record of schema 3; the old control leaves it"
+                "# a record of schema 3; the old control does not publish it"
             )
             key = keys.record("account", "future")
             await store.swap(key, 0, newer)
             await scenario.wait(5000)
-            scenario.add_line("# a new control publishes it beside the old one")
+            scenario.add_line("# a control of a newer version publishes it")
             with mock.patch.object(records, "CURRENT_SCHEMA", 3):
                 head = await self._publish_as_new(scenario)
             scenario.add_line(f"published {head.generation}")
@@ -361,7 +369,7 @@
                 follower.head.chunks[accepted.slot_of_key("account/future")]
             )
             kept = [r.raw for r in accepted.unpack_chunk(chunk)]
-            scenario.add_line(f"byte for byte: {newer in kept}")
+            scenario.add_line(f"bytes unchanged: {newer in kept}")
             is_used = "future" in follower.snapshot.accounts
             scenario.add_line(f"an old entry uses it: {is_used}")
 
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -98,18 +98,20 @@
         async def scenario(recorder):
             fleet = recorder.fleet
             recorder.add_line(
-                "# one is cut off from its peers, not from the store"
+                "# one is disconnected from its peers, not from the store"
             )
             fleet.network.cut.add("broker-3")
             await recorder.wait(70_000)
-            recorder.add_line("# the link is back; it denies the suspicion")
+            recorder.add_line(
+                "# the link works again; the member refutes the suspicion"
+            )
             fleet.network.cut.discard("broker-3")
             await recorder.wait(5000)
-            recorder.add_line("# one is cut off from both")
+            recorder.add_line("# one is disconnected from both")
             fleet.network.cut.add("broker-4")
             fleet.nodes["broker-4"].stop()
             await recorder.wait(15_000)
-            recorder.add_line("# it is started again")
+            recorder.add_line("# the same member is started again")
             fleet.network.cut.discard("broker-4")
             fleet.add("broker-4", Role.BROKER)
             await recorder.wait(5000)
--- a/tests/membership/test_leaving.py
+++ b/tests/membership/test_leaving.py
@@ -125,16 +125,22 @@
             await ctl.apply(store, _records())
             await deployment.observe("no notice", "engine-0")
             deployment.list.vms = [Vm("10.0.0.0", VmState.LEAVING)]
-            await deployment.observe("the list says that it leaves", "engine-0")
+            await deployment.observe(
+                "the list marks the VM as leaving", "engine-0"
+            )
             deployment.add_broker("broker-new")
             await clock.advance(3000)
             await deployment.observe("a broker that starts later", "engine-0")
             deployment.list.vms = None
-            await deployment.observe("the list is silent", "engine-0", 120)
+            await deployment.observe(
+                "the list can not be read", "engine-0", 120
+            )
             deployment.list.vms = [Vm("10.0.0.0", VmState.LIVE)]
             await deployment.observe("the list was wrong", "engine-0")
             deployment.list.vms = []
-            await deployment.observe("the list has lost the VM", "engine-0")
+            await deployment.observe(
+                "the VM is missing from the list", "engine-0"
+            )
             store.faults.down = True
             store.wake_watches()
             readers = [
--- a/tests/orders/test_orders.py
+++ b/tests/orders/test_orders.py
@@ -42,7 +42,7 @@
         if address in self.before_arrival:
             await self.before_arrival.pop(address)()
         taken = self.boards[address].take(order.kind, order.subject, fence)
-        verb = "takes" if taken else "refuses"
+        verb = "accepts" if taken else "refuses"
         self.lines.append(
             f"{address} {verb} {order.kind} {order.subject} fence {fence}"
         )
@@ -128,18 +128,20 @@
     async def test_a_paused_holder_sends_nothing_after_its_lease_expired(self):
         scenario = Scenario()
         await scenario.run_round("a")
-        scenario.add_comment("a is paused, its lease lapses, b takes over")
+        scenario.add_comment(
+            "a is paused, its lease expires, b acquires the pool"
+        )
         scenario.version = "2"
         scenario.clock.set(LEASE_MS + 1)
         await scenario.run_round("b")
         scenario.clock.set(2 * LEASE_MS)
         await scenario.run_round("b")
         scenario.add_comment(
-            "b has waited out the old lease and its last flight"
+            "b has waited until a's lease and last order have ended"
         )
         await self._run_rounds(scenario, "b", LEASE_MS + FLIGHT_MS + 1000)
         scenario.add_comment(
-            "a wakes up and still believes that it holds the lease"
+            "a resumes and does not know that its lease has expired"
         )
         scenario.version = "3"
         number = scenario.fencings["a"].fence_to_send(POOL)
@@ -174,7 +176,7 @@
 
         async def pause():
             scenario.add_comment(
-                "a is paused after the check; b takes over meanwhile"
+                "a is paused after the check; b acquires the pool"
             )
             scenario.version = "3"
             scenario.clock.set(LEASE_MS + 1)
@@ -202,7 +204,7 @@
         loaded = [board.state()["loaded"] for board in scenario.boards.values()]
         self.assertEqual(loaded, [["vintner@1"], ["vintner@1"]])
         scenario.store.faults.down = False
-        scenario.add_comment("the store answers again")
+        scenario.add_comment("the store is available again")
         scenario.clock.set(LEASE_MS + 1)
         await scenario.run_round("a")
         await self._run_rounds(scenario, "a", LEASE_MS + FLIGHT_MS + 1000)
