--- a/rhubarbwinch/endpoints/relay.py
+++ b/rhubarbwinch/endpoints/relay.py
@@ -106,9 +106,9 @@
         position = self._position
         while True:
             try:
-                async for found in self._read():
-                    yield found
-                    if found[-1].is_done:
+                async for batch in self._read():
+                    yield batch
+                    if batch[-1].is_done:
                         return
                 raise EndpointError("the stream ended early", sent=True)
             except EndpointError as error:
@@ -198,12 +198,12 @@
         return False
     if event.is_error:
         raise GenerationLostError(f"the engine failed: {event.data!r}")
-    found = event.id
-    if found is None or found.generation != position.generation:
-        raise ForeignGenerationError(str(found))
-    if found.index > position.next_index:
-        raise EndpointError(f"a gap before {found.index}", sent=True)
-    if found.index == position.next_index:
+    event_id = event.id
+    if event_id is None or event_id.generation != position.generation:
+        raise ForeignGenerationError(str(event_id))
+    if event_id.index > position.next_index:
+        raise EndpointError(f"a gap before {event_id.index}", sent=True)
+    if event_id.index == position.next_index:
         # The id is the expected one in another spelling, such as without the
         # space.
         position.next_index += 1
--- a/rhubarbwinch/membership/ownership.py
+++ b/rhubarbwinch/membership/ownership.py
@@ -23,23 +23,27 @@
         self._members = members
         self._clock = clock
         self._owners: dict[str, str] = {}
-        self._ready_at: dict[str, int] = {}
-        members.on_change(self._update)
+        self._decisions_allowed_at: dict[str, int] = {}
+        members.on_change(self._update_owners)
 
     def set_pools(self, names: Iterable[str]) -> None:
         """Sets the names of all pools."""
         self._owners = {n: self._owners.get(n, "") for n in names}
-        self._update()
+        self._update_owners()
 
     def wait_ms(self, pool: str) -> int:
         """Returns how long decisions on a pool must still wait, in ms."""
-        return max(0, self._ready_at.get(pool, 0) - self._clock.now())
+        return max(
+            0, self._decisions_allowed_at.get(pool, 0) - self._clock.now()
+        )
 
-    def _update(self) -> None:
+    def _update_owners(self) -> None:
         me = self._members.me.name
         brokers = [m.name for m in self._members.serving(Role.BROKER)]
-        for pool, old in self._owners.items():
+        for pool, old_owner in self._owners.items():
             owner = rendezvous.owner(pool, brokers) or ""
             self._owners[pool] = owner
-            if owner == me and old not in ("", me):
-                self._ready_at[pool] = self._clock.now() + NEW_OWNER_WAIT_MS
+            if owner == me and old_owner not in ("", me):
+                self._decisions_allowed_at[pool] = (
+                    self._clock.now() + NEW_OWNER_WAIT_MS
+                )
--- a/rhubarbwinch/membership/rumours.py
+++ b/rhubarbwinch/membership/rumours.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-TTL_MS = 60_000
+UPDATE_TTL_MS = 60_000
 
 
 @attrs.frozen
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen
-class _Topic:
+class _UpdateTopic:
     """Identifies an update; a newer update of the same topic replaces it."""
 
     kind: str
@@ -61,20 +61,20 @@
     """The updates that a member has received recently and relays."""
 
     def __init__(self) -> None:
-        self._updates: dict[_Topic, _StoredUpdate] = {}
+        self._updates: dict[_UpdateTopic, _StoredUpdate] = {}
 
     def add(self, update: Rumour, now: int) -> bool:
         """Adds an update; returns whether it is new."""
-        topic = _topic(update)
+        topic = _topic_of(update)
         old = self._updates.get(topic)
         if old is not None and old.update.version >= update.version:
             return False
-        self._updates[topic] = _StoredUpdate(update, now + TTL_MS)
+        self._updates[topic] = _StoredUpdate(update, now + UPDATE_TTL_MS)
         return True
 
     def next_version(self, kind: str, key: str, origin: int, wall: int) -> int:
         """Returns a version above that of the stored update."""
-        old = self._updates.get(_Topic(kind, key, origin))
+        old = self._updates.get(_UpdateTopic(kind, key, origin))
         return max(wall, old.update.version + 1 if old else 0)
 
     def pick_for_message(self, peer: str, max_bytes: int) -> list[Rumour]:
@@ -87,7 +87,9 @@
         candidates = [
             h for h in self._updates.values() if peer not in h.delivered_to
         ]
-        return [stored.update for stored in _fit(candidates, max_bytes)]
+        return [
+            stored.update for stored in _select_fitting(candidates, max_bytes)
+        ]
 
     def pick_for_reply(self, peer: str, max_bytes: int) -> list[Rumour]:
         """Returns the updates for a reply, each update once for each peer.
@@ -100,7 +102,7 @@
             for h in self._updates.values()
             if peer not in h.delivered_to and peer not in h.replied_to
         ]
-        fitting = _fit(candidates, max_bytes)
+        fitting = _select_fitting(candidates, max_bytes)
         for stored in fitting:
             stored.replied_to.add(peer)
         return [stored.update for stored in fitting]
@@ -108,7 +110,7 @@
     def mark_delivered(self, peer: str, updates: list[Rumour]) -> None:
         """Records that a peer has these updates."""
         for update in updates:
-            stored = self._updates.get(_topic(update))
+            stored = self._updates.get(_topic_of(update))
             if stored is not None and stored.update.version <= update.version:
                 stored.delivered_to.add(peer)
 
@@ -120,11 +122,11 @@
             del self._updates[topic]
 
 
-def _topic(update: Rumour) -> _Topic:
-    return _Topic(update.kind, update.key, update.origin)
+def _topic_of(update: Rumour) -> _UpdateTopic:
+    return _UpdateTopic(update.kind, update.key, update.origin)
 
 
-def _fit(
+def _select_fitting(
     candidates: list[_StoredUpdate], max_bytes: int
 ) -> list[_StoredUpdate]:
     """Returns the updates that fit into a message.
--- a/rhubarbwinch/orders/fencing.py
+++ b/rhubarbwinch/orders/fencing.py
@@ -111,7 +111,7 @@
         self._lease_ms = lease_ms
         self._flight_ms = flight_ms
         self._lease = 0
-        self._valid_until = 0
+        self._lease_valid_until = 0
         self._holds: dict[str, Hold] = {}
         self._unsettled: set[str] = set()
 
@@ -123,7 +123,9 @@
     @property
     def ms_left(self) -> int:
         """The milliseconds left of the lease, by this process's clock."""
-        return max(0, self._valid_until - self._clock.now() - CLOCK_MARGIN_MS)
+        return max(
+            0, self._lease_valid_until - self._clock.now() - CLOCK_MARGIN_MS
+        )
 
     def state(self, pool: str) -> HoldState:
         """Returns whether orders for a pool may be sent."""
@@ -160,14 +162,14 @@
                 expires.
         """
         started_at = self._clock.now()
-        if self._lease and started_at < self._valid_until:
+        if self._lease and started_at < self._lease_valid_until:
             left = await self._store.keep_lease(self._lease)
             if left:
-                self._valid_until = started_at + min(left, self._lease_ms)
+                self._lease_valid_until = started_at + min(left, self._lease_ms)
                 return
         self._drop_all()
         self._lease = await self._store.grant_lease(self._lease_ms)
-        self._valid_until = started_at + self._lease_ms
+        self._lease_valid_until = started_at + self._lease_ms
 
     async def acquire(self, pool: str) -> bool:
         """Tries to become a pool's holder; returns whether it is the holder.
@@ -249,7 +251,7 @@
         for pool in self._holds:
             events.ORDERS_LOST.log(pool=pool)
         self._holds.clear()
-        self._valid_until = 0
+        self._lease_valid_until = 0
 
     async def close(self) -> None:
         """Releases all pools; if the store fails, the lease expires instead."""
--- a/tests/endpoints/test_relay.py
+++ b/tests/endpoints/test_relay.py
@@ -175,8 +175,8 @@
 
     async def read():
         try:
-            async for found in relay.events():
-                engine.lines.append("passed " + _indexes(join(found)))
+            async for batch in relay.events():
+                engine.lines.append("passed " + _indexes(join(batch)))
             ends.append("whole")
         except EndpointError as error:
             ends.append(f"{error}; sent {error.sent}")
@@ -192,5 +192,5 @@
 
 def _indexes(data):
     """Returns the indexes of the events in some bytes."""
-    found = Splitter().feed(data)
-    return " ".join("done" if e.is_done else str(e.id.index) for e in found)
+    batch = Splitter().feed(data)
+    return " ".join("done" if e.is_done else str(e.id.index) for e in batch)
