--- a/rhubarbwinch/configuration/publisher.py
+++ b/rhubarbwinch/configuration/publisher.py
@@ -5,7 +5,7 @@
 
 from rhubarbwinch.configuration.follower import Follower
 from rhubarbwinch.records import accepted, records
-from rhubarbwinch.records.accepted import SLOTS, Head
+from rhubarbwinch.records.accepted import CHUNK_SLOTS, Head
 from rhubarbwinch.records.records import Record
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.exceptions import (
@@ -109,7 +109,9 @@
             listing.revision,
         )
         names = set(self._store_copy.records)
-        return await self._publish(self._store_copy, names, set(range(SLOTS)))
+        return await self._publish(
+            self._store_copy, names, set(range(CHUNK_SLOTS))
+        )
 
     async def publish_changes(self, changes: list[Change]) -> Head:
         """Applies changes of records to the local copy and publishes them.
--- a/rhubarbwinch/endpoints/relay.py
+++ b/rhubarbwinch/endpoints/relay.py
@@ -16,7 +16,7 @@
 )
 
 # A stream fails after this many consecutive attempts without a new event.
-MAX_RESUMES = 8
+MAX_FAILED_RESUMES = 8
 
 
 # A stream from an endpoint; each item holds the events of one read, in order.
@@ -151,7 +151,7 @@
         """Returns whether opening the stream again can't succeed."""
         if isinstance(error, (ForeignGenerationError, GenerationLostError)):
             return True
-        if self._failures >= MAX_RESUMES:
+        if self._failures >= MAX_FAILED_RESUMES:
             return True
         # Before the first token it is better to use another engine, unless
         # this engine has accepted the request and is only slow.
--- a/rhubarbwinch/membership/members.py
+++ b/rhubarbwinch/membership/members.py
@@ -8,7 +8,7 @@
 
 from rhubarbwinch.shared import events, rendezvous
 
-BUCKETS = 32
+DIGEST_BUCKETS = 32
 
 
 class Role(enum.StrEnum):
@@ -201,7 +201,7 @@
     def digests(self) -> list[int]:
         """Returns a hash for each bucket of the members that are not dead."""
         if not self._digests:
-            hashes = [0] * BUCKETS
+            hashes = [0] * DIGEST_BUCKETS
             for member in self.all():
                 text = f"{member.name}\0{member.version}".encode()
                 hashes[_bucket(member.name)] ^= xxhash.xxh3_64_intdigest(text)
@@ -220,7 +220,7 @@
         mine = self.digests()
         differing_buckets = {
             i
-            for i in range(BUCKETS)
+            for i in range(DIGEST_BUCKETS)
             if i >= len(digests) or digests[i] != mine[i]
         }
         return [
@@ -270,4 +270,4 @@
 
 
 def _bucket(name: str) -> int:
-    return xxhash.xxh3_64_intdigest(name.encode()) % BUCKETS
+    return xxhash.xxh3_64_intdigest(name.encode()) % DIGEST_BUCKETS
--- a/rhubarbwinch/orders/fencing.py
+++ b/rhubarbwinch/orders/fencing.py
@@ -17,7 +17,7 @@
 from rhubarbwinch.stores.store import Store
 
 # The most that two clocks may drift apart during the lifetime of a lease.
-CLOCK_MARGIN_MS = 200
+CLOCK_DRIFT_MARGIN_MS = 200
 
 
 class HoldState(enum.StrEnum):
@@ -124,7 +124,8 @@
     def ms_left(self) -> int:
         """The milliseconds left of the lease, by this process's clock."""
         return max(
-            0, self._lease_valid_until - self._clock.now() - CLOCK_MARGIN_MS
+            0,
+            self._lease_valid_until - self._clock.now() - CLOCK_DRIFT_MARGIN_MS,
         )
 
     def state(self, pool: str) -> HoldState:
@@ -242,7 +243,7 @@
             # The former holder may go on sending until its lease ends by its
             # own clock, and its last order may take effect `flight_ms` later,
             # even if the lease has expired in the store already.
-            ready_at += old.lease_ms + old.flight_ms + CLOCK_MARGIN_MS
+            ready_at += old.lease_ms + old.flight_ms + CLOCK_DRIFT_MARGIN_MS
         self._holds[pool] = Hold(pool, number, ready_at)
         events.ORDERS_TAKEN.log(pool=pool, fence=number)
         return True
--- a/rhubarbwinch/records/accepted.py
+++ b/rhubarbwinch/records/accepted.py
@@ -31,7 +31,7 @@
 from rhubarbwinch.stores import keys
 from rhubarbwinch.stores.store import Store
 
-SLOTS = 64
+CHUNK_SLOTS = 64
 
 
 @attrs.frozen
@@ -45,7 +45,7 @@
     """
 
     generation: int = 0
-    chunks: list[str] = attrs.field(factory=lambda: [""] * SLOTS)
+    chunks: list[str] = attrs.field(factory=lambda: [""] * CHUNK_SLOTS)
 
     def to_bytes(self) -> bytes:
         """Returns the head as JSON."""
@@ -72,7 +72,7 @@
 
 def slot_of_key(key: str) -> int:
     """Returns the slot whose chunk holds the record `kind/name`."""
-    return xxhash.xxh3_64_intdigest(key.encode()) % SLOTS
+    return xxhash.xxh3_64_intdigest(key.encode()) % CHUNK_SLOTS
 
 
 @attrs.frozen
@@ -92,7 +92,7 @@
 
 def pack_chunks(all_records: Iterable[Record]) -> list[bytes]:
     """Returns each slot's chunk, empty for a slot without records."""
-    slots: list[list[Record]] = [[] for _ in range(SLOTS)]
+    slots: list[list[Record]] = [[] for _ in range(CHUNK_SLOTS)]
     for record in all_records:
         slots[slot_of_key(record.key)].append(record)
     return [pack_chunk(slot) for slot in slots]
