--- a/rhubarbwinch/configuration/distribution.py
+++ b/rhubarbwinch/configuration/distribution.py
@@ -1,8 +1,9 @@
-"""Peers give each other the accepted configuration, chunk by chunk.
+"""Distributes the accepted configuration between peers, chunk by chunk.
 
-The store is asked last. The idea of sending once to a few and supplying what
-is missing by the numbers in heartbeats is that of EdgeDis, sections 3.1 to
-3.3; docs/design/distribution.md says what was kept of it.
+The store is asked last. The scheme follows EdgeDis, sections 3.1 to 3.3: send
+once to a few peers, then supply what is missing, as seen from the generation
+numbers in heartbeats. docs/design/distribution.md lists the parts of EdgeDis
+that are used.
 """
 
 import random
@@ -23,12 +24,12 @@
 
 @attrs.frozen
 class HeadRequest:
-    """Asks a peer for the head in force there."""
+    """Asks a peer for its active head."""
 
 
 @attrs.frozen
 class HeadReply:
-    """The head in force at a peer; its generation is 0 without one."""
+    """A peer's active head; generation 0 if it has none."""
 
     head: Head
 
@@ -42,13 +43,13 @@
 
 @attrs.frozen
 class ChunkReply:
-    """A chunk; empty if the peer does not have it."""
+    """The requested chunk; empty if the peer does not have it."""
 
     chunk: bytes
 
 
 @attrs.frozen
-class HeldHead:
+class PeerHead:
     """A head and the address of a peer that has its chunks."""
 
     head: Head = attrs.field(factory=Head)
@@ -56,13 +57,13 @@
 
 
 class Distribution:
-    """Fetches heads and chunks from peers and serves them.
+    """Fetches heads and chunks from peers and serves them to peers.
 
     Args:
         links: Calls peers.
-        server: Answers peers.
-        members: Whom to ask.
-        rng: Spreads the calls.
+        server: Replies to peers.
+        members: The peers that can be asked.
+        rng: Shuffles the peers, which spreads the calls.
     """
 
     def __init__(
@@ -75,20 +76,20 @@
         self._links = links
         self._members = members
         self._rng = rng
-        self._head: Callable[[], Head] = Head
-        self._chunk: Callable[[str], bytes] = lambda _name: b""
-        server.on(HeadRequest, self._show_head)
-        server.on(ChunkRequest, self._show_chunk)
+        self._get_head: Callable[[], Head] = Head
+        self._get_chunk: Callable[[str], bytes] = lambda _name: b""
+        server.on(HeadRequest, self._handle_head_request)
+        server.on(ChunkRequest, self._handle_chunk_request)
 
-    def serve(
-        self, head: Callable[[], Head], chunk: Callable[[str], bytes]
+    def set_source(
+        self, get_head: Callable[[], Head], get_chunk: Callable[[str], bytes]
     ) -> None:
-        """Sets where the head and the chunks in force are found."""
-        self._head = head
-        self._chunk = chunk
+        """Sets the functions that return the active head and its chunks."""
+        self._get_head = get_head
+        self._get_chunk = get_chunk
 
     async def head(self, address: str) -> Head | None:
-        """Returns the head in force at a peer, or None without an answer."""
+        """Returns a peer's active head, or None if it does not reply."""
         try:
             reply = await self._links.call(
                 address, HeadRequest(), HeadReply, FETCH_TIMEOUT_MS
@@ -98,24 +99,24 @@
             return None
         return reply.head
 
-    async def newest_head(self, addresses: list[str]) -> HeldHead:
-        """Returns the newest head of some peers; generation 0 without one."""
-        best = HeldHead()
+    async def newest_head(self, addresses: list[str]) -> PeerHead:
+        """Returns the newest head of some peers; generation 0 if none."""
+        newest = PeerHead()
         for address in addresses:
             head = await self.head(address)
-            if head is not None and head.generation > best.head.generation:
-                best = HeldHead(head, address)
-        return best
+            if head is not None and head.generation > newest.head.generation:
+                newest = PeerHead(head, address)
+        return newest
 
-    async def chunk(self, name: str, holder: str) -> bytes | None:
-        """Returns a chunk from a peer, or None if those asked lack it.
+    async def chunk(self, name: str, first_address: str) -> bytes | None:
+        """Returns a chunk from a peer, or None if no asked peer has it.
 
         Args:
             name: The chunk's digest.
-            holder: The peer that is asked first, or empty.
+            first_address: The address of the peer to ask first, or empty.
         """
-        others = self.some_peers(MAX_PEERS_ASKED)
-        for address in [holder, *others] if holder else others:
+        others = self.choose_peers(MAX_PEERS_ASKED)
+        for address in [first_address, *others] if first_address else others:
             try:
                 reply = await self._links.call(
                     address, ChunkRequest(name), ChunkReply, FETCH_TIMEOUT_MS
@@ -127,16 +128,16 @@
                 return reply.chunk
         return None
 
-    def some_peers(self, count: int) -> list[str]:
-        """Returns the addresses of peers, those of the data centre first."""
+    def choose_peers(self, count: int) -> list[str]:
+        """Returns addresses of peers, those in this data centre first."""
         me = self._members.me
         others = [m for m in self._members.all() if m.name != me.name]
         self._rng.shuffle(others)
         others.sort(key=lambda m: m.data_center != me.data_center)
         return [m.link for m in others[:count]]
 
-    async def _show_head(self, _: HeadRequest) -> HeadReply:
-        return HeadReply(self._head())
+    async def _handle_head_request(self, _: HeadRequest) -> HeadReply:
+        return HeadReply(self._get_head())
 
-    async def _show_chunk(self, request: ChunkRequest) -> ChunkReply:
-        return ChunkReply(self._chunk(request.name))
+    async def _handle_chunk_request(self, request: ChunkRequest) -> ChunkReply:
+        return ChunkReply(self._get_chunk(request.name))
--- a/rhubarbwinch/configuration/follower.py
+++ b/rhubarbwinch/configuration/follower.py
@@ -1,4 +1,4 @@
-"""Follows the accepted configuration; never goes back a generation."""
+"""Keeps a replica of the accepted configuration; its generation never falls."""
 
 from collections.abc import Callable
 
@@ -19,26 +19,28 @@
 from rhubarbwinch.stores import keys
 from rhubarbwinch.stores.store import Store
 
-RETRY_MS = 500
-SEEDS = 2
+RETRY_DELAY_MS = 500
+WATCHERS_PER_DATA_CENTER = 2
 
 
 @attrs.define
-class _Offer:
-    """A generation that a peer is known to have."""
+class _AvailableUpdate:
+    """A generation and the address of a peer that has it."""
 
     generation: int = 0
     address: str = ""
 
 
 class Follower:
-    """Holds the snapshot in force and replaces it by newer ones.
+    """Holds the active snapshot and replaces it with newer ones.
 
     Args:
         store: The platform's store.
         clock: The source of time.
-        members: Decides who watches the store; without it this process does.
-        peers: Gives what other members have; None asks the store alone.
+        members: The members among which the watchers of the store are
+            elected; None makes this process a watcher.
+        peers: Fetches heads and chunks from other members; None reads the
+            store only.
         addresses: Peers to ask when no members are known.
     """
 
@@ -59,22 +61,22 @@
         self._chunks: dict[str, bytes] = {}
         self._head = Head()
         self._listeners: list[Callable[[Snapshot], None]] = []
-        self._offer = _Offer()
-        self._offered = anyio.Event()
+        self._available_update = _AvailableUpdate()
+        self._newer_generation_seen = anyio.Event()
         self._members_changed = anyio.Event()
         if members is not None:
-            members.on_change(self._wake)
+            members.on_change(self._signal_members_changed)
         if peers is not None:
-            peers.serve(lambda: self._head, self.chunk)
+            peers.set_source(lambda: self._head, self.chunk)
 
     @property
     def snapshot(self) -> Snapshot:
-        """The configuration in force."""
+        """The active configuration."""
         return self._snapshot
 
     @property
     def head(self) -> Head:
-        """The head in force."""
+        """The active head."""
         return self._head
 
     @property
@@ -83,11 +85,13 @@
         if self._members is None:
             return True
         me = self._members.me
-        seeds = self._members.seeds("config", me.data_center, SEEDS)
-        return me.name in seeds
+        elected = self._members.elected(
+            "config", me.data_center, WATCHERS_PER_DATA_CENTER
+        )
+        return me.name in elected
 
     def chunk(self, name: str) -> bytes:
-        """Returns a chunk of the head in force; empty for another one."""
+        """Returns a chunk of the active head; empty for any other chunk."""
         return self._chunks.get(name, b"")
 
     def on_change(self, listener: Callable[[Snapshot], None]) -> None:
@@ -95,36 +99,39 @@
         self._listeners.append(listener)
 
     def notice(self, generation: int, address: str) -> None:
-        """Takes note that a peer has a newer generation."""
-        if generation > max(self._head.generation, self._offer.generation):
-            self._offer = _Offer(generation, address)
-        self._offered.set()
+        """Records that a peer has a newer generation."""
+        if generation > max(
+            self._head.generation, self._available_update.generation
+        ):
+            self._available_update = _AvailableUpdate(generation, address)
+        self._newer_generation_seen.set()
 
     async def run(self) -> None:
-        """Keeps the newest generation in force until cancelled."""
+        """Activates each newer generation until cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._follow_store)
+            tasks.start_soon(self._watch_while_elected)
             if self._peers is not None:
-                tasks.start_soon(self._follow_peers)
+                tasks.start_soon(self._fetch_newer_from_peers)
 
-    async def read(self) -> int:
-        """Reads the head and takes it if newer; returns its revision."""
+    async def read_store(self) -> int:
+        """Reads the store's head and applies it; returns its revision."""
         head, revision = await accepted.read_head(self._store)
-        await self.offer(head)
+        await self.update(head)
         return revision
 
-    async def offer(self, head: Head, holder: str = "") -> bool:
-        """Takes a head if it is newer than the one in force.
+    async def update(self, head: Head, peer_address: str = "") -> bool:
+        """Activates a head if it is newer than the active one.
 
         Args:
             head: The head.
-            holder: The address of a peer that has its chunks, or empty.
+            peer_address: The address of a peer that has its chunks, or empty.
 
         Returns:
-            Whether the head was taken.
+            Whether the head was activated.
 
         Raises:
-            StoreError: Neither a peer nor the store gave all chunks.
+            StoreError: A chunk could be read neither from a peer nor from the
+                store.
         """
         if head.generation <= self._head.generation:
             if head.generation < self._head.generation:
@@ -134,17 +141,17 @@
             return False
         chunks = {}
         for name in filter(None, head.chunks):
-            held = self._chunks.get(name)
-            chunks[name] = held or await self._fetch(name, holder)
+            known = self._chunks.get(name)
+            chunks[name] = known or await self._fetch_chunk(name, peer_address)
         if head.generation <= self._head.generation:
-            # A newer one came into force while the chunks were fetched.
+            # A newer head was activated while the chunks were fetched.
             return False
-        self._put_in_force(head, chunks)
+        self._activate(head, chunks)
         return True
 
-    async def _follow_store(self) -> None:
-        """Watches the store while this process is a seed."""
-        await self._start()
+    async def _watch_while_elected(self) -> None:
+        """Watches the store while this process is an elected watcher."""
+        await self._fetch_initial()
         while True:
             self._members_changed = anyio.Event()
             changed = self._members_changed
@@ -158,68 +165,72 @@
                     self._members_changed = changed = anyio.Event()
                 tasks.cancel_scope.cancel()
 
-    async def _start(self) -> None:
-        """Takes the head from a peer, or else from the store."""
+    async def _fetch_initial(self) -> None:
+        """Fetches the first head from a peer, or else from the store."""
         if self._peers is None:
             return
-        asked = self._peers.some_peers(MAX_PEERS_ASKED) or self._addresses
-        held = await self._peers.newest_head(asked)
+        addresses = self._peers.choose_peers(MAX_PEERS_ASKED) or self._addresses
+        peer_head = await self._peers.newest_head(addresses)
         try:
-            if held.head.generation:
-                await self.offer(held.head, held.address)
+            if peer_head.head.generation:
+                await self.update(peer_head.head, peer_head.address)
             else:
-                await self.read()
+                await self.read_store()
         except (StoreError, CodecError):
-            # Heartbeats or the watch bring it later.
+            # A heartbeat or the watch delivers the head later.
             return
 
     async def _watch(self) -> None:
         while True:
             try:
-                revision = await self.read()
+                revision = await self.read_store()
                 changes = self._store.watch(keys.ACCEPTED_HEAD, revision)
                 async for change in changes:
                     if change.entry is not None:
-                        await self.offer(
+                        await self.update(
                             accepted.parse_head(change.entry.value)
                         )
             except (StoreError, CodecError):
-                await self._clock.sleep(RETRY_MS)
+                await self._clock.sleep(RETRY_DELAY_MS)
 
-    async def _follow_peers(self) -> None:
-        """Catches up with peers that have a newer generation."""
+    async def _fetch_newer_from_peers(self) -> None:
+        """Fetches newer generations from the peers that have them."""
         while True:
-            await self._offered.wait()
-            self._offered = anyio.Event()
-            offer, self._offer = self._offer, _Offer()
-            if offer.generation <= self._head.generation:
+            await self._newer_generation_seen.wait()
+            self._newer_generation_seen = anyio.Event()
+            update, self._available_update = (
+                self._available_update,
+                _AvailableUpdate(),
+            )
+            if update.generation <= self._head.generation:
                 continue
             assert self._peers is not None
-            head = await self._peers.head(offer.address)
+            head = await self._peers.head(update.address)
             try:
-                if head is not None and head.generation >= offer.generation:
-                    await self.offer(head, offer.address)
+                if head is not None and head.generation >= update.generation:
+                    await self.update(head, update.address)
             except (StoreError, CodecError):
-                # The next heartbeat offers it again.
+                # The next heartbeat announces the generation again.
                 continue
 
-    async def _fetch(self, name: str, holder: str) -> bytes:
-        """Returns a chunk from a peer, from the store last.
+    async def _fetch_chunk(self, name: str, peer_address: str) -> bytes:
+        """Returns a chunk from a peer, or else from the store.
 
-        A seed that heard of the head from the store is the first to have the
-        chunk, so it asks the store at once.
+        A process that read the head from the store is among the first to
+        fetch its chunks, so it reads the store without asking peers.
         """
-        if self._peers is not None and holder:
-            chunk = await self._peers.chunk(name, holder)
+        if self._peers is not None and peer_address:
+            chunk = await self._peers.chunk(name, peer_address)
             if chunk is not None:
                 return chunk
         return await accepted.read_chunk(self._store, name)
 
-    def _put_in_force(self, head: Head, chunks: dict[str, bytes]) -> None:
-        # Only changed chunks are parsed: a whole configuration would hold up
-        # every open stream for longer than a gap between tokens may be.
-        removed = _records_besides(self._chunks, chunks)
-        added = _records_besides(chunks, self._chunks)
+    def _activate(self, head: Head, chunks: dict[str, bytes]) -> None:
+        # Only changed chunks are parsed: parsing a whole configuration would
+        # block every open stream for longer than the allowed gap between
+        # tokens.
+        removed = _records_not_in(self._chunks, chunks)
+        added = _records_not_in(chunks, self._chunks)
         self._snapshot = accepted.revise(
             self._snapshot, head.generation, removed, added
         )
@@ -230,14 +241,14 @@
         for listener in self._listeners:
             listener(self._snapshot)
 
-    def _wake(self) -> None:
+    def _signal_members_changed(self) -> None:
         self._members_changed.set()
 
 
-def _records_besides(
+def _records_not_in(
     chunks: dict[str, bytes], others: dict[str, bytes]
 ) -> list[Record]:
-    """Returns the records of the chunks that are not among the others."""
+    """Returns the records of those chunks that are not in `others`."""
     return [
         record
         for name, chunk in chunks.items()
--- a/rhubarbwinch/endpoints/relay.py
+++ b/rhubarbwinch/endpoints/relay.py
@@ -1,4 +1,4 @@
-"""Passes on the tokens of one generation, each once and in order."""
+"""Relays the tokens of one generation, each exactly once and in order."""
 
 from collections.abc import AsyncIterator, Callable
 from contextlib import AbstractAsyncContextManager
@@ -15,27 +15,28 @@
     GenerationLostError,
 )
 
-# Openings without a new event before a stream is given up.
-MAX_RESUMES = 8
+# A stream fails after this many consecutive attempts without a new event.
+MAX_FAILED_RESUMES = 8
 
 
-# A stream from an endpoint: the events of each read, in the order received.
+# A stream from an endpoint; each item holds the events of one read, in order.
 EventStream = AsyncIterator[list[StreamEvent]]
-# Opens the stream from an index.
-Opener = Callable[[int], AbstractAsyncContextManager[EventStream]]
+# Opens the stream at an index.
+StreamOpener = Callable[[int], AbstractAsyncContextManager[EventStream]]
 
 
 @attrs.define
 class Position:
-    """How far a stream has been passed on.
+    """How far a stream has been relayed.
 
     Attributes:
-        generation: The only generation that is passed on.
-        next_index: The index that comes next.
-        passed: Events passed on here, not at another entry.
-        finished: Whether the last token has been seen.
+        generation: The generation's id; events of others are refused.
+        next_index: The index of the next event.
+        passed: The number of events relayed by this entry, without those
+            relayed by another entry.
+        finished: Whether the last token has been received.
         resumes: How often the stream was opened again.
-        duplicates: Events that were dropped.
+        duplicates: The number of dropped duplicate events.
     """
 
     generation: str
@@ -47,16 +48,16 @@
 
     @property
     def open_index(self) -> int:
-        """The index to read from.
+        """The index at which the stream is opened.
 
-        A stream that another entry began is read one event early: that event
-        tells whether the caller already has the last token.
+        A stream that another entry began is opened one event early: that
+        event shows whether the caller already has the last token.
         """
         return self.next_index if self.passed else max(0, self.next_index - 1)
 
     @property
-    def next_head(self) -> bytes:
-        """The first line of the event that comes next."""
+    def next_first_line(self) -> bytes:
+        """The first line of the next event."""
         return f"id: {self.generation}:{self.next_index}\n".encode()
 
 
@@ -64,18 +65,18 @@
     """Reads one generation to its end.
 
     Args:
-        position: Kept up to date while events are passed on.
-        start: Opens the stream at first.
-        resume: Opens it again.
-        clock: The source of time for the waits between openings.
-        backoff: How long these waits are.
+        position: The position of the stream, updated with each event.
+        start: Opens the stream for the first time.
+        resume: Opens the stream again.
+        clock: The source of time for the delays between attempts.
+        backoff: The length of these delays.
     """
 
     def __init__(
         self,
         position: Position,
-        start: Opener,
-        resume: Opener,
+        start: StreamOpener,
+        resume: StreamOpener,
         clock: Clock,
         backoff: Backoff,
     ) -> None:
@@ -90,72 +91,73 @@
 
     @property
     def position(self) -> Position:
-        """How far the stream has been passed on."""
+        """How far the stream has been relayed."""
         return self._position
 
     async def events(self) -> EventStream:
-        """Yields the events from `position.next_index` on, joined by read.
+        """Yields the events from `position.next_index` on, grouped by read.
 
-        A duplicate is dropped. After a gap, a silence or a broken link the
-        stream is opened again at the index that is missing.
+        Duplicates are dropped. After a gap, a read timeout or a lost
+        connection the stream is opened again at the missing index.
 
         Raises:
-            EndpointError: The stream can't be had to its end.
+            EndpointError: The stream can't be read to its end.
         """
         position = self._position
         while True:
             try:
-                async for found in self._read():
-                    yield found
-                    if found[-1].is_done:
+                async for batch in self._read():
+                    yield batch
+                    if batch[-1].is_done:
                         return
                 raise EndpointError("the stream ended early", sent=True)
             except EndpointError as error:
-                # A later opening that fails unsent does not undo an earlier.
+                # The request counts as sent if any attempt so far sent it,
+                # even if the latest attempt failed before sending.
                 self._was_sent = self._was_sent or self._is_open or error.sent
                 error.sent = self._was_sent
-                if position.finished and self._is_hopeless(error):
-                    # Every token is there; only the mark of the end is not.
+                if position.finished and self._is_permanent(error):
+                    # All tokens were received; only the end marker is missing.
                     yield [StreamEvent(DONE)]
                     return
-                if self._is_hopeless(error):
+                if self._is_permanent(error):
                     raise
-                await self._prepare_resume(error)
+                await self._wait_before_resume(error)
 
     async def _read(self) -> EventStream:
-        """Yields what is new in one opening of the stream."""
+        """Opens the stream once and yields its new events."""
         position = self._position
         self._is_open = False
         async with self._opener(position.open_index) as stream:
             self._is_open = True
-            async for arrived in stream:
-                fresh = []
+            async for received in stream:
+                new_events = []
                 try:
-                    for event in arrived:
+                    for event in received:
                         if _is_next(position, event):
-                            fresh.append(event)
+                            new_events.append(event)
                 except EndpointError:
-                    # What came before the fault is still good.
-                    if fresh:
-                        yield fresh
+                    # The events before the invalid one are still valid.
+                    if new_events:
+                        yield new_events
                     raise
-                if fresh:
+                if new_events:
                     self._failures = 0
-                    yield fresh
-                if fresh and fresh[-1].is_done:
+                    yield new_events
+                if new_events and new_events[-1].is_done:
                     return
 
-    def _is_hopeless(self, error: EndpointError) -> bool:
-        """Tells whether opening the stream once more can't help."""
+    def _is_permanent(self, error: EndpointError) -> bool:
+        """Returns whether opening the stream again can't succeed."""
         if isinstance(error, (ForeignGenerationError, GenerationLostError)):
             return True
-        if self._failures >= MAX_RESUMES:
+        if self._failures >= MAX_FAILED_RESUMES:
             return True
-        # Before the first token another engine is the better choice, unless
-        # the engine has just answered and only takes its time.
+        # Before the first token it is better to use another engine, unless
+        # this engine has accepted the request and is only slow.
         return self._position.next_index == 0 and not self._is_open
 
-    async def _prepare_resume(self, error: EndpointError) -> None:
+    async def _wait_before_resume(self, error: EndpointError) -> None:
         position = self._position
         self._failures += 1
         position.resumes += 1
@@ -170,14 +172,14 @@
 
 
 def _is_next(position: Position, event: StreamEvent) -> bool:
-    """Tells whether an event comes next; False for one to drop.
+    """Returns whether an event is the next one; False if it is to be dropped.
 
     Raises:
-        ForeignGenerationError: It is of another generation.
+        ForeignGenerationError: The event belongs to another generation.
         GenerationLostError: The engine reports a failure.
-        EndpointError: Events before it are missing.
+        EndpointError: Events before this event are missing.
     """
-    if event.raw.startswith(position.next_head):
+    if event.raw.startswith(position.next_first_line):
         position.next_index += 1
         position.passed += 1
         if event.is_last_token:
@@ -187,22 +189,23 @@
         if not position.finished:
             raise EndpointError("the end came before the last token", sent=True)
         return True
-    return _is_other(position, event)
+    return _check_other_event(position, event)
 
 
-def _is_other(position: Position, event: StreamEvent) -> bool:
-    """Handles an event that is not the one that comes next, as `_is_next`."""
+def _check_other_event(position: Position, event: StreamEvent) -> bool:
+    """Does the work of `_is_next` for an event with another first line."""
     if event.is_comment:
         return False
     if event.is_error:
         raise GenerationLostError(f"the engine failed: {event.data!r}")
-    found = event.id
-    if found is None or found.generation != position.generation:
-        raise ForeignGenerationError(str(found))
-    if found.index > position.next_index:
-        raise EndpointError(f"a gap before {found.index}", sent=True)
-    if found.index == position.next_index:
-        # The same id in another spelling, such as without the space.
+    event_id = event.id
+    if event_id is None or event_id.generation != position.generation:
+        raise ForeignGenerationError(str(event_id))
+    if event_id.index > position.next_index:
+        raise EndpointError(f"a gap before {event_id.index}", sent=True)
+    if event_id.index == position.next_index:
+        # The id is the expected one in another spelling, such as without the
+        # space.
         position.next_index += 1
         position.passed += 1
         position.finished = position.finished or event.is_last_token
--- a/rhubarbwinch/membership/members.py
+++ b/rhubarbwinch/membership/members.py
@@ -1,4 +1,4 @@
-"""Membership: the view of who is there, merged from news about members."""
+"""The cluster view: the known members, merged from updates about them."""
 
 import enum
 from collections.abc import Callable
@@ -8,11 +8,11 @@
 
 from rhubarbwinch.shared import events, rendezvous
 
-BUCKETS = 32
+DIGEST_BUCKETS = 32
 
 
 class Role(enum.StrEnum):
-    """What a process does."""
+    """The program that a process runs."""
 
     ENTRY = "entry"
     BROKER = "broker"
@@ -27,7 +27,10 @@
 
 
 class Health(enum.IntEnum):
-    """What its peers say of a member; of one version the higher counts."""
+    """A member's health as its peers see it.
+
+    Of two updates with the same member version, the worse health counts.
+    """
 
     ALIVE = 0
     SUSPECT = 1
@@ -40,13 +43,13 @@
 
     Attributes:
         name: Unique among all members.
-        role: What it does.
-        data_center: Where it runs.
+        role: The program that the process runs.
+        data_center: The data centre that the process runs in.
         region: The region of the data centre.
         incarnation: A random number, new at each start.
-        link: Its address for peers.
-        http: Its HTTP address.
-        state: Whether it takes new work.
+        link: The link address at which peers reach the process.
+        http: The HTTP address of the process.
+        state: Whether the process takes new work.
         version: Raised by the member itself with each change of the above
             and to refute a suspicion; starts at its Unix time in ms.
     """
@@ -64,19 +67,19 @@
 
 @attrs.frozen
 class MemberNews:
-    """A member as its peers see it."""
+    """An update about a member: its data and its health."""
 
     member: Member
     health: Health = Health.ALIVE
 
     def is_newer_than(self, other: "MemberNews") -> bool:
-        """Tells whether this replaces what `other` says."""
+        """Returns whether this update replaces `other`."""
         mine = (self.member.version, self.health)
         return mine > (other.member.version, other.health)
 
 
 class Members:
-    """The members as this process knows them."""
+    """This process's view of the members."""
 
     def __init__(self, me: Member) -> None:
         self._me = me
@@ -91,8 +94,8 @@
         return self._me
 
     @property
-    def my_news(self) -> MemberNews:
-        """This process, as it tells its peers."""
+    def own_update(self) -> MemberNews:
+        """The update that describes this process."""
         return MemberNews(self._me)
 
     def on_change(self, listener: Callable[[], None]) -> None:
@@ -110,112 +113,120 @@
     def serving(self, role: Role) -> list[Member]:
         """Returns the members of a role that take new work, by name.
 
-        Suspected ones are left out unless there are no others, and so are
-        those that leave.
+        Suspected members are left out unless there are no others. Leaving
+        members are left out unless all members of the role are leaving.
         """
         if role not in self._serving:
             self._serving[role] = self._find_serving(role)
         return self._serving[role]
 
     def get(self, name: str) -> Member | None:
-        """Returns the member called `name` if it is not dead."""
-        news = self._known.get(name)
-        if news is None or news.health is Health.DEAD:
+        """Returns the member called `name`; None if it is unknown or dead."""
+        update = self._known.get(name)
+        if update is None or update.health is Health.DEAD:
             return None
-        return news.member
+        return update.member
 
     def health(self, name: str) -> Health:
-        """Returns what is known of a member; one never heard of is dead."""
-        news = self._known.get(name)
-        return news.health if news else Health.DEAD
+        """Returns a member's health; an unknown member counts as dead."""
+        update = self._known.get(name)
+        return update.health if update else Health.DEAD
 
-    def news_of(self, name: str) -> MemberNews | None:
-        """Returns what is known of a member, dead ones included."""
+    def update_of(self, name: str) -> MemberNews | None:
+        """Returns the latest update about a member, also of a dead one."""
         return self._known.get(name)
 
-    def near(self, data_center: str) -> list[str]:
-        """Returns the names of a data centre's members, by name."""
+    def names_in(self, data_center: str) -> list[str]:
+        """Returns the names of a data centre's members, sorted."""
         return [m.name for m in self.all() if m.data_center == data_center]
 
-    def seeds(self, key: str, data_center: str, count: int) -> list[str]:
-        """Returns the members of a data centre that do `key` for the others."""
+    def elected(self, task: str, data_center: str, count: int) -> list[str]:
+        """Returns the members elected for a task of their data centre.
+
+        Rendezvous hashing of `task` over the live members chooses `count` of
+        them, so that every member computes the same result.
+        """
         alive = [
             name
-            for name in self.near(data_center)
+            for name in self.names_in(data_center)
             if self.health(name) is Health.ALIVE
         ]
-        return rendezvous.ranking(key, alive)[:count]
+        return rendezvous.ranking(task, alive)[:count]
 
     def set_state(self, state: MemberState) -> None:
         """Changes the state of this process."""
         if state is not self._me.state:
-            self._change_me(state=state)
+            self._update_self(state=state)
 
     def leave(self) -> None:
         """Marks this process as leaving."""
         self.set_state(MemberState.LEAVING)
 
-    def merge(self, news: MemberNews) -> MemberNews | None:
-        """Takes news from a peer or from the store.
+    def merge(self, update: MemberNews) -> MemberNews | None:
+        """Applies an update from a peer or from the store.
 
         Returns:
-            What the others should be told: the news if it was new, a denial if
-            it said that this process is suspected or dead, else None.
+            The update to broadcast: the given one if it was new, a refutation
+            if it said that this process is suspected or dead, else None.
         """
-        name = news.member.name
+        name = update.member.name
         if name == self._me.name:
-            return self._merge_own(news)
+            return self._merge_own(update)
         old = self._known.get(name)
-        if old is not None and not news.is_newer_than(old):
+        if old is not None and not update.is_newer_than(old):
             return None
-        self._known[name] = news
-        if old is None or old.health is not news.health:
+        self._known[name] = update
+        if old is None or old.health is not update.health:
             events.MEMBER_CHANGED.log(
-                member=name, health=news.health.name, state=news.member.state
+                member=name,
+                health=update.health.name,
+                state=update.member.state,
             )
-        self._changed()
-        return news
+        self._view_changed()
+        return update
 
-    def suspect(self, name: str) -> MemberNews | None:
-        """Notes that a member does not answer; returns the news of it."""
+    def mark_suspect(self, name: str) -> MemberNews | None:
+        """Marks a member as suspected; returns the update to broadcast."""
         return self._mark(name, Health.SUSPECT)
 
     def mark_dead(self, name: str) -> MemberNews | None:
-        """Notes that a member is dead; returns the news of it."""
+        """Marks a member as dead; returns the update to broadcast."""
         return self._mark(name, Health.DEAD)
 
     def forget(self, name: str) -> None:
-        """Drops a dead member for good."""
+        """Removes a dead member from the view."""
         if self.health(name) is Health.DEAD:
             self._known.pop(name, None)
 
     def digests(self) -> list[int]:
         """Returns a hash for each bucket of the members that are not dead."""
         if not self._digests:
-            found = [0] * BUCKETS
+            hashes = [0] * DIGEST_BUCKETS
             for member in self.all():
                 text = f"{member.name}\0{member.version}".encode()
-                found[_bucket(member.name)] ^= xxhash.xxh3_64_intdigest(text)
-            self._digests = found
+                hashes[_bucket(member.name)] ^= xxhash.xxh3_64_intdigest(text)
+            self._digests = hashes
         return self._digests
 
     def digest(self) -> int:
-        """Returns a hash of the whole view; equal views have equal ones."""
+        """Returns a hash of the whole view; equal views have equal hashes."""
         packed = b"".join(d.to_bytes(8, "big") for d in self.digests())
         return xxhash.xxh3_64_intdigest(packed)
 
-    def differing(self, digests: list[int]) -> list[MemberNews]:
-        """Returns what is known of the buckets that differ from `digests`."""
+    def updates_in_differing_buckets(
+        self, digests: list[int]
+    ) -> list[MemberNews]:
+        """Returns the members in the buckets that differ from `digests`."""
         mine = self.digests()
-        wanted = {
+        differing_buckets = {
             i
-            for i in range(BUCKETS)
+            for i in range(DIGEST_BUCKETS)
             if i >= len(digests) or digests[i] != mine[i]
         }
         return [
-            news
-            for name, news in self._known.items()
-            if _bucket(name) in wanted
+            update
+            for name, update in self._known.items()
+            if _bucket(name) in differing_buckets
         ]
 
     def _mark(self, name: str, health: Health) -> MemberNews | None:
@@ -224,16 +235,16 @@
             return None
         return self.merge(MemberNews(known.member, health))
 
-    def _merge_own(self, news: MemberNews) -> MemberNews | None:
-        """Denies what is said of this process when it is not its own word."""
-        own = news.member.incarnation == self._me.incarnation
-        if own and news.health is Health.ALIVE:
+    def _merge_own(self, update: MemberNews) -> MemberNews | None:
+        """Refutes an update about this process that it did not publish."""
+        is_own = update.member.incarnation == self._me.incarnation
+        if is_own and update.health is Health.ALIVE:
             return None
-        if news.member.version < self._me.version:
+        if update.member.version < self._me.version:
             return None
-        return self._change_me(version=news.member.version)
+        return self._update_self(version=update.member.version)
 
-    def _change_me(
+    def _update_self(
         self, version: int | None = None, state: MemberState | None = None
     ) -> MemberNews:
         self._me = attrs.evolve(
@@ -242,16 +253,16 @@
             state=state or self._me.state,
         )
         self._known[self._me.name] = MemberNews(self._me)
-        self._changed()
-        return self.my_news
+        self._view_changed()
+        return self.own_update
 
     def _find_serving(self, role: Role) -> list[Member]:
         of_role = [m for m in self.all() if m.role is role]
-        fit = [m for m in of_role if m.state is MemberState.SERVING]
-        sound = [m for m in fit if self.health(m.name) is Health.ALIVE]
-        return sound or fit or of_role
+        available = [m for m in of_role if m.state is MemberState.SERVING]
+        healthy = [m for m in available if self.health(m.name) is Health.ALIVE]
+        return healthy or available or of_role
 
-    def _changed(self) -> None:
+    def _view_changed(self) -> None:
         self._serving.clear()
         self._digests = []
         for listener in self._listeners:
@@ -259,4 +270,4 @@
 
 
 def _bucket(name: str) -> int:
-    return xxhash.xxh3_64_intdigest(name.encode()) % BUCKETS
+    return xxhash.xxh3_64_intdigest(name.encode()) % DIGEST_BUCKETS
--- a/rhubarbwinch/membership/rumours.py
+++ b/rhubarbwinch/membership/rumours.py
@@ -1,21 +1,22 @@
-"""Rumours: small pieces of news that reach every member once."""
+"""Stores recent gossip updates and tracks which peers have each of them."""
 
 import attrs
 
-TTL_MS = 60_000
+UPDATE_TTL_MS = 60_000
 
 
 @attrs.frozen
 class Rumour:
-    """A piece of news.
+    """A gossip update: a small message that is relayed to every member.
 
     Attributes:
-        kind: Who handles it.
-        key: What it is about.
-        origin: The incarnation of the member that shared it; 0 for news about
-            members, which anyone may start.
-        version: Of two with the same kind, key and origin the higher counts.
-        data: For the handler.
+        kind: Selects the handler.
+        key: The subject of the update, such as a member's name.
+        origin: The incarnation of the member that broadcast the update; 0 for
+            updates about members, which any member may create.
+        version: Of two updates with the same kind, key and origin, the one
+            with the higher version is newer.
+        data: The content, decoded by the handler.
     """
 
     kind: str
@@ -26,13 +27,13 @@
 
     @property
     def size(self) -> int:
-        """About how many bytes it takes in a message."""
+        """The approximate size in a message, in bytes."""
         return len(self.kind) + len(self.key) + len(self.data) + 64
 
 
 @attrs.frozen
-class _Topic:
-    """What a newer rumour replaces an older one by."""
+class _UpdateTopic:
+    """Identifies an update; a newer update of the same topic replaces it."""
 
     kind: str
     key: str
@@ -40,96 +41,104 @@
 
 
 @attrs.define
-class _Held:
-    """A rumour that has been heard.
+class _StoredUpdate:
+    """A received update and its delivery state.
 
     Attributes:
-        rumour: The rumour.
-        until: When it is dropped.
-        told: The peers that have it for certain.
-        answered: The peers that were sent it in an answer.
+        update: The update.
+        expires_at: The time at which the update expires.
+        delivered_to: The peers that are known to have the update.
+        replied_to: The peers that were sent the update in a reply.
     """
 
-    rumour: Rumour
-    until: int
-    told: set[str] = attrs.field(factory=set)
-    answered: set[str] = attrs.field(factory=set)
+    update: Rumour
+    expires_at: int
+    delivered_to: set[str] = attrs.field(factory=set)
+    replied_to: set[str] = attrs.field(factory=set)
 
 
-class Rumours:
-    """The rumours that a member has heard lately and passes on."""
+class UpdateBuffer:
+    """The updates that a member has received recently and relays."""
 
     def __init__(self) -> None:
-        self._held: dict[_Topic, _Held] = {}
+        self._updates: dict[_UpdateTopic, _StoredUpdate] = {}
 
-    def take(self, rumour: Rumour, now: int) -> bool:
-        """Takes a rumour in; returns whether it is new."""
-        topic = _topic(rumour)
-        old = self._held.get(topic)
-        if old is not None and old.rumour.version >= rumour.version:
+    def add(self, update: Rumour, now: int) -> bool:
+        """Adds an update; returns whether it is new."""
+        topic = _topic_of(update)
+        old = self._updates.get(topic)
+        if old is not None and old.update.version >= update.version:
             return False
-        self._held[topic] = _Held(rumour, now + TTL_MS)
+        self._updates[topic] = _StoredUpdate(update, now + UPDATE_TTL_MS)
         return True
 
     def next_version(self, kind: str, key: str, origin: int, wall: int) -> int:
-        """Returns a version above the one that is held."""
-        old = self._held.get(_Topic(kind, key, origin))
-        return max(wall, old.rumour.version + 1 if old else 0)
+        """Returns a version above that of the stored update."""
+        old = self._updates.get(_UpdateTopic(kind, key, origin))
+        return max(wall, old.update.version + 1 if old else 0)
 
-    def pick(self, peer: str, max_bytes: int) -> list[Rumour]:
-        """Returns what a peer is not known to have, oldest first.
+    def pick_for_message(self, peer: str, max_bytes: int) -> list[Rumour]:
+        """Returns the updates that a peer may not have, oldest first.
 
         Args:
             peer: The peer's name.
-            max_bytes: The room in the message.
+            max_bytes: The greatest total size of the updates.
         """
-        waiting = [h for h in self._held.values() if peer not in h.told]
-        return [held.rumour for held in _fit(waiting, max_bytes)]
+        candidates = [
+            h for h in self._updates.values() if peer not in h.delivered_to
+        ]
+        return [
+            stored.update for stored in _select_fitting(candidates, max_bytes)
+        ]
 
-    def pick_answer(self, peer: str, max_bytes: int) -> list[Rumour]:
-        """Returns what goes into an answer, each rumour once for each peer.
+    def pick_for_reply(self, peer: str, max_bytes: int) -> list[Rumour]:
+        """Returns the updates for a reply, each update once for each peer.
 
-        Nobody tells whether the answer arrived; the neighbours whose task it
-        is to tell the peer make up for a lost one.
+        A reply is not acknowledged. If it is lost, the members that have this
+        peer as a neighbour still send it the updates.
         """
-        waiting = [
+        candidates = [
             h
-            for h in self._held.values()
-            if peer not in h.told and peer not in h.answered
+            for h in self._updates.values()
+            if peer not in h.delivered_to and peer not in h.replied_to
         ]
-        found = _fit(waiting, max_bytes)
-        for held in found:
-            held.answered.add(peer)
-        return [held.rumour for held in found]
-
-    def mark(self, peer: str, rumours: list[Rumour]) -> None:
-        """Notes that a peer has these rumours."""
-        for rumour in rumours:
-            held = self._held.get(_topic(rumour))
-            if held is not None and held.rumour.version <= rumour.version:
-                held.told.add(peer)
+        fitting = _select_fitting(candidates, max_bytes)
+        for stored in fitting:
+            stored.replied_to.add(peer)
+        return [stored.update for stored in fitting]
+
+    def mark_delivered(self, peer: str, updates: list[Rumour]) -> None:
+        """Records that a peer has these updates."""
+        for update in updates:
+            stored = self._updates.get(_topic_of(update))
+            if stored is not None and stored.update.version <= update.version:
+                stored.delivered_to.add(peer)
 
     def expire(self, now: int) -> None:
-        """Drops what was heard long ago."""
-        for topic in [k for k, v in self._held.items() if v.until <= now]:
-            del self._held[topic]
+        """Drops the updates whose lifetime has passed."""
+        for topic in [
+            k for k, v in self._updates.items() if v.expires_at <= now
+        ]:
+            del self._updates[topic]
 
 
-def _topic(rumour: Rumour) -> _Topic:
-    return _Topic(rumour.kind, rumour.key, rumour.origin)
+def _topic_of(update: Rumour) -> _UpdateTopic:
+    return _UpdateTopic(update.kind, update.key, update.origin)
 
 
-def _fit(waiting: list[_Held], max_bytes: int) -> list[_Held]:
-    """Returns those that fit into a message.
+def _select_fitting(
+    candidates: list[_StoredUpdate], max_bytes: int
+) -> list[_StoredUpdate]:
+    """Returns the updates that fit into a message.
 
-    News about members comes last: in a storm of it there is another way to
-    learn it, the comparison of views.
+    Updates about members come last: when there are too many of them, members
+    still obtain the rest by comparing views.
     """
-    found = []
-    waiting.sort(key=lambda held: held.rumour.origin == 0)
-    for held in waiting:
-        max_bytes -= held.rumour.size
+    fitting = []
+    candidates.sort(key=lambda stored: stored.update.origin == 0)
+    for stored in candidates:
+        max_bytes -= stored.update.size
         if max_bytes < 0:
             break
-        found.append(held)
-    return found
+        fitting.append(stored)
+    return fitting
--- a/rhubarbwinch/membership/vmlist.py
+++ b/rhubarbwinch/membership/vmlist.py
@@ -1,4 +1,4 @@
-"""The platform's list of live and leaving VMs, a hint that lags."""
+"""Reads the platform's list of live and leaving VMs, which may be outdated."""
 
 import enum
 from collections.abc import Callable
@@ -8,19 +8,19 @@
 import httpx
 import orjson
 
-from rhubarbwinch.membership.leaving import REPEAT_MS, LeavingVms, Notice
+from rhubarbwinch.membership.leaving import NOTICE_REPEAT_MS, LeavingVms, Notice
 from rhubarbwinch.membership.members import Members, Role
 from rhubarbwinch.shared import events, rendezvous
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import VmListError
 from rhubarbwinch.shared.registry import Registry
 
-POLL_MS = 500
+POLL_INTERVAL_MS = 500
 READ_TIMEOUT_S = 2.0
 
 
 class VmState(enum.StrEnum):
-    """What the platform says of a VM."""
+    """The state of a VM on the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -31,8 +31,8 @@
     """A VM on the list.
 
     Attributes:
-        host: Its IP number.
-        state: What the platform says of it.
+        host: The VM's IP address.
+        state: The VM's state.
     """
 
     host: str
@@ -84,16 +84,16 @@
 
 
 class VmListReader:
-    """Reads the list at one control and tells all members of VMs that leave.
+    """Reads the list at one control and broadcasts which VMs are leaving.
 
-    The list lags and can be wrong, so it never makes a member dead, and a VM
-    that is missing from it is not taken as leaving. While the list is silent
-    its last word stays.
+    The list may be outdated or wrong. So it never marks a member as dead, and
+    a VM that is missing from the list does not count as leaving. While the
+    list can't be read, its last content stays valid.
 
     Args:
         vms: The list.
-        members: Decides which control reads it.
-        leaving: Where notices go.
+        members: The controls among which the reader of the list is chosen.
+        leaving: Receives and broadcasts the notices.
         clock: The source of time.
     """
 
@@ -104,42 +104,45 @@
         self._members = members
         self._leaving = leaving
         self._clock = clock
-        self._told: dict[str, int] = {}
-        self._silent = False
+        self._broadcast_at: dict[str, int] = {}
+        self._is_list_failing = False
 
     async def run(self) -> None:
         """Reads the list until cancelled."""
         while True:
             await self.step()
-            await self._clock.sleep(POLL_MS)
+            await self._clock.sleep(POLL_INTERVAL_MS)
 
     async def step(self) -> None:
-        """Reads the list once if that is this control's task."""
+        """Reads the list once if this control is the elected reader."""
         names = [m.name for m in self._members.serving(Role.CONTROL)]
         if rendezvous.owner("vm-list", names) != self._members.me.name:
-            self._told.clear()
+            self._broadcast_at.clear()
             return
         try:
-            found = await self._vms.read()
+            vms = await self._vms.read()
         except VmListError as error:
-            if not self._silent:
+            if not self._is_list_failing:
                 events.VM_LIST_SILENT.log(error=str(error))
-            self._silent = True
-            # The last word is repeated, so that it does not lapse meanwhile.
-            found = [Vm(host, VmState.LEAVING) for host in self._told]
+            self._is_list_failing = True
+            # Repeats the last notices, so that they don't expire meanwhile.
+            vms = [Vm(host, VmState.LEAVING) for host in self._broadcast_at]
         else:
-            self._silent = False
-        self._tell(found)
+            self._is_list_failing = False
+        self._broadcast_notices(vms)
 
-    def _tell(self, found: list[Vm]) -> None:
+    def _broadcast_notices(self, vms: list[Vm]) -> None:
         now = self._clock.now()
-        leaving = {vm.host for vm in found if vm.state is VmState.LEAVING}
-        live = {vm.host for vm in found if vm.state is VmState.LIVE}
+        leaving = {vm.host for vm in vms if vm.state is VmState.LEAVING}
+        live = {vm.host for vm in vms if vm.state is VmState.LIVE}
         for host in sorted(leaving):
-            if now - self._told.get(host, -REPEAT_MS) >= REPEAT_MS:
-                self._told[host] = now
+            if (
+                now - self._broadcast_at.get(host, -NOTICE_REPEAT_MS)
+                >= NOTICE_REPEAT_MS
+            ):
+                self._broadcast_at[host] = now
                 self._leaving.share(host, Notice.LEAVING)
-        for host in sorted(set(self._told) - leaving):
-            del self._told[host]
+        for host in sorted(set(self._broadcast_at) - leaving):
+            del self._broadcast_at[host]
             if host in live:
                 self._leaving.share(host, Notice.LIVE)
--- a/rhubarbwinch/records/records.py
+++ b/rhubarbwinch/records/records.py
@@ -1,8 +1,9 @@
-"""Operators' records: their schemas, checks and conversion.
+"""Parses, checks and converts operators' records.
 
 A record is a JSON object `{"schema": 2, "kind": ..., "name": ..., "spec":
-{...}}`. Schema 1 is converted to 2 when it is read. A record of an unknown
-newer schema is kept as it is and not used. docs/records.md lists the fields.
+{...}}`. Schema 1 is converted to schema 2 when the record is read. A record of
+an unknown newer schema is stored unchanged but not used. docs/records.md lists
+the fields.
 """
 
 from collections.abc import Callable, Iterator
@@ -65,7 +66,7 @@
 
 
 @CONVERTERS.register("account/1")
-def _account_1(spec: JSON) -> JSON:
+def _convert_account_1(spec: JSON) -> JSON:
     """Schema 1 had one key and flat limits."""
     spec = dict(spec)
     if "key_salt" in spec:
@@ -80,8 +81,8 @@
 
 
 @CONVERTERS.register("service/1")
-def _service_1(spec: JSON) -> JSON:
-    """Schema 1 marked all calls of a service or none."""
+def _convert_service_1(spec: JSON) -> JSON:
+    """Schema 1 marked either all calls of a service as idempotent or none."""
     spec = dict(spec)
     if not spec.pop("idempotent", True):
         spec["not_repeatable"] = ["POST /*"]
@@ -89,7 +90,7 @@
 
 
 @CONVERTERS.register("model/1")
-def _model_1(spec: JSON) -> JSON:
+def _convert_model_1(spec: JSON) -> JSON:
     """Schema 1 had one version."""
     spec = dict(spec)
     if "version" in spec:
@@ -99,7 +100,7 @@
 
 @CONVERTERS.register("vm/1")
 @CONVERTERS.register("pool/1")
-def _unchanged(spec: JSON) -> JSON:
+def _convert_unchanged(spec: JSON) -> JSON:
     """Schema 1 is the same as schema 2."""
     return spec
 
@@ -113,7 +114,7 @@
         name: Unique within the kind.
         schema: The schema version of `spec`.
         spec: The fields, unchecked.
-        raw: The bytes that it was read from, if any.
+        raw: The bytes that the record was parsed from, if any.
     """
 
     kind: str
@@ -124,7 +125,7 @@
 
     @property
     def key(self) -> str:
-        """`kind/name`."""
+        """The record's key, `kind/name`."""
         return f"{self.kind}/{self.name}"
 
     @property
@@ -144,14 +145,14 @@
 
 
 def parse(data: bytes | JSON, where: str = "?") -> Record:
-    """Returns the record in a JSON object.
+    """Parses a record from a JSON object.
 
     Args:
         data: The object or its bytes.
-        where: Names the source in errors.
+        where: The name of the source in error messages.
 
     Raises:
-        RecordError: It is not a record of a known kind.
+        RecordError: The data is not a record of a known kind.
     """
     raw = data if isinstance(data, bytes) else b""
     if isinstance(data, bytes):
@@ -167,7 +168,7 @@
     kind, name = data.get("kind"), data.get("name")
     schema, spec = data.get("schema"), data.get("spec", {})
     where = f"{kind}/{name}"
-    # A newer schema may bring kinds that this program does not know.
+    # A newer schema may have kinds that this program does not know.
     is_newer = type(schema) is int and schema > CURRENT_SCHEMA
     if kind not in KINDS and not (is_newer and isinstance(kind, str)):
         raise RecordError(where, "kind", kind, ", ".join(KINDS))
@@ -202,50 +203,50 @@
 
 
 def errors(record: Record) -> list[RecordError]:
-    """Returns everything that `check` has against a record."""
+    """Returns all errors that make `check` reject a record."""
     if record.is_newer:
         allowed = f"1 to {CURRENT_SCHEMA}"
         return [RecordError(record.key, "schema", record.schema, allowed)]
     return [
         RecordError(record.key, found.field, found.value, found.allowed)
-        for found in _spec_faults(upgrade(record).spec, KINDS[record.kind])
+        for found in _spec_errors(upgrade(record).spec, KINDS[record.kind])
     ]
 
 
-def _spec_faults(spec: JSON, kind: Any) -> Iterator[FieldError]:
-    """Yields the faults of each field, in the order of the class."""
+def _spec_errors(spec: JSON, kind: Any) -> Iterator[FieldError]:
+    """Yields the errors of each field, in the order of the class."""
     fields = attrs.fields(kind)
     for field in fields:
         if field.name in spec:
-            yield from _field_faults(spec[field.name], field)
+            yield from _field_errors(spec[field.name], field)
         elif field.default is attrs.NOTHING:
             yield FieldError(field.name, "missing", "required")
     for extra in sorted(spec.keys() - {field.name for field in fields}):
         yield FieldError(extra, "present", "no such field")
 
 
-def _field_faults(value: Any, field: Any) -> Iterator[FieldError]:
+def _field_errors(value: Any, field: Any) -> Iterator[FieldError]:
     try:
-        made = _converter.structure(value, field.type)
+        structured = _converter.structure(value, field.type)
     except Exception as error:
-        yield from _faults(error, field.name)
+        yield from _flatten_errors(error, field.name)
         return
     try:
         if field.validator is not None:
-            field.validator(None, field, made)
+            field.validator(None, field, structured)
     except FieldError as error:
         yield error
 
 
 def upgrade(record: Record) -> Record:
-    """Returns a record of a known schema in the current one."""
+    """Converts a record of a known schema to the current schema."""
     spec = record.spec
     for schema in range(record.schema, CURRENT_SCHEMA):
         spec = CONVERTERS.get(f"{record.kind}/{schema}")(spec)
     return Record(record.kind, record.name, CURRENT_SCHEMA, spec)
 
 
-def _strict(kind: type) -> Callable[[Any, Any], Any]:
+def _strict_hook(kind: type) -> Callable[[Any, Any], Any]:
     def structure(value: Any, _: Any) -> Any:
         if type(value) is not kind:
             raise FieldError("", value, f"a {kind.__name__}")
@@ -254,7 +255,7 @@
     return structure
 
 
-def _float(value: Any, _: Any) -> float:
+def _float_hook(value: Any, _: Any) -> float:
     if type(value) not in (int, float):
         raise FieldError("", value, "a number")
     return float(value)
@@ -263,26 +264,26 @@
 def _make_converter() -> cattrs.Converter:
     converter = cattrs.Converter(forbid_extra_keys=True)
     for kind in (int, str, bool):
-        converter.register_structure_hook(kind, _strict(kind))
-    converter.register_structure_hook(float, _float)
+        converter.register_structure_hook(kind, _strict_hook(kind))
+    converter.register_structure_hook(float, _float_hook)
     return converter
 
 
 _converter = _make_converter()
 
 
-def _faults(error: BaseException, path: str) -> Iterator[FieldError]:
-    """Yields the faults in cattrs's tree, each with its whole path."""
+def _flatten_errors(error: BaseException, path: str) -> Iterator[FieldError]:
+    """Yields the field errors in a cattrs error tree, with their full paths."""
     if isinstance(error, ClassValidationError | IterableValidationError):
-        noted, plain = error.group_exceptions()
-        for inner, note in noted:
-            step = getattr(note, "name", None) or str(note.index)
-            yield from _faults(inner, f"{path}.{step}".strip("."))
-        for inner in plain:
-            yield from _faults(inner, path)
+        noted_errors, plain_errors = error.group_exceptions()
+        for inner, note in noted_errors:
+            segment = getattr(note, "name", None) or str(note.index)
+            yield from _flatten_errors(inner, f"{path}.{segment}".strip("."))
+        for inner in plain_errors:
+            yield from _flatten_errors(inner, path)
     elif isinstance(error, ExceptionGroup):
         for inner in error.exceptions:
-            yield from _faults(inner, path)
+            yield from _flatten_errors(inner, path)
     elif isinstance(error, FieldError):
         field = f"{path}.{error.field}".strip(".")
         yield FieldError(field, error.value, error.allowed)
@@ -292,9 +293,9 @@
             yield FieldError(field, "present", "no such field")
     elif isinstance(error, KeyError):
         missing = str(error.args[0])
-        # cattrs has noted the field of a nested class already.
-        noted_already = path.rpartition(".")[2] == missing
-        field = path if noted_already else f"{path}.{missing}"
+        # For a nested class, cattrs has already added the field to the path.
+        is_in_path = path.rpartition(".")[2] == missing
+        field = path if is_in_path else f"{path}.{missing}"
         yield FieldError(field, "missing", "required")
     else:
         yield FieldError(path or "-", str(error), "another form")
--- a/rhubarbwinch/records/specs.py
+++ b/rhubarbwinch/records/specs.py
@@ -1,4 +1,4 @@
-"""The fields of records, as attrs classes with their rules."""
+"""Defines the fields of records as attrs classes with validators."""
 
 import re
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 from rhubarbwinch.shared import misc
 
 MAX_ENDPOINTS = 64
-_NAME = re.compile(r"^[a-z0-9][a-z0-9.-]{0,62}$")
+_NAME_PATTERN = re.compile(r"^[a-z0-9][a-z0-9.-]{0,62}$")
 _HOUR_MS = 3_600_000
 
 
@@ -24,12 +24,12 @@
 
 
 @attrs.frozen
-class _Rule:
-    """A validator of a field that can say what it allows.
+class _Validator:
+    """A field validator that can describe the allowed values.
 
     Attributes:
-        allowed: What is allowed, in words.
-        accepts: Tells whether a value is.
+        allowed: A description of the allowed values.
+        accepts: Returns whether a value is allowed.
     """
 
     allowed: str
@@ -43,21 +43,21 @@
             raise FieldError(field.name, value, self.allowed)
 
 
-def _between(low: float, high: float) -> _Rule:
-    return _Rule(f"{low} to {high}", lambda value: low <= value <= high)
+def _between(low: float, high: float) -> _Validator:
+    return _Validator(f"{low} to {high}", lambda value: low <= value <= high)
 
 
-def _one_of(*names: str) -> _Rule:
-    return _Rule(", ".join(names), lambda value: value in names)
+def _one_of(*names: str) -> _Validator:
+    return _Validator(", ".join(names), lambda value: value in names)
 
 
-def _at_most(count: int) -> _Rule:
-    return _Rule(f"at most {count}", lambda value: len(value) <= count)
+def _at_most(count: int) -> _Validator:
+    return _Validator(f"at most {count}", lambda value: len(value) <= count)
 
 
 def is_name(value: Any) -> bool:
-    """Tells whether a value may name a record."""
-    return isinstance(value, str) and bool(_NAME.match(value))
+    """Returns whether a value is a valid record name."""
+    return isinstance(value, str) and bool(_NAME_PATTERN.match(value))
 
 
 def _is_address(value: str) -> bool:
@@ -69,8 +69,8 @@
 
 
 NAME_ALLOWED = "1 to 63 of a-z, 0-9, dot and dash"
-_is_name = _Rule(NAME_ALLOWED, is_name)
-_address = _Rule("IP number:port", _is_address)
+_name_validator = _Validator(NAME_ALLOWED, is_name)
+_address_validator = _Validator("IP number:port", _is_address)
 
 
 @attrs.frozen
@@ -78,9 +78,9 @@
     """A model that engines can load.
 
     Attributes:
-        context_tokens: Prompt and output together are at most this long.
-        versions: The versions that may be in use side by side.
-        adapters: Names of adapters that can be loaded on top.
+        context_tokens: The most tokens of prompt and output together.
+        versions: The versions that may be in use at the same time.
+        adapters: The names of adapters that can be loaded for the model.
     """
 
     context_tokens: int = attrs.field(
@@ -98,11 +98,11 @@
         name: Unique among all endpoints.
         address: `a.b.c.d:port`.
         checks_fencing: Whether it refuses orders with an old fencing number.
-        role: What an engine does: `mixed`, `prefill` or `decode`.
+        role: The work of an engine: `mixed`, `prefill` or `decode`.
     """
 
-    name: str = attrs.field(validator=_is_name)
-    address: str = attrs.field(validator=_address)
+    name: str = attrs.field(validator=_name_validator)
+    address: str = attrs.field(validator=_address_validator)
     checks_fencing: bool = True
     role: str = attrs.field(
         default="mixed", validator=_one_of("mixed", "prefill", "decode")
@@ -115,13 +115,13 @@
 
     Attributes:
         target: The model's or plain service's name.
-        data_center: Where the endpoints are.
+        data_center: The data centre of the endpoints.
         endpoints: The endpoints, at most 64.
-        max_running: Requests that an endpoint runs at once.
+        max_running: The most requests that an endpoint runs at once.
     """
 
-    target: str = attrs.field(validator=_is_name)
-    data_center: str = attrs.field(validator=_is_name)
+    target: str = attrs.field(validator=_name_validator)
+    data_center: str = attrs.field(validator=_name_validator)
     endpoints: list[EndpointSpec] = attrs.field(
         factory=list, validator=_at_most(MAX_ENDPOINTS)
     )
@@ -138,11 +138,11 @@
 
 @attrs.frozen
 class Room:
-    """How much an account may have in flight.
+    """The limits of an account's requests in flight.
 
     Attributes:
-        requests: Requests at once.
-        tokens: Prompt and expected output tokens at once.
+        requests: The most requests in flight.
+        tokens: The most prompt and expected output tokens in flight.
     """
 
     requests: int = attrs.field(default=256, validator=_between(0, 1_000_000))
@@ -156,9 +156,9 @@
     Attributes:
         keys: Hashes of its API keys.
         services: The services that it may call.
-        weight: Its share when engines are crowded.
-        room: What it may have in flight.
-        requests_per_second: The rate of new requests; 0 is no limit.
+        weight: Its share of the capacity while requests are queued.
+        room: The limits of its requests in flight.
+        requests_per_second: The highest rate of new requests; 0 is no limit.
     """
 
     keys: list[KeyHash] = attrs.field(factory=list)
@@ -172,21 +172,21 @@
 
 @attrs.frozen
 class ServiceSpec:
-    """A name that callers use: a model with its settings, or plain calls.
+    """A name that callers use: a model with its settings, or a plain service.
 
     Attributes:
         kind: `generate` for a model, `plain` for other calls.
-        target: The model or the plain service's pools.
+        target: The model, or the target of the plain service's pools.
         version: The model version.
         adapter: The adapter's name, or empty.
         interactive: Whether a person waits for the first token.
-        wait_ms: The longest wait in the queue.
+        wait_ms: The longest wait in the queue, in ms.
         not_repeatable: `METHOD /path` of calls that run at most once.
-        retention_ms: How long an idempotency key is kept.
+        retention_ms: How long an idempotency key is kept, in ms.
     """
 
     kind: str = attrs.field(validator=_one_of("generate", "plain"))
-    target: str = attrs.field(validator=_is_name)
+    target: str = attrs.field(validator=_name_validator)
     version: str = "1"
     adapter: str = ""
     interactive: bool = True
@@ -199,10 +199,10 @@
 
 @attrs.frozen
 class VmSpec:
-    """A VM, named by its IP number.
+    """A VM, named by its IP address.
 
     Attributes:
-        leaving: Whether it gets no new work.
+        leaving: Whether the VM is leaving and gets no new work.
     """
 
     leaving: bool = True
@@ -218,6 +218,6 @@
 
 
 def allowed(field: "attrs.Attribute[Any]") -> str:
-    """Returns what a field allows beyond its type, or empty."""
+    """Returns a description of the allowed values beyond the type, or empty."""
     rule = field.validator
-    return rule.allowed if isinstance(rule, _Rule) else ""
+    return rule.allowed if isinstance(rule, _Validator) else ""
--- a/rhubarbwinch/stores/memstore.py
+++ b/rhubarbwinch/stores/memstore.py
@@ -1,4 +1,4 @@
-"""A store in memory, for tests and for programs that embed the parts."""
+"""An in-memory store, for tests and for programs that embed this package."""
 
 import itertools
 from collections.abc import AsyncIterator
@@ -13,11 +13,12 @@
 
 @attrs.define
 class StoreFaults:
-    """What goes wrong with the next calls.
+    """Faults to inject into the next calls.
 
     Attributes:
-        down: Every call fails without effect.
-        lose_answers: How many of the next writes take effect and then fail.
+        down: Whether every call fails without effect.
+        lose_answers: The number of following writes that take effect but raise
+            an error, as if the response had been lost.
     """
 
     down: bool = False
@@ -26,18 +27,18 @@
 
 @attrs.define
 class _Lease:
-    """A lease's end and the keys under it."""
+    """A lease's expiry time and the keys under it."""
 
     ttl_ms: int
-    ends: int
+    expires_at: int
     keys: set[str] = attrs.field(factory=set)
 
 
 class MemoryStore:
-    """A key-value store without a network.
+    """A key-value store in the memory of this process.
 
     Args:
-        clock: The time by which leases lapse.
+        clock: The source of time for the expiry of leases.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -48,7 +49,7 @@
         self._entries: dict[str, Entry] = {}
         self._leases: dict[int, _Lease] = {}
         self._lease_ids = itertools.count(1)
-        self._log: list[Change] = []
+        self._history: list[Change] = []
         self._changed = anyio.Event()
 
     @property
@@ -59,16 +60,16 @@
     @property
     def changes(self) -> list[Change]:
         """Every change so far, in order."""
-        return list(self._log)
+        return list(self._history)
 
     async def get(self, key: str) -> Entry | None:
         """Returns the entry of `key`, or None."""
-        self._begin()
+        self._start_call()
         return self._entries.get(key)
 
     async def scan(self, prefix: str) -> Listing:
         """Returns all entries whose keys start with `prefix`, by key."""
-        self._begin()
+        self._start_call()
         found = [
             self._entries[key]
             for key in sorted(self._entries)
@@ -79,13 +80,13 @@
     async def swap(
         self, key: str, expected: int, value: bytes, lease: int = 0
     ) -> Swap:
-        """Writes `value` if the key's revision is `expected`; 0 is absent."""
-        self._begin()
+        """Writes `value` if the key's revision is `expected` (0: no key)."""
+        self._start_call()
         current = self._entries.get(key)
         if (current.revision if current else 0) != expected:
             return Swap(False, current.revision if current else 0, current)
         if lease and lease not in self._leases:
-            raise StoreUnavailable(f"lease {lease} is gone")
+            raise StoreUnavailable(f"lease {lease} does not exist")
         self._revision += 1
         entry = Entry(key, value, self._revision)
         self._entries[key] = entry
@@ -93,13 +94,13 @@
             other.keys.discard(key)
         if lease:
             self._leases[lease].keys.add(key)
-        self._record(Change(key, self._revision, entry))
+        self._append_change(Change(key, self._revision, entry))
         self._finish_write()
         return Swap(True, self._revision)
 
     async def delete(self, key: str, expected: int) -> Swap:
         """Deletes the key if its revision is `expected`."""
-        self._begin()
+        self._start_call()
         current = self._entries.get(key)
         if current is None or current.revision != expected:
             return Swap(False, current.revision if current else 0, current)
@@ -109,34 +110,34 @@
 
     async def grant_lease(self, ttl_ms: int) -> int:
         """Returns the id of a new lease."""
-        self._begin()
+        self._start_call()
         lease = next(self._lease_ids)
         self._leases[lease] = _Lease(ttl_ms, self._clock.now() + ttl_ms)
         self._finish_write()
         return lease
 
     async def keep_lease(self, lease: int) -> int:
-        """Renews a lease; returns the milliseconds it has left, 0 if gone."""
-        self._begin()
+        """Renews a lease; returns its remaining ms, or 0 if it has ended."""
+        self._start_call()
         if lease not in self._leases:
             return 0
-        held = self._leases[lease]
-        held.ends = self._clock.now() + held.ttl_ms
-        return held.ttl_ms
+        lease_state = self._leases[lease]
+        lease_state.expires_at = self._clock.now() + lease_state.ttl_ms
+        return lease_state.ttl_ms
 
     async def revoke_lease(self, lease: int) -> None:
         """Ends a lease; the keys under it are deleted."""
-        self._begin()
+        self._start_call()
         self._end_lease(lease)
 
     async def watch(self, prefix: str, after: int) -> AsyncIterator[Change]:
         """Yields every change under `prefix` after the revision `after`."""
-        self._begin()
+        self._start_call()
         position = 0
         while True:
             changed = self._changed
-            while position < len(self._log):
-                change = self._log[position]
+            while position < len(self._history):
+                change = self._history[position]
                 position += 1
                 if change.revision > after and change.key.startswith(prefix):
                     yield change
@@ -148,17 +149,19 @@
         """Does nothing; there are no connections."""
 
     def expire_leases(self) -> None:
-        """Ends the leases whose time is over; each call does so as well."""
+        """Ends the expired leases; every call to the store does so as well."""
         now = self._clock.now()
-        for lease in [k for k, v in self._leases.items() if v.ends <= now]:
+        for lease in [
+            k for k, v in self._leases.items() if v.expires_at <= now
+        ]:
             self._end_lease(lease)
 
     def wake_watches(self) -> None:
-        """Lets watches look at the faults."""
+        """Wakes the watches, so that they check for faults."""
         self._changed.set()
         self._changed = anyio.Event()
 
-    def _begin(self) -> None:
+    def _start_call(self) -> None:
         self.calls += 1
         if self.faults.down:
             raise StoreUnavailable("the store is down")
@@ -169,17 +172,17 @@
             self.faults.lose_answers -= 1
             raise StoreUncertain("the answer was lost")
 
-    def _record(self, change: Change) -> None:
-        self._log.append(change)
+    def _append_change(self, change: Change) -> None:
+        self._history.append(change)
         self.wake_watches()
 
     def _remove(self, key: str) -> None:
         self._revision += 1
         del self._entries[key]
-        self._record(Change(key, self._revision, None))
+        self._append_change(Change(key, self._revision, None))
 
     def _end_lease(self, lease: int) -> None:
-        held = self._leases.pop(lease, None)
-        for key in sorted(held.keys) if held else []:
+        lease_state = self._leases.pop(lease, None)
+        for key in sorted(lease_state.keys) if lease_state else []:
             if key in self._entries:
                 self._remove(key)
