--- a/examples/embed_admission.py
+++ b/examples/embed_admission.py
@@ -1,4 +1,7 @@
-"""Embeds the admission of one pool in another program: run it as it is."""
+"""Embeds the admission control of one pool in another program.
+
+Run it with `python -m examples.embed_admission`.
+"""
 
 import random
 
@@ -11,7 +14,7 @@
 
 
 def main() -> None:
-    """Asks for a place, prints where it is, and gives it back."""
+    """Requests a permit, prints the granted endpoint and releases it."""
     engines = [EndpointSpec("engine-1", "127.0.0.1:8000")]
     spec = PoolSpec("vintner", "dc-a", engines)
     admission = Admission(spec, SystemClock(), random.Random(1))
--- a/rhubarbwinch/admission/__init__.py
+++ b/rhubarbwinch/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Who is served when, and where: queues, limits, placement, permits."""
+"""Admission control of pools: queues, account limits, placement, permits."""
--- a/rhubarbwinch/admission/admission.py
+++ b/rhubarbwinch/admission/admission.py
@@ -1,7 +1,7 @@
-"""Admission of one pool: who may run where, and who waits.
+"""Decides which requests of a pool run on which endpoint and which wait.
 
-The code has no tasks and no input or output, so that a broker, an experiment
-and a test drive the same decisions.
+The module starts no tasks and does no input or output, so a broker, a
+simulation and a test can all drive the same decisions.
 """
 
 import random
@@ -40,11 +40,14 @@
 from rhubarbwinch.shared.verdict import Failure, Reason, not_run
 
 REFRESH_MS = 500
-# Engines whose forecasts are made anew in one call, to keep calls short.
+# At most this many engines have their forecasts refreshed in one call, which
+# keeps each call short.
 REFRESHES = 2
-# A grant may cross its entry's report; only older ones must be in it.
+# An entry may send a report before it receives a recent grant. A stream that
+# is missing from a report is dropped only if it is at least this old.
 SETTLE_MS = 2000
-# Three of the longest report periods; a silent entry has lost its streams.
+# Three times the longest report period. The streams of an entry that sends no
+# report for this long are dropped.
 ENTRY_SILENCE_MS = 60_000
 RELEASED_KEPT = 4096
 INTERACTIVE_PRIORITY = 0
@@ -61,15 +64,15 @@
 
 
 class Admission:
-    """Decides for the requests of one pool.
+    """Grants, queues and refuses the requests of one pool.
 
     Args:
         spec: The pool's endpoints and limits.
         clock: The source of time.
-        rng: Breaks ties.
+        rng: Breaks ties between endpoints.
         accounts: The accounts' records by name.
-        options: Which decisions are made.
-        lengths: What output lengths to expect.
+        options: Which decisions are enabled.
+        lengths: Forecasts output lengths.
     """
 
     def __init__(
@@ -117,13 +120,13 @@
 
     @property
     def queued(self) -> int:
-        """The number of requests that wait."""
+        """The number of queued requests."""
         return len(self._interactive) + len(self._patient)
 
     def configure(
         self, spec: PoolSpec, accounts: dict[str, AccountSpec] | None = None
     ) -> None:
-        """Takes a new configuration of the pool."""
+        """Applies a new configuration of the pool."""
         self._spec = spec
         if accounts is not None:
             self._limits.configure(accounts)
@@ -137,12 +140,12 @@
         self._unblock()
 
     def set_leaving(self, endpoints: set[str]) -> None:
-        """Sets the endpoints that get no new work."""
+        """Sets the leaving endpoints, which get no new requests."""
         self._leaving = endpoints
         self._unblock()
 
     def submit(self, request: PermitRequest) -> list[Decision]:
-        """Takes a request in; returns what can be decided now."""
+        """Queues or refuses a request; returns the decisions made now."""
         expected = self._expected_tokens(request)
         failure = self._gate.refusal(request, expected)
         if failure is not None:
@@ -152,7 +155,7 @@
         return self.decide()
 
     def release(self, release: PermitRelease) -> list[Decision]:
-        """Takes a permit back; returns what can be decided now."""
+        """Releases a permit; returns the decisions made now."""
         self._note_released(release.request_id)
         stream = self._streams.get(release.request_id)
         if stream is None:
@@ -168,7 +171,7 @@
         return self.decide()
 
     def report_progress(self, report: ProgressReport) -> None:
-        """Takes an entry's open streams as the truth about them."""
+        """Replaces the known streams of an entry with the reported ones."""
         now = self._clock.now()
         self._entries_seen[report.entry] = now
         open_ids = {stream.request.request_id for stream in report.streams}
@@ -178,7 +181,7 @@
             if known is not None:
                 if known.request.entry != report.entry:
                     self._streams.move(known, item.request)
-                # An entry that reports no tokens leaves the estimate alone.
+                # A report without tokens leaves the estimate unchanged.
                 if item.tokens:
                     known.tokens, known.at_ms = item.tokens, now
             elif request_id not in self._released:
@@ -189,7 +192,7 @@
                 self._forget(stream, stream.tokens)
 
     def check_digest(self, report: DigestReport) -> bool:
-        """Takes an entry's digest; returns whether it must report in full."""
+        """Compares an entry's digest; returns whether a full report is due."""
         now = self._clock.now()
         self._entries_seen[report.entry] = now
         self._streams.grow(report.entry, report.grown, now)
@@ -198,7 +201,7 @@
         return self._digests.wants_all(report, ids)
 
     def report_load(self, report: LoadReport) -> None:
-        """Takes an engine's load report."""
+        """Applies an engine's load report."""
         engine = self._engines.get(report.endpoint)
         if engine is None:
             return
@@ -209,24 +212,29 @@
             )
 
     def report_cache(self, report: CacheReport) -> None:
-        """Takes an engine's cache events."""
+        """Applies an engine's cache events."""
         engine = self._engines.get(report.endpoint)
         if engine is not None:
             engine.take_cache(report)
 
     def take_priority_changes(self) -> list[EntryChange]:
-        """Returns the changes to send to entries since the last call."""
+        """Returns and clears the priority changes to send to entries."""
         changes, self._changes = self._changes, []
         return changes
 
     def decide(self) -> list[Decision]:
-        """Grants and refuses what it can; call it also as time passes."""
+        """Grants or refuses queued requests; to be called regularly.
+
+        Forecasts, deadlines and silent entries depend on the time, so
+        decisions can also become due without any new message.
+        """
         now = self._clock.now()
         self._refresh(now)
         decisions: list[Decision] = []
         lanes = [self._interactive, self._patient]
         if self._patient.is_overdue():
-            # Work that can wait must start too.
+            # Serving background requests first keeps interactive requests
+            # from starving them.
             lanes.reverse()
         for lane in lanes:
             self._serve(lane, decisions)
@@ -241,7 +249,7 @@
         return request.prompt_tokens + int(outlook.mean_tokens)
 
     def _serve(self, lane: Lane, decisions: list[Decision]) -> None:
-        """Grants from a lane until its first request finds no place."""
+        """Grants requests of a queue until the first one fits nowhere."""
         if lane.is_blocked:
             return
         for item in lane.heads():
@@ -257,12 +265,13 @@
                 lane.start(self._options.share_key(item.request), item)
                 decisions.append(self._grant(stream, engine))
             elif not item.request.avoid:
-                # A later one must not pass by, or large ones would starve.
+                # Later requests must not overtake this one, or large requests
+                # would starve.
                 lane.is_blocked = True
                 break
 
     def _forecast(self, item: Queued) -> Stream:
-        """Returns the stream that a request would be, made anew at times."""
+        """Returns the stream a request would become; renews old forecasts."""
         now = self._clock.now()
         stream = item.stream
         if stream is None or now - stream.forecast_ms >= FORECAST_MS:
@@ -310,7 +319,7 @@
     def _start(
         self, request: PermitRequest, endpoint: str, tokens: int
     ) -> None:
-        """Takes a stream that another owner granted."""
+        """Adds a stream that another owner of the pool granted."""
         now = self._clock.now()
         stream = Stream(
             request, endpoint, now, self._expected_tokens(request), tokens
@@ -364,7 +373,7 @@
         self._patient.is_blocked = False
 
     def _refresh(self, now: int) -> None:
-        """Brings some engines' forecasts up to date, the oldest first."""
+        """Refreshes the forecasts of some engines, the oldest first."""
         due = 0
         while due < REFRESHES and self._turns:
             engine = self._turns[0]
@@ -384,7 +393,7 @@
             self._learn_step(now)
 
     def _learn_step(self, now: int) -> None:
-        """Takes the engines' mean step time for the expected waits."""
+        """Updates the mean step time used to estimate queue waits."""
         steps = [
             e.step_ms
             for e in self._engines.values()
@@ -396,7 +405,7 @@
             self._patient.service.step_ms = mean
 
     def _drop_silent(self, now: int) -> None:
-        """Drops the streams of entries that report no more."""
+        """Drops the streams of entries that stopped reporting."""
         silent = {
             entry
             for entry, seen in self._entries_seen.items()
@@ -411,7 +420,7 @@
             del self._entries_seen[entry]
 
     def _make_yield(self, engine: EngineState) -> None:
-        """Lowers one stream's priority when memory is about to run out."""
+        """Lowers one stream's priority if KV cache is about to run out."""
         stream = choose_yielding(engine)
         if stream is None:
             return
--- a/rhubarbwinch/admission/decisions.py
+++ b/rhubarbwinch/admission/decisions.py
@@ -1,4 +1,4 @@
-"""What admission decides, and which of its decisions are made at all."""
+"""The decisions that admission returns and the options that enable them."""
 
 import attrs
 
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class Decision:
-    """The answer to a request that was submitted."""
+    """The reply to a submitted request."""
 
     request_id: str
     reply: PermitReply
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class EntryChange:
-    """A message for the entry that relays a stream."""
+    """A message and the name of the entry to send it to."""
 
     entry: str
     message: PriorityChange
@@ -27,15 +27,17 @@
 
 @attrs.frozen
 class Options:
-    """Which decisions are made; experiments turn them off.
+    """Which decisions are enabled; simulations disable some for comparison.
 
     Attributes:
         placement: The placement policy's name.
-        is_fair: Whether accounts share by weight; otherwise first come.
+        is_fair: Whether accounts share the pool by weight; otherwise requests
+            are served first in, first out.
         refuses_early: Whether requests that can't start in time are refused
-            at once; otherwise they wait for their deadline.
-        limits_retries: Whether retries have a budget.
-        lowers_priority: Whether a stream yields when predictions fail.
+            immediately; otherwise they are queued until their deadline.
+        limits_retries: Whether each account has a retry budget.
+        lowers_priority: Whether a stream's priority is lowered when an engine
+            needs more KV cache than was predicted.
     """
 
     placement: str = "quantile"
@@ -45,5 +47,5 @@
     lowers_priority: bool = True
 
     def share_key(self, request: PermitRequest) -> str:
-        """Returns what shares are counted by; one key for all if unfair."""
+        """Returns the fair queueing key: the account, or "" if not fair."""
         return request.account if self.is_fair else ""
--- a/rhubarbwinch/admission/digests.py
+++ b/rhubarbwinch/admission/digests.py
@@ -1,7 +1,8 @@
-"""Digests of open streams, from entries to the owners of pools.
+"""Digests by which a pool's owner checks its view of an entry's streams.
 
-A digest of a few bytes tells an owner whether its view is right. Only when it
-is not, as after a change of owner or a lost message, all streams are told.
+A digest of a few bytes shows whether the owner's view is correct. An entry
+sends the full list of its streams only if the digests differ, for example
+after a change of owner or a lost message.
 """
 
 from collections.abc import Iterable
@@ -18,29 +19,29 @@
     StreamProgress,
 )
 
-# A stream is told again after so many tokens; in between an owner goes by the
-# time of a step.
+# A stream's token count is reported again after this many tokens. Between two
+# reports the owner estimates the count from the step time.
 GROWTH_TOKENS = 2048
-# A grant or a release that is on its way makes one digest differ, so only the
-# second in a row counts.
+# A grant or release in flight makes a single digest differ, so a full report
+# is requested only after the second mismatch in a row.
 MISMATCHES_ALLOWED = 1
 
 
 def request_key(request_id: str) -> int:
-    """Returns the number that stands for a request in digests."""
+    """Returns the hash of a request id that digests are built from."""
     return xxhash.xxh3_64_intdigest(request_id.encode())
 
 
 def digest_of(request_ids: Iterable[str]) -> int:
-    """Returns the exclusive or of the keys of requests, 0 for none."""
+    """Returns the XOR of the requests' keys, or 0 without requests."""
     return reduce(xor, map(request_key, request_ids), 0)
 
 
 class StreamReporter:
-    """An entry's side.
+    """Builds the stream reports of an entry.
 
     Args:
-        entry: The member's name.
+        entry: The entry's name.
     """
 
     def __init__(self, entry: str) -> None:
@@ -48,7 +49,7 @@
         self._told: dict[str, dict[str, int]] = {}
 
     def digest(self, pool: str, streams: list[StreamProgress]) -> DigestReport:
-        """Returns the report to send in each period."""
+        """Returns the periodic report: a digest and grown token counts."""
         told = self._told.get(pool, {})
         now_told: dict[str, int] = {}
         grown = []
@@ -74,31 +75,31 @@
     def announcement(
         self, pool: str, streams: list[StreamProgress]
     ) -> ProgressReport:
-        """Returns the report of everything, for an owner that asks for it."""
+        """Returns a full report, for an owner whose view differs."""
         self._told[pool] = {s.request.request_id: s.tokens for s in streams}
         return ProgressReport(self._entry, pool, streams)
 
 
 @attrs.frozen
 class _Source:
-    """An entry's streams in a pool."""
+    """An entry and a pool, whose streams one digest covers."""
 
     entry: str
     pool: str
 
 
 class DigestChecker:
-    """An owner's side: tells when an entry must announce its streams."""
+    """Detects, for a pool's owner, which entries must send a full report."""
 
     def __init__(self) -> None:
         self._mismatches: dict[_Source, int] = {}
 
     def wants_all(self, report: DigestReport, known: list[str]) -> bool:
-        """Compares a digest with what is known of the entry's streams.
+        """Returns whether the entry must send a full report.
 
         Args:
-            report: What the entry tells.
-            known: The request ids that the owner counts as the entry's.
+            report: The entry's digest.
+            known: The ids of the entry's requests in the owner's view.
         """
         source = _Source(report.entry, report.pool)
         same = report.count == len(known) and report.digest == digest_of(known)
@@ -110,6 +111,6 @@
         return seen > MISMATCHES_ALLOWED
 
     def forget(self, entry: str) -> None:
-        """Drops what is kept of an entry that is gone."""
+        """Removes the mismatch counts of an entry."""
         for source in [s for s in self._mismatches if s.entry == entry]:
             del self._mismatches[source]
--- a/rhubarbwinch/admission/fairness.py
+++ b/rhubarbwinch/admission/fairness.py
@@ -1,4 +1,4 @@
-"""Fair queueing between accounts, in tokens served."""
+"""Weighted fair queueing between accounts, measured in tokens served."""
 
 import heapq
 import itertools
@@ -12,21 +12,22 @@
 from rhubarbwinch.shared.clock import Clock
 
 SHARE_HALF_LIFE_MS = 30_000
-# Accounts' demands differ; only a flood is this far over its share.
+# An account is over its share at this multiple of it. Demand varies between
+# accounts, so smaller excesses are normal.
 OVER_SHARE = 1.5
 
 
 @attrs.define(eq=False)
 class Queued:
-    """A request that waits.
+    """A queued request.
 
     Attributes:
         request: The request.
-        tokens: What it is expected to take.
-        since_ms: When it came.
-        until_ms: When its wait ends.
+        tokens: Its expected prompt and output tokens.
+        since_ms: When it was queued.
+        until_ms: Its deadline in the queue.
         is_gone: Whether it was granted or refused.
-        stream: What it would be if it started, once worked out.
+        stream: The stream that it would become, once a forecast is computed.
     """
 
     request: PermitRequest
@@ -39,7 +40,7 @@
 
 @attrs.define(eq=False)
 class _Line:
-    """The waiting requests of one account."""
+    """The queued requests of one account."""
 
     account: str
     weight: float
@@ -50,18 +51,18 @@
     items: deque[Queued] = attrs.field(factory=deque)
 
     def head(self) -> Queued | None:
-        """Returns the first request that still waits."""
+        """Returns the first request that is still queued, or None."""
         while self.items and self.items[0].is_gone:
             self.items.popleft()
         return self.items[0] if self.items else None
 
 
 class FairQueue:
-    """Serves the account that has been served least for its weight.
+    """Serves the account that was served the fewest tokens for its weight.
 
-    Each account has a virtual time that grows with its tokens over its
-    weight. An account that comes back starts at the queue's virtual time, so
-    that it can't save up a claim while it is away.
+    Each account has a virtual time that advances by tokens divided by weight.
+    An account that returns after being idle starts at the queue's virtual
+    time, so it accumulates no credit while it is idle.
 
     Args:
         weight_of: Returns an account's weight.
@@ -81,7 +82,7 @@
         return self._length
 
     def push(self, account: str, item: Queued) -> None:
-        """Adds a request at the end of its account's line."""
+        """Adds a request at the end of its account's queue."""
         line = self._line(account)
         if line.live == 0:
             line.virtual = max(line.virtual, self._virtual)
@@ -94,7 +95,7 @@
         self._length += 1
 
     def remove(self, account: str, item: Queued) -> None:
-        """Takes out a request that was granted or refused."""
+        """Removes a request that was granted or refused."""
         item.is_gone = True
         line = self._lines[account]
         line.live -= 1
@@ -106,23 +107,23 @@
             line.items.clear()
 
     def start(self, account: str, item: Queued) -> None:
-        """Takes out a request that starts, and charges its account."""
+        """Removes a request that starts and charges its account."""
         line = self._lines[account]
         self._virtual = max(self._virtual, line.virtual)
         self.charge(account, item.tokens)
         self.remove(account, item)
 
     def charge(self, account: str, tokens: float) -> None:
-        """Counts tokens served to an account; negative to correct."""
+        """Charges served tokens to an account; negative for a refund."""
         line = self._line(account)
         line.virtual += tokens / line.weight
 
     def ahead(self, account: str) -> float:
-        """Returns about how many tokens start before a new request.
+        """Returns about how many tokens are served before a new request.
 
-        Its turn comes when the queue's virtual time reaches the account's
-        own, behind its other requests. Until then each active account starts
-        tokens by its weight.
+        The new request is served when the queue's virtual time reaches the
+        account's virtual time plus the account's other queued requests. Until
+        then each active account is served tokens in proportion to its weight.
         """
         line = self._lines.get(account)
         weight = line.weight if line else self._weight_of(account)
@@ -136,7 +137,8 @@
     def heads(self, limit: int) -> Iterator[Queued]:
         """Yields the first request of up to `limit` accounts, in order.
 
-        A request that the caller removes makes way for its account's next.
+        If the caller removes a request, the account's next request takes its
+        place and the account doesn't count towards the limit.
         """
         passed: list[_Line] = []
         try:
@@ -158,7 +160,7 @@
                 self._enter(line)
 
     def _drop(self, line: _Line) -> None:
-        """Forgets an account that is owed nothing."""
+        """Removes an idle account that isn't ahead in virtual time."""
         if line.virtual <= self._virtual:
             del self._lines[line.account]
 
@@ -178,7 +180,7 @@
 
 
 class ShareMeter:
-    """What accounts were granted lately, against their weights.
+    """Compares the tokens recently granted to accounts with their weights.
 
     Args:
         clock: The source of time.
@@ -203,13 +205,13 @@
         self._total += tokens
 
     def is_over(self, account: str) -> bool:
-        """Tells whether an account has far more than its share."""
+        """Returns whether an account has far more than its share."""
         held = self._tokens.get(account, 0.0)
         share = self._weight_of(account) / max(self._weight, 1e-9)
         return held > OVER_SHARE * share * self._total
 
     def _fade(self) -> None:
-        """Halves all counts now and then; forgets accounts that are away."""
+        """Halves all counts once per half-life; removes idle accounts."""
         now = self._clock.now()
         if now - self._faded_ms < SHARE_HALF_LIFE_MS:
             return
--- a/rhubarbwinch/admission/gate.py
+++ b/rhubarbwinch/admission/gate.py
@@ -1,4 +1,4 @@
-"""Refusals at the gate of a pool: limits, shares and hopeless waits."""
+"""Refuses requests over account limits or unable to start in time."""
 
 from rhubarbwinch.admission.decisions import Options
 from rhubarbwinch.admission.fairness import ShareMeter
@@ -9,19 +9,20 @@
 
 MAX_QUEUED = 1000
 RETRY_AFTER_MS = 1000
-# Expected waits are uncertain; what would only just start is refused too.
+# A request is refused if its expected wait exceeds this share of its longest
+# wait, because the estimate is uncertain.
 WAIT_MARGIN = 0.75
 
 
 class Gate:
-    """Refuses at once what is not to wait.
+    """Decides which new requests are refused instead of queued.
 
     Args:
-        options: Which refusals are made.
+        options: Which checks are enabled.
         limits: The accounts' limits.
-        shares: What accounts take of the pool.
-        interactive: Requests that a person waits for.
-        patient: Requests that can wait.
+        shares: Measures the accounts' recent shares of the pool.
+        interactive: The queue of requests that a person waits for.
+        patient: The queue of background requests.
     """
 
     def __init__(
@@ -39,7 +40,7 @@
         self._patient = patient
 
     def refusal(self, request: PermitRequest, expected: int) -> Failure | None:
-        """Returns why a request can't be taken in, or None."""
+        """Returns why a request is refused, or None to queue it."""
         queued = len(self._interactive) + len(self._patient)
         limits = self._limits.of(request.account)
         limited = self._rate_refusal(request, limits)
@@ -59,7 +60,7 @@
     def _rate_refusal(
         self, request: PermitRequest, limits: AccountLimits
     ) -> Failure | None:
-        """Refuses what is over the account's rates."""
+        """Refuses a request over the account's retry budget or rate."""
         if self._options.limits_retries:
             if not request.avoid:
                 limits.retries.add_attempt()
@@ -73,7 +74,11 @@
         return None
 
     def _crowds_out(self, request: PermitRequest) -> bool:
-        """Tells whether interactive work takes what others wait for."""
+        """Returns whether an interactive request displaces queued work.
+
+        This is so if background requests are queued and the account is far
+        over its share.
+        """
         return (
             request.interactive
             and len(self._patient) > 0
@@ -81,7 +86,7 @@
         )
 
     def _late_refusal(self, request: PermitRequest) -> Failure | None:
-        """Refuses what has no chance to start in time."""
+        """Refuses a request that is unlikely to start in time."""
         if not self._options.refuses_early:
             return None
         is_urgent = request.interactive
--- a/rhubarbwinch/admission/lengths.py
+++ b/rhubarbwinch/admission/lengths.py
@@ -1,8 +1,8 @@
-"""Output lengths learned online: Kaplan-Meier survival curves by cell.
+"""Predicts output lengths from Kaplan-Meier curves that are learned online.
 
 A cell is a service, account and bucket of prompt lengths. A cell with few
-observations leaves the answer to a coarser one. Streams that were cancelled
-or lost count as censored: they were at least that long.
+observations falls back to a coarser one. Streams that were cancelled or lost
+count as censored: their output would have been at least that long.
 """
 
 import math
@@ -17,22 +17,24 @@
 REBUILD_SHARE = 0.1
 BINS_PER_DOUBLING = 6
 MAX_BINS = 20 * BINS_PER_DOUBLING
-# Tokens ahead of now at which the future of a stream is looked at.
+# Numbers of further tokens for which forecasts are computed.
 HORIZONS = (0, 32, 64, 128, 256, 384, 512, 768, 1024, 1536, 2048, 3072, 4096)
 
 
 @attrs.frozen
 class Outlook:
-    """What is expected of a stream.
+    """The forecast of the remaining output of a stream.
 
-    Its memory at a horizon is its size now plus the horizon, or nothing if it
-    has ended by then. The sums of many streams are built from these parts.
+    The KV cache use of a stream at a horizon is its current size plus the
+    horizon, or 0 if it has ended by then. The mean and variance for an engine
+    are summed over its streams from these values.
 
     Attributes:
-        alive: The chance that it still runs at each of `HORIZONS`.
-        mean_tokens: The expected tokens still to come.
-        growth: Each chance times the horizon.
-        spread: The variance of whether it still runs.
+        alive: The probability that the stream still runs at each of
+            `HORIZONS`.
+        mean_tokens: The expected number of tokens still to be generated.
+        growth: Each probability multiplied by its horizon.
+        spread: The variance of whether the stream still runs, per horizon.
     """
 
     alive: list[float]
@@ -50,16 +52,16 @@
 
 
 class LengthEstimator(Protocol):
-    """Tells what output lengths to expect."""
+    """Forecasts output lengths."""
 
     def outlook(self, request: PermitRequest, tokens: int) -> Outlook:
-        """Returns what is expected of a stream that has `tokens` tokens."""
+        """Returns the forecast of a stream after `tokens` output tokens."""
         ...
 
     def observe(
         self, request: PermitRequest, tokens: int, is_complete: bool
     ) -> None:
-        """Learns from a stream that ended; otherwise it was censored."""
+        """Learns an output length; censored unless `is_complete`."""
         ...
 
 
@@ -78,7 +80,10 @@
 
 
 class SurvivalCurve:
-    """The lengths of one cell; old observations fade."""
+    """The survival curve of the output lengths of one cell.
+
+    The weight of old observations decays.
+    """
 
     def __init__(self) -> None:
         self._ended = [0.0] * MAX_BINS
@@ -91,12 +96,13 @@
 
     @property
     def observations(self) -> float:
-        """The observations, faded ones for less."""
+        """The number of observations, weighted by their age."""
         return self._total / self._weight
 
     def add(self, tokens: int, is_complete: bool) -> None:
-        """Adds an observation."""
-        # A growing weight of the new has the effect of fading the old.
+        """Adds an output length; censored unless `is_complete`."""
+        # Increasing the weight of each new observation has the same effect as
+        # decaying the weights of all old ones.
         self._weight *= 2 ** (1 / HALF_LIFE_OBSERVATIONS)
         counts = self._ended if is_complete else self._censored
         counts[_bin(tokens)] += self._weight
@@ -106,7 +112,7 @@
             self._rebuild()
 
     def chance(self, tokens: float) -> float:
-        """Returns the chance that an output is longer than `tokens`."""
+        """Returns the probability that an output exceeds `tokens`."""
         place = _bin(int(tokens))
         low, high = _edge(place), _edge(place + 1)
         part = min(1.0, max(0.0, (tokens - low) / (high - low)))
@@ -114,7 +120,7 @@
         return here + part * (self._survival[place + 1] - here)
 
     def outlook(self, tokens: int, max_tokens: int) -> Outlook:
-        """Returns what is expected after `tokens` tokens."""
+        """Returns the forecast after `tokens` of at most `max_tokens`."""
         place = _bin(tokens)
         left = _bin(max_tokens - tokens) + 1 if max_tokens else MAX_BINS
         key = (place, min(left, _LAST_HORIZON_BIN))
@@ -134,14 +140,14 @@
         return Outlook(alive, _mean(alive))
 
     def _rebuild(self) -> None:
-        """Multiplies up the share that survives each bin."""
+        """Recomputes the curve as the product of each bin's survival."""
         self._unread = 0.0
         self._outlooks.clear()
         at_risk = self._total
         chance = 1.0
         for place in range(MAX_BINS):
             self._survival[place] = chance
-            # Censored ones of the same bin are taken to have outlived it.
+            # Censored observations count as surviving the bin they are in.
             if at_risk > self._total * 1e-6:
                 chance *= max(0.0, 1 - self._ended[place] / at_risk)
             at_risk -= self._ended[place] + self._censored[place]
@@ -165,20 +171,20 @@
 
 
 def _unknown(max_tokens: int, tokens: int) -> Outlook:
-    """Without observations each length up to the limit is as likely."""
+    """Returns the forecast for lengths that are uniform up to the limit."""
     left = max(1, max_tokens - tokens)
     alive = [max(0.0, 1 - h / left) for h in HORIZONS]
     return Outlook(alive, left / 2)
 
 
 class LearnedLengths:
-    """Learns lengths by service, account and bucket of prompt lengths."""
+    """Learns output lengths by service, account and prompt length bucket."""
 
     def __init__(self) -> None:
         self._cells: dict[tuple[str, ...], SurvivalCurve] = {}
 
     def outlook(self, request: PermitRequest, tokens: int) -> Outlook:
-        """Returns what is expected, from the finest cell with enough data."""
+        """Returns the forecast from the finest cell with enough data."""
         for key in _cell_keys(request):
             cell = self._cells.get(key)
             if cell is not None and cell.observations >= MIN_OBSERVATIONS:
@@ -188,7 +194,7 @@
     def observe(
         self, request: PermitRequest, tokens: int, is_complete: bool
     ) -> None:
-        """Learns from a stream that ended; otherwise it was censored."""
+        """Learns an output length; censored unless `is_complete`."""
         for key in _cell_keys(request):
             cell = self._cells.get(key)
             if cell is None:
@@ -197,7 +203,7 @@
 
 
 def _cell_keys(request: PermitRequest) -> list[tuple[str, ...]]:
-    """Returns the request's cells, the finest first."""
+    """Returns the keys of the request's cells, the finest first."""
     bucket = str(request.prompt_tokens.bit_length())
     service, account = request.service, request.account
     return [
--- a/rhubarbwinch/admission/limits.py
+++ b/rhubarbwinch/admission/limits.py
@@ -1,4 +1,4 @@
-"""What client accounts may have in flight, and how often they may retry."""
+"""Limits the requests, tokens, rate and retries of client accounts."""
 
 import random
 
@@ -14,11 +14,11 @@
 
 
 class TokenBucket:
-    """Allows a rate, and a burst of one second of it but at least one.
+    """Limits a rate; the burst is one second's worth but at least one.
 
     Args:
         clock: The source of time.
-        per_second: The rate.
+        per_second: The rate, in requests per second.
     """
 
     def __init__(self, clock: Clock, per_second: float) -> None:
@@ -29,7 +29,7 @@
         self._filled_ms = clock.now()
 
     def take(self) -> int:
-        """Takes one; returns 0, or the ms after which there is one."""
+        """Takes one token and returns 0, or the ms until one is available."""
         now = self._clock.now()
         added = (now - self._filled_ms) * self._rate
         self._level = min(self._size, self._level + added)
@@ -41,11 +41,12 @@
 
 
 class RetryBudget:
-    """Keeps retries to a share of first attempts.
+    """Limits retries to a ratio of first attempts.
 
     Args:
-        share: Retries allowed for each first attempt.
-        reserve: Retries allowed without first attempts.
+        share: The number of retries allowed for each first attempt.
+        reserve: The number of retries allowed before any first attempt; also
+            the most that can accumulate.
     """
 
     def __init__(
@@ -56,11 +57,11 @@
         self._level = reserve
 
     def add_attempt(self) -> None:
-        """Counts a first attempt."""
+        """Records a first attempt, which increases the budget."""
         self._level = min(self._reserve, self._level + self._share)
 
     def take(self) -> bool:
-        """Tells whether a retry is allowed, and counts it."""
+        """Returns whether a retry is allowed, and if so records it."""
         if self._level < 1:
             return False
         self._level -= 1
@@ -70,12 +71,12 @@
 def backoff_ms(
     attempt: int, base_ms: int, limit_ms: int, rng: random.Random
 ) -> int:
-    """Returns a wait before a retry: exponential, with full jitter.
+    """Returns the delay before a retry: exponential, with full jitter.
 
     Args:
         attempt: 1 for the first retry.
-        base_ms: The upper bound of the first wait.
-        limit_ms: The upper bound of all waits.
+        base_ms: The upper bound of the first delay.
+        limit_ms: The upper bound of all delays.
         rng: The source of jitter.
     """
     doublings = min(attempt - 1, MAX_BACKOFF_DOUBLINGS)
@@ -84,14 +85,14 @@
 
 @attrs.define
 class AccountLimits:
-    """One account in one pool.
+    """The limits and current use of one account in one pool.
 
     Attributes:
         spec: The account's record.
-        rate: Limits new requests, or None without a limit.
+        rate: Limits the rate of new requests; None without a limit.
         retries: Limits retries.
-        requests: Requests in flight.
-        tokens: Prompt and expected output tokens in flight.
+        requests: The number of requests in flight.
+        tokens: The prompt and expected output tokens in flight.
     """
 
     spec: AccountSpec
@@ -102,27 +103,27 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no request may start, however small."""
+        """Whether the account has reached its limit of requests in flight."""
         return self.requests >= self.spec.room.requests
 
     def has_room(self, tokens: int) -> bool:
-        """Tells whether a request of `tokens` may start now."""
+        """Returns whether a request of `tokens` may start now."""
         room = self.spec.room
         fits = self.tokens + tokens <= room.tokens
         return self.requests < room.requests and fits
 
     def can_ever_fit(self, tokens: int) -> bool:
-        """Tells whether a request of `tokens` may start at all."""
+        """Returns whether a request of `tokens` may ever start."""
         room = self.spec.room
         return room.requests > 0 and tokens <= room.tokens
 
     def add(self, tokens: int) -> None:
-        """Counts a request that starts."""
+        """Records the start of a request."""
         self.requests += 1
         self.tokens += tokens
 
     def remove(self, tokens: int) -> None:
-        """Counts a request that ended, with the tokens it was added with."""
+        """Records the end of a request that was added with `tokens`."""
         self.requests -= 1
         self.tokens -= tokens
 
@@ -141,7 +142,7 @@
         self._held: dict[str, AccountLimits] = {}
 
     def configure(self, accounts: dict[str, AccountSpec]) -> None:
-        """Takes new records; what is in flight stays counted."""
+        """Applies new records; requests in flight stay counted."""
         self._specs = accounts
         for name, held in self._held.items():
             spec = accounts.get(name, _DEFAULT)
@@ -158,7 +159,7 @@
         return held
 
     def weight(self, account: str) -> float:
-        """Returns an account's share when engines are crowded."""
+        """Returns an account's weight in fair queueing."""
         return self._specs.get(account, _DEFAULT).weight
 
     def _rate(self, spec: AccountSpec) -> TokenBucket | None:
--- a/rhubarbwinch/admission/permits.py
+++ b/rhubarbwinch/admission/permits.py
@@ -1,4 +1,4 @@
-"""The entry's side of permits: finds a pool's owner and asks it."""
+"""Acquires and releases an entry's permits at the owners of pools."""
 
 from collections.abc import Callable
 
@@ -23,12 +23,12 @@
 
 @attrs.define(eq=False)
 class Permit:
-    """A granted place, to be given back when its request has ended.
+    """A granted request; the permit must be released when it has ended.
 
     Attributes:
-        request: What was asked for.
-        grant: The place.
-        tokens: The tokens passed on so far, for the reports.
+        request: The permit request.
+        grant: The endpoint and priority granted.
+        tokens: The tokens relayed to the caller so far, for stream reports.
     """
 
     request: PermitRequest
@@ -37,7 +37,13 @@
 
 
 def pool_owner(pool: str, members: Members, avoid: str = "") -> Member | None:
-    """Returns the broker that owns a pool, or would without `avoid`."""
+    """Returns the serving broker that owns a pool.
+
+    Args:
+        pool: The pool's name.
+        members: The known members.
+        avoid: The name of a broker to leave out, or empty for none.
+    """
     serving = members.serving(Role.BROKER)
     brokers = {m.name: m for m in serving if m.name != avoid}
     name = rendezvous.owner(pool, brokers)
@@ -45,13 +51,13 @@
 
 
 class PermitClient:
-    """Asks the owners of pools for permits.
+    """Requests permits from the owners of pools.
 
     Args:
         links: The links to the brokers.
         members: The known members.
-        timeout_ms: The longest wait for an answer, beyond the queue's.
-        counters: Where late answers are counted.
+        timeout_ms: The timeout of a reply, in addition to the queue wait.
+        counters: Where late replies are counted.
     """
 
     def __init__(
@@ -70,25 +76,25 @@
 
     @property
     def open_permits(self) -> list[Permit]:
-        """The permits that are held."""
+        """The permits that this entry holds."""
         return list(self._open.values())
 
     def adopt(self, permit: Permit) -> None:
-        """Takes over a permit that another entry asked for."""
+        """Registers a permit that another entry acquired."""
         self._open[permit.request.request_id] = permit
 
     def drop(self, permit: Permit) -> None:
-        """Forgets a permit that another entry has taken over."""
+        """Removes a permit that was released or moved to another entry."""
         self._open.pop(permit.request.request_id, None)
 
     async def ask(
         self, request: PermitRequest, avoid: str = ""
     ) -> Result[Permit, Failure]:
-        """Asks for a place and returns it or why there is none.
+        """Requests a permit from the owner of the request's pool.
 
         Args:
-            request: What is asked for.
-            avoid: A broker that did not answer.
+            request: The permit request.
+            avoid: The name of a broker that did not reply, or empty for none.
         """
         broker = pool_owner(request.pool, self._members, avoid)
         if broker is None:
@@ -124,10 +130,10 @@
         pools: list[str],
         new_id: Callable[[], str],
     ) -> Result[Permit, Failure]:
-        """Asks the pools in turn until one has a place.
+        """Requests a permit from each pool in order until one grants it.
 
-        Each asking has an id of its own, so that a late grant can be handed
-        back without touching the permit that was taken instead.
+        Each attempt has its own request id, so that a late grant can be
+        released without affecting the permit that was acquired instead.
         """
         answer: Result[Permit, Failure] = Err(
             not_run(
@@ -143,7 +149,7 @@
                 asked = attrs.evolve(asked, traceparent=tracing.current())
                 answer = await self.ask(asked)
                 if _is_silent(answer) and owner is not None:
-                    # Its broker has ended; the pool's next owner can answer.
+                    # The broker is down; the pool's next owner can reply.
                     asked = attrs.evolve(asked, request_id=new_id())
                     answer = await self.ask(asked, owner.name)
             if answer.is_ok():
@@ -153,7 +159,7 @@
     async def give_back(
         self, permit: Permit, end: StreamEnd, tokens: int = 0
     ) -> None:
-        """Returns a permit; a lost message is made good by the reports."""
+        """Releases a permit; stream reports make up for a lost message."""
         self.drop(permit)
         request = permit.request
         release = PermitRelease(request.request_id, request.pool, end, tokens)
@@ -162,7 +168,10 @@
             await self._send(broker.link, release)
 
     async def _hand_back(self, reply: PermitReply) -> None:
-        """Returns a permit whose request has been given up."""
+        """Releases a permit that was granted after its request timed out.
+
+        The reply doesn't name the pool, so all brokers are told.
+        """
         if self._metrics is not None:
             self._metrics.count(metrics.LATE_ANSWERS)
         if reply.grant is None:
@@ -175,7 +184,8 @@
         try:
             await self._links.send(address, release)
         except LinkError:
-            # The broker is gone; the next owner learns from the reports.
+            # The broker is down. The pool's next owner learns the open
+            # streams from the reports.
             return
 
 
--- a/rhubarbwinch/admission/placement.py
+++ b/rhubarbwinch/admission/placement.py
@@ -1,4 +1,4 @@
-"""Placement policies: which endpoint a request runs on, if any."""
+"""Placement policies, which choose the endpoint that a request runs on."""
 
 import heapq
 import random
@@ -10,24 +10,27 @@
 from rhubarbwinch.shared.registry import Registry
 
 GAP_TARGET_MS = 41.0
-# How much longer than with one stream a step of a slow engine may take.
+# For engines that miss the gap target even with one stream: the factor by
+# which a step may take longer than with one stream.
 SLOW_ENGINE_SLACK = 1.25
-# Standard deviations of summed memory: one admission in 40 is too many.
+# Standard deviations above the mean KV cache use for which space is required.
+# With 2, about one admission in 40 exceeds the capacity.
 MEMORY_DEVIATIONS = 2.0
 HEADROOM_SHARE = 0.12
 PREFILL_MS_PER_TOKEN = 0.04
-# A prompt is read in one step, a stream is in all steps until its end.
+# Weight of the prefill time saved by cached blocks against the step time. A
+# prefill delays one step, but a stream takes part in every step until it ends.
 PREFILL_WEIGHT = 0.25
 CANDIDATES = 3
 
 
 class Policy(Protocol):
-    """Chooses among the endpoints that may take a request."""
+    """Chooses among the endpoints that may run a request."""
 
     def choose(
         self, stream: Stream, engines: list[EngineState]
     ) -> EngineState | None:
-        """Returns the endpoint for a stream, or None to let it wait."""
+        """Returns the endpoint for a stream, or None to keep it queued."""
         ...
 
 
@@ -37,7 +40,7 @@
 
 
 class _Simple:
-    """What the policies share that need no forecast."""
+    """The base class of policies, with random tie breaking."""
 
     def __init__(self, step_time: StepTime, rng: random.Random) -> None:
         self._step_time = step_time
@@ -54,7 +57,7 @@
 
 @POLICIES.register("round-robin")
 class RoundRobin(_Simple):
-    """Takes the endpoints in turn."""
+    """Chooses the endpoints in turn."""
 
     def __init__(self, step_time: StepTime, rng: random.Random) -> None:
         super().__init__(step_time, rng)
@@ -72,7 +75,7 @@
 
 @POLICIES.register("least-outstanding")
 class LeastOutstanding(_Simple):
-    """Takes the endpoint with the fewest requests that have not ended."""
+    """Chooses the endpoint with the fewest requests that have not ended."""
 
     def choose(
         self, stream: Stream, engines: list[EngineState]
@@ -83,7 +86,7 @@
 
 @POLICIES.register("least-load")
 class LeastLoad(_Simple):
-    """Takes the endpoint that reported the least memory in use."""
+    """Chooses the endpoint that reported the least KV cache use."""
 
     def choose(
         self, stream: Stream, engines: list[EngineState]
@@ -99,12 +102,12 @@
 
 @POLICIES.register("reserve-maximum")
 class ReserveMaximum(_Simple):
-    """Reserves the most tokens that each request may generate."""
+    """Reserves KV cache for the prompt and `max_tokens` of each request."""
 
     def choose(
         self, stream: Stream, engines: list[EngineState]
     ) -> EngineState | None:
-        """Returns the endpoint with the most memory not reserved."""
+        """Returns the endpoint with the fewest reserved tokens that fits."""
         more = _most_tokens(stream)
         fit = [
             e
@@ -124,16 +127,16 @@
 
 @POLICIES.register("quantile")
 class Quantile(_Simple):
-    """Admits while the upper quantile of predicted peak memory fits.
+    """Admits while an upper quantile of the predicted peak KV cache use fits.
 
-    Work that can wait leaves headroom for interactive work, and no request
-    may take the predicted step time over the gap target.
+    Background requests leave headroom for interactive ones, and no request
+    may raise the predicted step time above the token gap target.
     """
 
     def choose(
         self, stream: Stream, engines: list[EngineState]
     ) -> EngineState | None:
-        """Returns the best endpoint on which the stream fits."""
+        """Returns the cheapest candidate endpoint on which the stream fits."""
         best = heapq.nsmallest(
             CANDIDATES, engines, key=lambda e: self._cost_ms(stream, e)
         )
@@ -143,7 +146,7 @@
         return None
 
     def _cost_ms(self, stream: Stream, engine: EngineState) -> float:
-        """Returns what the stream would wait and cost there, in ms."""
+        """Returns the step time less the prefill time saved, in ms."""
         if engine.load is None:
             return engine.outstanding * self._rng.uniform(1.0, 1.001)
         step = engine.cost_ms
@@ -168,12 +171,12 @@
         self, engine: EngineState, stream: Stream, can_wait: bool
     ) -> bool:
         if not self._step_time.is_learned or not engine.outstanding:
-            # A prediction, which may be wrong, never leaves an engine idle.
+            # Predictions can be wrong, so they never keep an engine idle.
             return True
         batch = engine.outstanding + 1
         step = self._step_time.predict(batch, engine.peak_with(stream, 0.0))
         share = 1 - HEADROOM_SHARE if can_wait else 1.0
-        # Engines that are slower than the target with a single stream must
-        # still serve, so a pace near their best is good enough.
+        # Engines that miss the target even with a single stream must still
+        # serve, so a step time close to their best is accepted.
         best = self._step_time.predict(1, float(stream.request.prompt_tokens))
         return step <= max(GAP_TARGET_MS * share, SLOW_ENGINE_SLACK * best)
--- a/rhubarbwinch/admission/prefixes.py
+++ b/rhubarbwinch/admission/prefixes.py
@@ -1,4 +1,4 @@
-"""Hashes of a prompt's leading blocks, by which cached prefixes are found."""
+"""Hashes the leading blocks of prompts to find cached prefixes."""
 
 from typing import Any
 
@@ -9,7 +9,7 @@
 
 BYTES_PER_TOKEN = 4
 BLOCK_BYTES = BLOCK_TOKENS * BYTES_PER_TOKEN
-# Longer prefixes are told apart by no more than this many blocks.
+# At most this many leading blocks of a prompt are hashed.
 MAX_BLOCKS = 32
 
 
--- a/rhubarbwinch/admission/queueing.py
+++ b/rhubarbwinch/admission/queueing.py
@@ -1,4 +1,4 @@
-"""The waiting requests of one class: order, deadlines, expected wait."""
+"""Queues the requests of one class, with deadlines and expected waits."""
 
 import heapq
 import itertools
@@ -9,22 +9,23 @@
 from rhubarbwinch.links.messages import PermitRequest
 from rhubarbwinch.shared.clock import Clock
 
-# Accounts that are looked at when others are at their limits.
+# The most accounts considered in one pass. The first accounts may be at their
+# limits, so that a later account's request is granted.
 MAX_HEADS = 64
 OVERDUE_SHARE = 0.5
 
 
 class Lane:
-    """A queue for interactive work, or for work that can wait.
+    """The queue of interactive requests or of background requests.
 
     Args:
         clock: The source of time.
         weight_of: Returns an account's weight.
 
     Attributes:
-        is_blocked: Whether the first request found no place and nothing has
-            changed since.
-        service: What the class's running requests get done.
+        is_blocked: Whether the first request fitted on no endpoint and
+            nothing has changed since.
+        service: The rate at which the class's requests are served.
     """
 
     def __init__(self, clock: Clock, weight_of: Callable[[str], float]) -> None:
@@ -39,7 +40,7 @@
         return len(self._queue)
 
     def push(self, key: str, request: PermitRequest, tokens: int) -> None:
-        """Adds a request that is expected to take `tokens`."""
+        """Adds a request of `tokens` expected prompt and output tokens."""
         now = self._clock.now()
         item = Queued(request, tokens, now, now + request.wait_ms)
         if len(self._queue) == 0:
@@ -50,29 +51,29 @@
         heapq.heappush(self._deadlines, entry)
 
     def heads(self) -> Iterator[Queued]:
-        """Yields the requests that may be next."""
+        """Yields the requests that may be granted next."""
         return self._queue.heads(MAX_HEADS)
 
     def start(self, key: str, item: Queued) -> None:
-        """Takes out a request that starts."""
+        """Removes a request that starts and charges its account."""
         self._queue.start(key, item)
 
     def remove(self, key: str, item: Queued) -> None:
-        """Takes out a request that was refused."""
+        """Removes a request that was refused."""
         self._queue.remove(key, item)
 
     def correct(self, key: str, tokens: int) -> None:
-        """Corrects what an account was charged for a request that ended."""
+        """Corrects an account's charge for a request that ended."""
         self._queue.charge(key, tokens)
 
     def wait_ms(self, key: str) -> float:
-        """Returns the expected wait of a new request."""
+        """Returns the expected wait of a new request, in ms."""
         if len(self._queue) == 0:
             return 0.0
         return self.service.wait_ms(self._queue.ahead(key))
 
     def is_overdue(self) -> bool:
-        """Tells whether a request has used up half of its longest wait."""
+        """Returns whether the next to expire has waited over half its limit."""
         item = self._first_deadline()
         if item is None:
             return False
@@ -80,7 +81,7 @@
         return waited > OVERDUE_SHARE * (item.until_ms - item.since_ms)
 
     def take_expired(self) -> list[Queued]:
-        """Returns the requests whose wait has ended."""
+        """Returns the requests whose deadline has passed."""
         expired = []
         now = self._clock.now()
         item = self._first_deadline()
--- a/rhubarbwinch/admission/reports.py
+++ b/rhubarbwinch/admission/reports.py
@@ -1,4 +1,4 @@
-"""An entry's reports of its open streams to the owners of their pools."""
+"""Reports an entry's open streams to the owners of their pools."""
 
 import anyio
 
@@ -10,8 +10,8 @@
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import CodecError, LinkError
 
-# The period grows with the number of entries, so that what an owner hears a
-# second does not.
+# The report period grows with the number of entries, so that the number of
+# reports that an owner receives per second stays constant.
 PERIOD_MS_PER_ENTRY = 60
 MIN_PERIOD_MS = 2000
 MAX_PERIOD_MS = 20_000
@@ -19,13 +19,13 @@
 
 
 class Reporter:
-    """Reports regularly, and at once to the new owner of a pool.
+    """Sends periodic reports, and a full report to each new owner at once.
 
     Args:
-        entry: This member's name.
-        permits: The permits that are held.
-        members: Decides who owns a pool.
-        links: Calls the owners.
+        entry: This entry's name.
+        permits: The client that holds the open permits.
+        members: The known members, which determine the owner of each pool.
+        links: The links to the owners.
         clock: The source of time.
     """
 
@@ -42,7 +42,7 @@
         self._members = members
         self._links = links
         self._clock = clock
-        # The owner that each pool's last report went to.
+        # The owner that each pool's last full report was sent to.
         self._told: dict[str, str] = {}
         self._changed = anyio.Event()
         members.on_change(self._wake)
@@ -54,7 +54,7 @@
         return min(max(period, MIN_PERIOD_MS), MAX_PERIOD_MS)
 
     async def run(self) -> None:
-        """Reports until cancelled."""
+        """Sends reports until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._report_moves)
             while True:
@@ -62,14 +62,14 @@
                 await self._report_all()
 
     async def _report_all(self) -> None:
-        """Sends each pool's owner a digest, all at once."""
+        """Sends a report to each pool's owner, concurrently."""
         held = self._held()
         async with anyio.create_task_group() as tasks:
             for pool in sorted(set(self._told) | set(held)):
                 tasks.start_soon(self._report, pool, held.get(pool, []))
 
     async def _report_moves(self) -> None:
-        """Tells the new owners, so that they can rebuild their view."""
+        """Sends full reports to new owners, which rebuild their view."""
         while True:
             await self._changed.wait()
             self._changed = anyio.Event()
@@ -87,21 +87,21 @@
             return
         digest = self._reporter.digest(pool, _streams(permits))
         if not permits:
-            # The empty digest says that nothing is open there any more.
+            # This last, empty digest reports that no stream is open there.
             self._told.pop(pool, None)
         try:
             reply = await self._links.call(
                 owner.link, digest, DigestReply, REPLY_TIMEOUT_MS
             )
         except (LinkError, CodecError):
-            # The next report goes to the pool's next owner.
+            # The next report is sent to the pool's owner at that time.
             return
         if reply.wants_all:
             held = self._held().get(pool, [])
             await self._announce(pool, held)
 
     async def _announce(self, pool: str, permits: list[Permit]) -> None:
-        """Tells a pool's owner of every open stream."""
+        """Sends a full report of the pool's open streams to its owner."""
         owner = pool_owner(pool, self._members)
         if owner is None:
             return
@@ -109,7 +109,7 @@
         try:
             await self._links.send(owner.link, report)
         except LinkError:
-            # The next report goes to the pool's next owner.
+            # The next report is sent to the pool's owner at that time.
             return
         self._told[pool] = owner.name
 
--- a/rhubarbwinch/admission/steptime.py
+++ b/rhubarbwinch/admission/steptime.py
@@ -1,4 +1,4 @@
-"""The step time of a pool's engines, learned from their load reports."""
+"""Predicts the step time of a pool's engines from their load reports."""
 
 MIN_REPORTS = 30
 FORGETTING = 0.9995
@@ -9,10 +9,11 @@
 
 
 class StepTime:
-    """A line through reported step times: batch and resident tokens.
+    """A linear model of the step time by batch size and resident tokens.
 
-    Recursive least squares with forgetting; the upper quantile of what the
-    line does not explain, mostly prompts being read, is kept beside it.
+    The model is fitted by recursive least squares with a forgetting factor.
+    An upper quantile of its residuals, caused mostly by prefills, is tracked
+    separately and added to predictions.
     """
 
     def __init__(self) -> None:
@@ -26,11 +27,11 @@
 
     @property
     def is_learned(self) -> bool:
-        """Whether there were enough reports to go by."""
+        """Whether there were enough reports for a prediction."""
         return self._reports >= MIN_REPORTS
 
     def observe(self, running: int, used_tokens: int, step_ms: float) -> None:
-        """Learns from a step."""
+        """Learns from a reported step."""
         x = (1.0, float(running), used_tokens / 1000)
         p = self._covariance
         px = [sum(p[i][j] * x[j] for j in range(_SIZE)) for i in range(_SIZE)]
@@ -47,7 +48,7 @@
         self._reports += 1
 
     def predict(self, running: int, used_tokens: float) -> float:
-        """Returns the step time, in ms, that 49 in 50 steps keep to."""
+        """Returns the step time, in ms, that 49 of 50 steps don't exceed."""
         return self._line(running, used_tokens) + self._excess_ms
 
     def _line(self, running: int, used_tokens: float) -> float:
--- a/rhubarbwinch/admission/streamindex.py
+++ b/rhubarbwinch/admission/streamindex.py
@@ -1,4 +1,4 @@
-"""The granted requests of a pool, found by request and by entry."""
+"""Indexes the granted requests of a pool by request id and by entry."""
 
 from collections.abc import Iterator
 
@@ -8,9 +8,10 @@
 
 
 class StreamIndex:
-    """Streams by request id, and each entry's streams apart.
+    """The streams of a pool by request id, and by entry.
 
-    A report of one entry then costs no look at the streams of the others.
+    With the index by entry, handling a report of one entry doesn't touch the
+    streams of other entries.
     """
 
     def __init__(self) -> None:
@@ -18,7 +19,7 @@
         self._by_entry: dict[str, dict[str, Stream]] = {}
 
     def __iter__(self) -> Iterator[Stream]:
-        """Yields all streams; they may be removed meanwhile."""
+        """Yields all streams; they may be removed during the iteration."""
         return iter(list(self._streams.values()))
 
     def get(self, request_id: str) -> Stream | None:
@@ -46,13 +47,13 @@
             del self._by_entry[request.entry]
 
     def move(self, stream: Stream, request: PermitRequest) -> None:
-        """Gives a stream to the entry that its caller went to."""
+        """Reassigns a stream to the entry that its caller reconnected to."""
         self.remove(stream)
         stream.request = request
         self.add(stream)
 
     def grow(self, entry: str, grown: list[StreamGrowth], now: int) -> None:
-        """Takes the token counts that an entry tells, at the time `now`."""
+        """Applies the token counts that an entry reported at time `now`."""
         if not grown:
             return
         tokens = {growth.key: growth.tokens for growth in grown}
--- a/rhubarbwinch/admission/waits.py
+++ b/rhubarbwinch/admission/waits.py
@@ -1,4 +1,4 @@
-"""How long a request would wait, from what the running ones get done."""
+"""Estimates queue waits from the rate at which requests are served."""
 
 import math
 
@@ -10,7 +10,7 @@
 
 
 class StartRate:
-    """The tokens a millisecond that requests start with, old ones for less.
+    """The tokens per ms of the requests that start, exponentially decayed.
 
     Args:
         clock: The source of time.
@@ -24,21 +24,21 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether requests waited all the while that the rate covers."""
+        """Whether the queue was never empty in the window of the rate."""
         return self._clock.now() - self._idle_ms >= START_WINDOW_MS
 
     @property
     def per_ms(self) -> float:
-        """The rate."""
+        """The rate, in tokens per ms."""
         self._fade()
         return self._sum / START_WINDOW_MS
 
     def note_idle(self) -> None:
-        """Notes that nothing waits."""
+        """Records that the queue was empty."""
         self._idle_ms = self._clock.now()
 
     def note_start(self, tokens: float) -> None:
-        """Counts a request that starts."""
+        """Records the start of a request."""
         self._fade()
         self._sum += tokens
 
@@ -49,18 +49,19 @@
 
 
 class ServiceRate:
-    """The tokens a millisecond that the requests of a class are served.
+    """The rate, in tokens per ms, at which a class's requests are served.
 
-    In the long run as much starts as is served. While engines still fill up
-    less starts, so the slower of the two rates counts. Generations are served
-    a token each step; requests without steps over their usual time.
+    In the long run tokens start at the rate at which they are served. While
+    engines fill up they start more slowly, so the lower of the two rates is
+    used. A generation is served one token per step. Requests without steps
+    are assumed to be served over the mean run time.
 
     Args:
         clock: The source of time.
 
     Attributes:
-        step_ms: The engines' step time; 0 while it is not known.
-        starts: The rate of starts.
+        step_ms: The engines' step time; 0 if unknown.
+        starts: The rate at which requests start.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -71,13 +72,24 @@
         self._tokens_per_step = 0.0
 
     def note_start(self, tokens: float, steps: float) -> None:
-        """Counts a request of `tokens`, its prompt included, in `steps`."""
+        """Records the start of a request.
+
+        Args:
+            tokens: The expected tokens of the prompt and the output.
+            steps: The expected number of decode steps.
+        """
         self.starts.note_start(tokens)
         self._running_tokens += tokens
         self._tokens_per_step += tokens / max(1.0, steps)
 
     def note_end(self, tokens: float, steps: float, run_ms: float) -> None:
-        """Counts the end of a request that was noted so at its start."""
+        """Records the end of a request.
+
+        Args:
+            tokens: The value given at the start.
+            steps: The value given at the start.
+            run_ms: The time from start to end.
+        """
         self._running_tokens -= tokens
         self._tokens_per_step -= tokens / max(1.0, steps)
         if not self._mean_run_ms:
@@ -85,7 +97,7 @@
         self._mean_run_ms += (run_ms - self._mean_run_ms) / RUN_MEMORY
 
     def wait_ms(self, ahead: float) -> float:
-        """Returns the expected wait behind `ahead` tokens; 0 if unknown."""
+        """Returns the expected wait behind `ahead` tokens, 0 if unknown."""
         if self.step_ms:
             rate = self._tokens_per_step / self.step_ms
         elif self._mean_run_ms:
--- a/rhubarbwinch/admission/yielding.py
+++ b/rhubarbwinch/admission/yielding.py
@@ -1,4 +1,4 @@
-"""Which stream yields when an engine's memory is about to run out."""
+"""Chooses the stream to lower in priority when KV cache is running out."""
 
 from rhubarbwinch.admission.enginestate import EngineState, Stream
 
@@ -6,10 +6,11 @@
 
 
 def choose_yielding(engine: EngineState) -> Stream | None:
-    """Returns the stream whose priority is lowered, or None.
+    """Returns the stream whose priority is to be lowered, or None.
 
-    One at a time yields, and only work that can wait: the stream that is
-    expected to go on for longest, since it would take most memory yet.
+    Only one stream per engine has a lowered priority, and only a background
+    stream: the one with the most predicted output left, since it would use
+    the most further KV cache.
     """
     capacity = engine.capacity_tokens
     if not capacity or engine.soon_tokens() <= capacity:
