--- a/rhubarbwinch/admission/admission.py
+++ b/rhubarbwinch/admission/admission.py
@@ -10,21 +10,24 @@
 from rhubarbwinch.admission.decisions import Decision, EntryChange, Options
 from rhubarbwinch.admission.digests import DigestChecker
 from rhubarbwinch.admission.enginestate import (
-    FORECAST_MS,
+    FORECAST_MAX_AGE_MS,
     CacheReport,
     EngineState,
     LoadReport,
     Stream,
 )
-from rhubarbwinch.admission.fairness import Queued, ShareMeter
-from rhubarbwinch.admission.gate import RETRY_AFTER_MS, Gate
+from rhubarbwinch.admission.fairness import QueuedRequest, ShareMeter
+from rhubarbwinch.admission.gate import RETRY_AFTER_MS, EarlyRejection
 from rhubarbwinch.admission.lengths import LearnedLengths, LengthEstimator
 from rhubarbwinch.admission.limits import Limits
-from rhubarbwinch.admission.placement import MEMORY_DEVIATIONS, POLICIES
-from rhubarbwinch.admission.queueing import Lane
+from rhubarbwinch.admission.placement import KV_CACHE_DEVIATIONS, POLICIES
+from rhubarbwinch.admission.queueing import RequestQueue
 from rhubarbwinch.admission.steptime import StepTime
 from rhubarbwinch.admission.streamindex import StreamIndex
-from rhubarbwinch.admission.yielding import YIELDING_PRIORITY, choose_yielding
+from rhubarbwinch.admission.yielding import (
+    LOWERED_PRIORITY,
+    choose_stream_to_lower,
+)
 from rhubarbwinch.links.messages import (
     DigestReport,
     PermitGrant,
@@ -39,19 +42,19 @@
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.verdict import Failure, Reason, not_run
 
-REFRESH_MS = 500
+FORECAST_REFRESH_MS = 500
 # At most this many engines have their forecasts refreshed in one call, which
 # keeps each call short.
-REFRESHES = 2
+MAX_REFRESHES = 2
 # An entry may send a report before it receives a recent grant. A stream that
 # is missing from a report is dropped only if it is at least this old.
-SETTLE_MS = 2000
+REPORT_GRACE_MS = 2000
 # Three times the longest report period. The streams of an entry that sends no
 # report for this long are dropped.
-ENTRY_SILENCE_MS = 60_000
-RELEASED_KEPT = 4096
+ENTRY_TIMEOUT_MS = 60_000
+MAX_RELEASED_IDS = 4096
 INTERACTIVE_PRIORITY = 0
-PATIENT_PRIORITY = 1
+BACKGROUND_PRIORITY = 1
 
 __all__ = [
     "Admission",
@@ -94,24 +97,24 @@
             self._step_time, rng
         )
         self._engines = {e.name: EngineState(e) for e in spec.endpoints}
-        self._turns = deque(self._engines.values())
+        self._refresh_order = deque(self._engines.values())
         self._streams = StreamIndex()
         self._digests = DigestChecker()
-        self._released: OrderedDict[str, None] = OrderedDict()
-        self._entries_seen: dict[str, int] = {}
-        self._interactive = Lane(clock, self._limits.weight)
-        self._patient = Lane(clock, self._limits.weight)
+        self._released_ids: OrderedDict[str, None] = OrderedDict()
+        self._last_report_ms: dict[str, int] = {}
+        self._interactive = RequestQueue(clock, self._limits.weight)
+        self._background = RequestQueue(clock, self._limits.weight)
         self._shares = ShareMeter(clock, self._limits.weight)
-        self._gate = Gate(
+        self._early_rejection = EarlyRejection(
             self._options,
             self._limits,
             self._shares,
             self._interactive,
-            self._patient,
+            self._background,
         )
         self._leaving: set[str] = set()
-        self._changes: list[EntryChange] = []
-        self._refreshed_ms = clock.now()
+        self._priority_changes: list[EntryChange] = []
+        self._housekeeping_ms = clock.now()
 
     @property
     def streams(self) -> StreamIndex:
@@ -121,7 +124,7 @@
     @property
     def queued(self) -> int:
         """The number of queued requests."""
-        return len(self._interactive) + len(self._patient)
+        return len(self._interactive) + len(self._background)
 
     def configure(
         self, spec: PoolSpec, accounts: dict[str, AccountSpec] | None = None
@@ -136,76 +139,76 @@
             engine = old.get(endpoint.name) or EngineState(endpoint)
             engine.spec = endpoint
             self._engines[endpoint.name] = engine
-        self._turns = deque(self._engines.values())
-        self._unblock()
+        self._refresh_order = deque(self._engines.values())
+        self._unblock_queues()
 
     def set_leaving(self, endpoints: set[str]) -> None:
         """Sets the leaving endpoints, which get no new requests."""
         self._leaving = endpoints
-        self._unblock()
+        self._unblock_queues()
 
     def submit(self, request: PermitRequest) -> list[Decision]:
         """Queues or refuses a request; returns the decisions made now."""
         expected = self._expected_tokens(request)
-        failure = self._gate.refusal(request, expected)
+        failure = self._early_rejection.check(request, expected)
         if failure is not None:
             return [_refuse(request, failure)]
-        lane = self._lane(request)
-        lane.push(self._options.share_key(request), request, expected)
+        queue = self._queue_for(request)
+        queue.push(self._options.share_key(request), request, expected)
         return self.decide()
 
     def release(self, release: PermitRelease) -> list[Decision]:
         """Releases a permit; returns the decisions made now."""
-        self._note_released(release.request_id)
+        self._record_released(release.request_id)
         stream = self._streams.get(release.request_id)
         if stream is None:
             return []
         if release.end is not StreamEnd.UNUSED:
             is_complete = release.end is StreamEnd.FINISHED
             self._lengths.observe(stream.request, release.tokens, is_complete)
-        self._forget(stream, release.tokens)
+        self._remove(stream, release.tokens)
         if release.end is StreamEnd.ENDPOINT_LOST:
             engine = self._engines.get(stream.endpoint)
             if engine is not None:
-                engine.suspect(self._clock.now())
+                engine.mark_suspect(self._clock.now())
         return self.decide()
 
     def report_progress(self, report: ProgressReport) -> None:
         """Replaces the known streams of an entry with the reported ones."""
         now = self._clock.now()
-        self._entries_seen[report.entry] = now
+        self._last_report_ms[report.entry] = now
         open_ids = {stream.request.request_id for stream in report.streams}
         for item in report.streams:
             request_id = item.request.request_id
             known = self._streams.get(request_id)
             if known is not None:
                 if known.request.entry != report.entry:
-                    self._streams.move(known, item.request)
+                    self._streams.reassign(known, item.request)
                 # A report without tokens leaves the estimate unchanged.
                 if item.tokens:
                     known.tokens, known.at_ms = item.tokens, now
-            elif request_id not in self._released:
-                self._start(item.request, item.endpoint, item.tokens)
+            elif request_id not in self._released_ids:
+                self._add_reported(item.request, item.endpoint, item.tokens)
         for stream in self._streams.of_entry(report.entry):
-            is_settled = now - stream.granted_ms >= SETTLE_MS
-            if stream.request.request_id not in open_ids and is_settled:
-                self._forget(stream, stream.tokens)
+            is_past_grace = now - stream.granted_ms >= REPORT_GRACE_MS
+            if stream.request.request_id not in open_ids and is_past_grace:
+                self._remove(stream, stream.tokens)
 
     def check_digest(self, report: DigestReport) -> bool:
         """Compares an entry's digest; returns whether a full report is due."""
         now = self._clock.now()
-        self._entries_seen[report.entry] = now
-        self._streams.grow(report.entry, report.grown, now)
+        self._last_report_ms[report.entry] = now
+        self._streams.apply_growth(report.entry, report.grown, now)
         known = self._streams.of_entry(report.entry)
         ids = [stream.request.request_id for stream in known]
-        return self._digests.wants_all(report, ids)
+        return self._digests.needs_full_report(report, ids)
 
     def report_load(self, report: LoadReport) -> None:
         """Applies an engine's load report."""
         engine = self._engines.get(report.endpoint)
         if engine is None:
             return
-        engine.take_load(report, self._clock.now())
+        engine.apply_load_report(report, self._clock.now())
         if report.running:
             self._step_time.observe(
                 report.running, report.used_tokens, report.step_ms
@@ -215,11 +218,11 @@
         """Applies an engine's cache events."""
         engine = self._engines.get(report.endpoint)
         if engine is not None:
-            engine.take_cache(report)
+            engine.apply_cache_report(report)
 
     def take_priority_changes(self) -> list[EntryChange]:
         """Returns and clears the priority changes to send to entries."""
-        changes, self._changes = self._changes, []
+        changes, self._priority_changes = self._priority_changes, []
         return changes
 
     def decide(self) -> list[Decision]:
@@ -231,81 +234,85 @@
         now = self._clock.now()
         self._refresh(now)
         decisions: list[Decision] = []
-        lanes = [self._interactive, self._patient]
-        if self._patient.is_overdue():
+        queues = [self._interactive, self._background]
+        if self._background.is_overdue():
             # Serving background requests first keeps interactive requests
             # from starving them.
-            lanes.reverse()
-        for lane in lanes:
-            self._serve(lane, decisions)
-            self._expire(lane, decisions)
+            queues.reverse()
+        for queue in queues:
+            self._grant_queued(queue, decisions)
+            self._refuse_expired(queue, decisions)
         return decisions
 
-    def _lane(self, request: PermitRequest) -> Lane:
-        return self._interactive if request.interactive else self._patient
+    def _queue_for(self, request: PermitRequest) -> RequestQueue:
+        return self._interactive if request.interactive else self._background
 
     def _expected_tokens(self, request: PermitRequest) -> int:
         outlook = self._lengths.outlook(request, 0)
         return request.prompt_tokens + int(outlook.mean_tokens)
 
-    def _serve(self, lane: Lane, decisions: list[Decision]) -> None:
+    def _grant_queued(
+        self, queue: RequestQueue, decisions: list[Decision]
+    ) -> None:
         """Grants requests of a queue until the first one fits nowhere."""
-        if lane.is_blocked:
+        if queue.is_blocked:
             return
-        for item in lane.heads():
-            limits = self._limits.of(item.request.account)
+        for item in queue.heads():
+            limits = self._limits.for_account(item.request.account)
             if limits.is_full:
                 continue
-            stream = self._forecast(item)
+            stream = self._candidate_stream(item)
             expected = stream.expected_tokens
-            if not limits.has_room(expected):
+            if not limits.can_start(expected):
                 continue
-            engine = self._place(stream)
+            engine = self._choose_engine(stream)
             if engine is not None:
-                lane.start(self._options.share_key(item.request), item)
+                queue.start(self._options.share_key(item.request), item)
                 decisions.append(self._grant(stream, engine))
             elif not item.request.avoid:
                 # Later requests must not overtake this one, or large requests
                 # would starve.
-                lane.is_blocked = True
+                queue.is_blocked = True
                 break
 
-    def _forecast(self, item: Queued) -> Stream:
+    def _candidate_stream(self, item: QueuedRequest) -> Stream:
         """Returns the stream a request would become; renews old forecasts."""
         now = self._clock.now()
         stream = item.stream
-        if stream is None or now - stream.forecast_ms >= FORECAST_MS:
+        if stream is None or now - stream.forecast_ms >= FORECAST_MAX_AGE_MS:
             expected = self._expected_tokens(item.request)
             stream = Stream(item.request, "", now, expected, forecast_ms=now)
-            stream.forecast(0, self._lengths)
+            stream.update_forecast(0, self._lengths)
             item.stream = stream
         return stream
 
-    def _expire(self, lane: Lane, decisions: list[Decision]) -> None:
-        for item in lane.take_expired():
+    def _refuse_expired(
+        self, queue: RequestQueue, decisions: list[Decision]
+    ) -> None:
+        for item in queue.pop_expired():
             failure = not_run(
                 Reason.DEADLINE, "no place became free", RETRY_AFTER_MS
             )
-            lane.remove(self._options.share_key(item.request), item)
+            queue.remove(self._options.share_key(item.request), item)
             decisions.append(_refuse(item.request, failure))
 
-    def _place(self, stream: Stream) -> EngineState | None:
+    def _choose_engine(self, stream: Stream) -> EngineState | None:
         now, limit = self._clock.now(), self._spec.max_running
-        fit = [
+        usable = [
             engine
             for name, engine in self._engines.items()
             if len(engine.streams) < limit
             and name not in stream.request.avoid
             and name not in self._leaving
-            and not engine.is_silent(now)
+            and not engine.is_suspected_down(now)
         ]
-        return self._policy.choose(stream, fit)
+        return self._policy.choose(stream, usable)
 
     def _grant(self, stream: Stream, engine: EngineState) -> Decision:
         request = stream.request
-        is_urgent = request.interactive
+        is_interactive = request.interactive
         stream.priority = (
-            INTERACTIVE_PRIORITY if is_urgent else PATIENT_PRIORITY
+            INTERACTIVE_PRIORITY if is_interactive else BACKGROUND_PRIORITY
         )
         self._add(stream, engine)
         grant = PermitGrant(
@@ -316,7 +323,7 @@
         )
         return Decision(request.request_id, PermitReply(grant=grant))
 
-    def _start(
+    def _add_reported(
         self, request: PermitRequest, endpoint: str, tokens: int
     ) -> None:
         """Adds a stream that another owner of the pool granted."""
@@ -324,35 +331,35 @@
         stream = Stream(
             request, endpoint, now, self._expected_tokens(request), tokens
         )
-        stream.forecast(tokens, self._lengths)
+        stream.update_forecast(tokens, self._lengths)
         self._add(stream, self._engines.get(endpoint))
 
     def _add(self, stream: Stream, engine: EngineState | None) -> None:
         request = stream.request
         stream.at_ms = stream.granted_ms = self._clock.now()
         self._streams.add(stream)
-        self._entries_seen.setdefault(request.entry, stream.at_ms)
-        self._limits.of(request.account).add(stream.expected_tokens)
+        self._last_report_ms.setdefault(request.entry, stream.at_ms)
+        self._limits.for_account(request.account).add(stream.expected_tokens)
         self._shares.add(request.account, stream.expected_tokens)
-        self._lane(request).service.note_start(
+        self._queue_for(request).service_rate.record_start(
             stream.expected_tokens, stream.expected_steps
         )
         if engine is not None:
             stream.endpoint = engine.spec.name
             engine.add(stream)
-            engine.rank(self._step_time, MEMORY_DEVIATIONS)
-            engine.expect_cached(request.prefix)
+            engine.update_cost(self._step_time, KV_CACHE_DEVIATIONS)
+            engine.add_cached_blocks(request.prefix)
 
-    def _forget(self, stream: Stream, tokens: int) -> None:
+    def _remove(self, stream: Stream, tokens: int) -> None:
         request = stream.request
         self._streams.remove(stream)
-        self._limits.of(request.account).remove(stream.expected_tokens)
-        lane = self._lane(request)
+        self._limits.for_account(request.account).remove(stream.expected_tokens)
+        queue = self._queue_for(request)
         served = request.prompt_tokens + tokens
-        lane.correct(
+        queue.adjust_charge(
             self._options.share_key(request), served - stream.expected_tokens
         )
-        lane.service.note_end(
+        queue.service_rate.record_end(
             stream.expected_tokens,
             stream.expected_steps,
             self._clock.now() - stream.granted_ms,
@@ -360,75 +367,75 @@
         engine = self._engines.get(stream.endpoint)
         if engine is not None:
             engine.remove(stream)
-            engine.rank(self._step_time, MEMORY_DEVIATIONS)
-        self._unblock()
+            engine.update_cost(self._step_time, KV_CACHE_DEVIATIONS)
+        self._unblock_queues()
 
-    def _note_released(self, request_id: str) -> None:
-        self._released[request_id] = None
-        if len(self._released) > RELEASED_KEPT:
-            self._released.popitem(last=False)
+    def _record_released(self, request_id: str) -> None:
+        self._released_ids[request_id] = None
+        if len(self._released_ids) > MAX_RELEASED_IDS:
+            self._released_ids.popitem(last=False)
 
-    def _unblock(self) -> None:
+    def _unblock_queues(self) -> None:
         self._interactive.is_blocked = False
-        self._patient.is_blocked = False
+        self._background.is_blocked = False
 
     def _refresh(self, now: int) -> None:
         """Refreshes the forecasts of some engines, the oldest first."""
-        due = 0
-        while due < REFRESHES and self._turns:
-            engine = self._turns[0]
-            if now - engine.refreshed_ms < REFRESH_MS:
+        refreshed = 0
+        while refreshed < MAX_REFRESHES and self._refresh_order:
+            engine = self._refresh_order[0]
+            if now - engine.refreshed_ms < FORECAST_REFRESH_MS:
                 break
-            due += 1
-            self._turns.rotate(-1)
+            refreshed += 1
+            self._refresh_order.rotate(-1)
             engine.refresh(now, self._lengths)
-            engine.rank(self._step_time, MEMORY_DEVIATIONS)
+            engine.update_cost(self._step_time, KV_CACHE_DEVIATIONS)
             if self._options.lowers_priority:
-                self._make_yield(engine)
-        if due:
-            self._unblock()
-        if now - self._refreshed_ms >= REFRESH_MS:
-            self._refreshed_ms = now
-            self._drop_silent(now)
-            self._learn_step(now)
-
-    def _learn_step(self, now: int) -> None:
+                self._lower_priority(engine)
+        if refreshed:
+            self._unblock_queues()
+        if now - self._housekeeping_ms >= FORECAST_REFRESH_MS:
+            self._housekeeping_ms = now
+            self._remove_silent_entries(now)
+            self._update_step_time(now)
+
+    def _update_step_time(self, now: int) -> None:
         """Updates the mean step time used to estimate queue waits."""
         steps = [
             e.step_ms
             for e in self._engines.values()
-            if e.load and not e.is_silent(now)
+            if e.load and not e.is_suspected_down(now)
         ]
         if steps:
             mean = sum(steps) / len(steps)
-            self._interactive.service.step_ms = mean
-            self._patient.service.step_ms = mean
+            self._interactive.service_rate.step_ms = mean
+            self._background.service_rate.step_ms = mean
 
-    def _drop_silent(self, now: int) -> None:
+    def _remove_silent_entries(self, now: int) -> None:
         """Drops the streams of entries that stopped reporting."""
         silent = {
             entry
-            for entry, seen in self._entries_seen.items()
-            if now - seen > ENTRY_SILENCE_MS
+            for entry, reported_ms in self._last_report_ms.items()
+            if now - reported_ms > ENTRY_TIMEOUT_MS
         }
         if not silent:
             return
         for entry in silent:
             for stream in self._streams.of_entry(entry):
-                self._forget(stream, stream.tokens)
-            self._digests.forget(entry)
-            del self._entries_seen[entry]
+                self._remove(stream, stream.tokens)
+            self._digests.remove_entry(entry)
+            del self._last_report_ms[entry]
 
-    def _make_yield(self, engine: EngineState) -> None:
+    def _lower_priority(self, engine: EngineState) -> None:
         """Lowers one stream's priority if KV cache is about to run out."""
-        stream = choose_yielding(engine)
+        stream = choose_stream_to_lower(engine)
         if stream is None:
             return
-        stream.priority = YIELDING_PRIORITY
+        stream.priority = LOWERED_PRIORITY
         change = PriorityChange(
             stream.request.request_id, stream.endpoint, stream.priority
         )
-        self._changes.append(EntryChange(stream.request.entry, change))
+        self._priority_changes.append(EntryChange(stream.request.entry, change))
 
 
 def _refuse(request: PermitRequest, failure: Failure) -> Decision:
--- a/rhubarbwinch/admission/digests.py
+++ b/rhubarbwinch/admission/digests.py
@@ -37,7 +37,7 @@
     return reduce(xor, map(request_key, request_ids), 0)
 
 
-class StreamReporter:
+class StreamReportBuilder:
     """Builds the stream reports of an entry.
 
     Args:
@@ -46,37 +46,39 @@
 
     def __init__(self, entry: str) -> None:
         self._entry = entry
-        self._told: dict[str, dict[str, int]] = {}
+        self._reported_tokens: dict[str, dict[str, int]] = {}
 
     def digest(self, pool: str, streams: list[StreamProgress]) -> DigestReport:
         """Returns the periodic report: a digest and grown token counts."""
-        told = self._told.get(pool, {})
-        now_told: dict[str, int] = {}
+        reported = self._reported_tokens.get(pool, {})
+        now_reported: dict[str, int] = {}
         grown = []
         for stream in streams:
             request_id = stream.request.request_id
-            before = told.get(request_id, 0)
-            if stream.tokens - before >= GROWTH_TOKENS:
-                before = stream.tokens
+            last_reported = reported.get(request_id, 0)
+            if stream.tokens - last_reported >= GROWTH_TOKENS:
+                last_reported = stream.tokens
                 key = request_key(request_id)
                 grown.append(StreamGrowth(key, stream.tokens))
-            now_told[request_id] = before
-        self._told[pool] = now_told
+            now_reported[request_id] = last_reported
+        self._reported_tokens[pool] = now_reported
         if not streams:
-            del self._told[pool]
+            del self._reported_tokens[pool]
         return DigestReport(
             entry=self._entry,
             pool=pool,
             count=len(streams),
-            digest=digest_of(now_told),
+            digest=digest_of(now_reported),
             grown=grown,
         )
 
-    def announcement(
+    def build_full_report(
         self, pool: str, streams: list[StreamProgress]
     ) -> ProgressReport:
         """Returns a full report, for an owner whose view differs."""
-        self._told[pool] = {s.request.request_id: s.tokens for s in streams}
+        self._reported_tokens[pool] = {
+            s.request.request_id: s.tokens for s in streams
+        }
         return ProgressReport(self._entry, pool, streams)
 
 
@@ -94,7 +96,7 @@
     def __init__(self) -> None:
         self._mismatches: dict[_Source, int] = {}
 
-    def wants_all(self, report: DigestReport, known: list[str]) -> bool:
+    def needs_full_report(self, report: DigestReport, known: list[str]) -> bool:
         """Returns whether the entry must send a full report.
 
         Args:
@@ -102,15 +104,17 @@
             known: The ids of the entry's requests in the owner's view.
         """
         source = _Source(report.entry, report.pool)
-        same = report.count == len(known) and report.digest == digest_of(known)
-        if same:
+        is_same = report.count == len(known) and report.digest == digest_of(
+            known
+        )
+        if is_same:
             self._mismatches.pop(source, None)
             return False
         seen = self._mismatches.get(source, 0) + 1
         self._mismatches[source] = seen
         return seen > MISMATCHES_ALLOWED
 
-    def forget(self, entry: str) -> None:
+    def remove_entry(self, entry: str) -> None:
         """Removes the mismatch counts of an entry."""
         for source in [s for s in self._mismatches if s.entry == entry]:
             del self._mismatches[source]
--- a/rhubarbwinch/admission/fairness.py
+++ b/rhubarbwinch/admission/fairness.py
@@ -14,45 +14,45 @@
 SHARE_HALF_LIFE_MS = 30_000
 # An account is over its share at this multiple of it. Demand varies between
 # accounts, so smaller excesses are normal.
-OVER_SHARE = 1.5
+OVER_SHARE_FACTOR = 1.5
 
 
 @attrs.define(eq=False)
-class Queued:
+class QueuedRequest:
     """A queued request.
 
     Attributes:
         request: The request.
         tokens: Its expected prompt and output tokens.
-        since_ms: When it was queued.
-        until_ms: Its deadline in the queue.
-        is_gone: Whether it was granted or refused.
+        queued_ms: When it was queued.
+        deadline_ms: Its deadline in the queue.
+        is_removed: Whether it was granted or refused.
         stream: The stream that it would become, once a forecast is computed.
     """
 
     request: PermitRequest
     tokens: int
-    since_ms: int
-    until_ms: int
-    is_gone: bool = False
+    queued_ms: int
+    deadline_ms: int
+    is_removed: bool = False
     stream: Stream | None = None
 
 
 @attrs.define(eq=False)
-class _Line:
+class _AccountQueue:
     """The queued requests of one account."""
 
     account: str
     weight: float
-    virtual: float
-    live: int = 0
+    virtual_time: float
+    queued: int = 0
     tokens: float = 0.0
-    is_listed: bool = False
-    items: deque[Queued] = attrs.field(factory=deque)
+    is_in_heap: bool = False
+    items: deque[QueuedRequest] = attrs.field(factory=deque)
 
-    def head(self) -> Queued | None:
+    def head(self) -> QueuedRequest | None:
         """Returns the first request that is still queued, or None."""
-        while self.items and self.items[0].is_gone:
+        while self.items and self.items[0].is_removed:
             self.items.popleft()
         return self.items[0] if self.items else None
 
@@ -70,10 +70,10 @@
 
     def __init__(self, weight_of: Callable[[str], float]) -> None:
         self._weight_of = weight_of
-        self._lines: dict[str, _Line] = {}
-        self._heap: list[tuple[float, int, _Line]] = []
-        self._order = itertools.count()
-        self._virtual = 0.0
+        self._queues: dict[str, _AccountQueue] = {}
+        self._heap: list[tuple[float, int, _AccountQueue]] = []
+        self._sequence = itertools.count()
+        self._virtual_time = 0.0
         self._length = 0
         self._tokens = 0
         self._active_weight = 0.0
@@ -81,102 +81,105 @@
     def __len__(self) -> int:
         return self._length
 
-    def push(self, account: str, item: Queued) -> None:
+    def push(self, account: str, item: QueuedRequest) -> None:
         """Adds a request at the end of its account's queue."""
-        line = self._line(account)
-        if line.live == 0:
-            line.virtual = max(line.virtual, self._virtual)
-            self._active_weight += line.weight
-            self._enter(line)
-        line.items.append(item)
-        line.live += 1
-        line.tokens += item.tokens
+        queue = self._get_queue(account)
+        if queue.queued == 0:
+            queue.virtual_time = max(queue.virtual_time, self._virtual_time)
+            self._active_weight += queue.weight
+            self._push_to_heap(queue)
+        queue.items.append(item)
+        queue.queued += 1
+        queue.tokens += item.tokens
         self._tokens += item.tokens
         self._length += 1
 
-    def remove(self, account: str, item: Queued) -> None:
+    def remove(self, account: str, item: QueuedRequest) -> None:
         """Removes a request that was granted or refused."""
-        item.is_gone = True
-        line = self._lines[account]
-        line.live -= 1
-        line.tokens -= item.tokens
+        item.is_removed = True
+        queue = self._queues[account]
+        queue.queued -= 1
+        queue.tokens -= item.tokens
         self._tokens -= item.tokens
         self._length -= 1
-        if line.live == 0:
-            self._active_weight -= line.weight
-            line.items.clear()
+        if queue.queued == 0:
+            self._active_weight -= queue.weight
+            queue.items.clear()
 
-    def start(self, account: str, item: Queued) -> None:
+    def start(self, account: str, item: QueuedRequest) -> None:
         """Removes a request that starts and charges its account."""
-        line = self._lines[account]
-        self._virtual = max(self._virtual, line.virtual)
+        queue = self._queues[account]
+        self._virtual_time = max(self._virtual_time, queue.virtual_time)
         self.charge(account, item.tokens)
         self.remove(account, item)
 
     def charge(self, account: str, tokens: float) -> None:
         """Charges served tokens to an account; negative for a refund."""
-        line = self._line(account)
-        line.virtual += tokens / line.weight
+        queue = self._get_queue(account)
+        queue.virtual_time += tokens / queue.weight
 
-    def ahead(self, account: str) -> float:
+    def tokens_ahead(self, account: str) -> float:
         """Returns about how many tokens are served before a new request.
 
         The new request is served when the queue's virtual time reaches the
         account's virtual time plus the account's other queued requests. Until
         then each active account is served tokens in proportion to its weight.
         """
-        line = self._lines.get(account)
-        weight = line.weight if line else self._weight_of(account)
+        queue = self._queues.get(account)
+        weight = queue.weight if queue else self._weight_of(account)
         lead, active = 0.0, self._active_weight
-        if line is None or line.live == 0:
+        if queue is None or queue.queued == 0:
             active += weight
-        if line is not None:
-            lead = max(0.0, line.virtual - self._virtual) + line.tokens / weight
+        if queue is not None:
+            lead = (
+                max(0.0, queue.virtual_time - self._virtual_time)
+                + queue.tokens / weight
+            )
         return min(self._tokens, lead * active)
 
-    def heads(self, limit: int) -> Iterator[Queued]:
+    def heads(self, limit: int) -> Iterator[QueuedRequest]:
         """Yields the first request of up to `limit` accounts, in order.
 
         If the caller removes a request, the account's next request takes its
         place and the account doesn't count towards the limit.
         """
-        passed: list[_Line] = []
+        yielded: list[_AccountQueue] = []
         try:
-            while self._heap and len(passed) < limit:
-                virtual, _, line = heapq.heappop(self._heap)
-                line.is_listed = False
-                item = line.head()
+            while self._heap and len(yielded) < limit:
+                virtual_time, _, queue = heapq.heappop(self._heap)
+                queue.is_in_heap = False
+                item = queue.head()
                 if item is None:
-                    self._drop(line)
-                elif line.virtual > virtual:
-                    self._enter(line)
+                    self._remove_if_idle(queue)
+                elif queue.virtual_time > virtual_time:
+                    self._push_to_heap(queue)
                 else:
-                    passed.append(line)
+                    yielded.append(queue)
                     yield item
-                    if item.is_gone:
-                        self._enter(passed.pop())
+                    if item.is_removed:
+                        self._push_to_heap(yielded.pop())
         finally:
-            for line in passed:
-                self._enter(line)
+            for queue in yielded:
+                self._push_to_heap(queue)
 
-    def _drop(self, line: _Line) -> None:
+    def _remove_if_idle(self, queue: _AccountQueue) -> None:
         """Removes an idle account that isn't ahead in virtual time."""
-        if line.virtual <= self._virtual:
-            del self._lines[line.account]
-
-    def _enter(self, line: _Line) -> None:
-        if not line.is_listed:
-            line.is_listed = True
-            entry = (line.virtual, next(self._order), line)
-            heapq.heappush(self._heap, entry)
-
-    def _line(self, account: str) -> _Line:
-        line = self._lines.get(account)
-        if line is None:
+        if queue.virtual_time <= self._virtual_time:
+            del self._queues[queue.account]
+
+    def _push_to_heap(self, queue: _AccountQueue) -> None:
+        if not queue.is_in_heap:
+            queue.is_in_heap = True
+            heap_item = (queue.virtual_time, next(self._sequence), queue)
+            heapq.heappush(self._heap, heap_item)
+
+    def _get_queue(self, account: str) -> _AccountQueue:
+        queue = self._queues.get(account)
+        if queue is None:
             weight = self._weight_of(account)
-            line = _Line(account, weight, self._virtual)
-            self._lines[account] = line
-        return line
+            queue = _AccountQueue(account, weight, self._virtual_time)
+            self._queues[account] = queue
+        return queue
 
 
 class ShareMeter:
@@ -190,32 +193,32 @@
     def __init__(self, clock: Clock, weight_of: Callable[[str], float]) -> None:
         self._clock = clock
         self._weight_of = weight_of
-        self._faded_ms = clock.now()
+        self._decayed_ms = clock.now()
         self._tokens: dict[str, float] = {}
         self._total = 0.0
         self._weight = 0.0
 
     def add(self, account: str, tokens: float) -> None:
         """Counts tokens granted to an account."""
-        self._fade()
+        self._decay()
         if account not in self._tokens:
             self._tokens[account] = 0.0
             self._weight += self._weight_of(account)
         self._tokens[account] += tokens
         self._total += tokens
 
-    def is_over(self, account: str) -> bool:
+    def is_over_share(self, account: str) -> bool:
         """Returns whether an account has far more than its share."""
-        held = self._tokens.get(account, 0.0)
+        granted = self._tokens.get(account, 0.0)
         share = self._weight_of(account) / max(self._weight, 1e-9)
-        return held > OVER_SHARE * share * self._total
+        return granted > OVER_SHARE_FACTOR * share * self._total
 
-    def _fade(self) -> None:
+    def _decay(self) -> None:
         """Halves all counts once per half-life; removes idle accounts."""
         now = self._clock.now()
-        if now - self._faded_ms < SHARE_HALF_LIFE_MS:
+        if now - self._decayed_ms < SHARE_HALF_LIFE_MS:
             return
-        self._faded_ms = now
+        self._decayed_ms = now
         halved = {a: t / 2 for a, t in self._tokens.items() if t >= 2}
         self._tokens = halved
         self._total = sum(halved.values())
--- a/rhubarbwinch/admission/gate.py
+++ b/rhubarbwinch/admission/gate.py
@@ -3,7 +3,7 @@
 from rhubarbwinch.admission.decisions import Options
 from rhubarbwinch.admission.fairness import ShareMeter
 from rhubarbwinch.admission.limits import AccountLimits, Limits
-from rhubarbwinch.admission.queueing import Lane
+from rhubarbwinch.admission.queueing import RequestQueue
 from rhubarbwinch.links.messages import PermitRequest
 from rhubarbwinch.shared.verdict import Failure, Reason, not_run
 
@@ -11,10 +11,10 @@
 RETRY_AFTER_MS = 1000
 # A request is refused if its expected wait exceeds this share of its longest
 # wait, because the estimate is uncertain.
-WAIT_MARGIN = 0.75
+WAIT_SAFETY_FACTOR = 0.75
 
 
-class Gate:
+class EarlyRejection:
     """Decides which new requests are refused instead of queued.
 
     Args:
@@ -22,7 +22,7 @@
         limits: The accounts' limits.
         shares: Measures the accounts' recent shares of the pool.
         interactive: The queue of requests that a person waits for.
-        patient: The queue of background requests.
+        background: The queue of background requests.
     """
 
     def __init__(
@@ -30,50 +30,54 @@
         options: Options,
         limits: Limits,
         shares: ShareMeter,
-        interactive: Lane,
-        patient: Lane,
+        interactive: RequestQueue,
+        background: RequestQueue,
     ) -> None:
         self._options = options
         self._limits = limits
         self._shares = shares
         self._interactive = interactive
-        self._patient = patient
+        self._background = background
 
-    def refusal(self, request: PermitRequest, expected: int) -> Failure | None:
+    def check(self, request: PermitRequest, expected: int) -> Failure | None:
         """Returns why a request is refused, or None to queue it."""
-        queued = len(self._interactive) + len(self._patient)
-        limits = self._limits.of(request.account)
-        limited = self._rate_refusal(request, limits)
-        if limited is not None:
-            return limited
-        if not limits.can_ever_fit(expected):
+        queued = len(self._interactive) + len(self._background)
+        limits = self._limits.for_account(request.account)
+        failure = self._check_rates(request, limits)
+        if failure is not None:
+            return failure
+        if not limits.can_ever_start(expected):
             detail = "the request is larger than the account's room"
             return not_run(Reason.RATE_LIMITED, detail)
         if queued >= MAX_QUEUED:
             detail = "too many requests wait"
             return not_run(Reason.QUEUE_FULL, detail, RETRY_AFTER_MS)
-        if self._options.is_fair and self._crowds_out(request):
+        if self._options.is_fair and self._displaces_background(request):
             detail = "over the account's share while others wait"
             return not_run(Reason.RATE_LIMITED, detail, RETRY_AFTER_MS)
-        return self._late_refusal(request)
+        return self._check_deadline(request)
 
-    def _rate_refusal(
+    def _check_rates(
         self, request: PermitRequest, limits: AccountLimits
     ) -> Failure | None:
         """Refuses a request over the account's retry budget or rate."""
         if self._options.limits_retries:
             if not request.avoid:
-                limits.retries.add_attempt()
-            elif not limits.retries.take():
+                limits.retry_budget.record_attempt()
+            elif not limits.retry_budget.try_acquire():
                 detail = "the account's retry budget is used up"
                 return not_run(Reason.RATE_LIMITED, detail, RETRY_AFTER_MS)
-        wait_ms = limits.rate.take() if limits.rate is not None else 0
+        wait_ms = (
+            limits.rate_limit.try_acquire()
+            if limits.rate_limit is not None
+            else 0
+        )
         if wait_ms:
             detail = "the account's rate of requests is used up"
             return not_run(Reason.RATE_LIMITED, detail, wait_ms)
         return None
 
-    def _crowds_out(self, request: PermitRequest) -> bool:
+    def _displaces_background(self, request: PermitRequest) -> bool:
         """Returns whether an interactive request displaces queued work.
 
         This is so if background requests are queued and the account is far
@@ -81,21 +85,21 @@
         """
         return (
             request.interactive
-            and len(self._patient) > 0
-            and self._shares.is_over(request.account)
+            and len(self._background) > 0
+            and self._shares.is_over_share(request.account)
         )
 
-    def _late_refusal(self, request: PermitRequest) -> Failure | None:
+    def _check_deadline(self, request: PermitRequest) -> Failure | None:
         """Refuses a request that is unlikely to start in time."""
         if not self._options.refuses_early:
             return None
-        is_urgent = request.interactive
-        lane = self._interactive if is_urgent else self._patient
-        wait_ms = lane.wait_ms(self._options.share_key(request))
-        if wait_ms <= WAIT_MARGIN * request.wait_ms:
+        is_interactive = request.interactive
+        queue = self._interactive if is_interactive else self._background
+        wait_ms = queue.wait_ms(self._options.share_key(request))
+        if wait_ms <= WAIT_SAFETY_FACTOR * request.wait_ms:
             return None
-        after = max(
-            RETRY_AFTER_MS, int(wait_ms - WAIT_MARGIN * request.wait_ms)
+        retry_after_ms = max(
+            RETRY_AFTER_MS, int(wait_ms - WAIT_SAFETY_FACTOR * request.wait_ms)
         )
         detail = f"no place within {request.wait_ms} ms"
-        return not_run(Reason.DEADLINE, detail, after)
+        return not_run(Reason.DEADLINE, detail, retry_after_ms)
--- a/rhubarbwinch/admission/lengths.py
+++ b/rhubarbwinch/admission/lengths.py
@@ -30,25 +30,26 @@
     are summed over its streams from these values.
 
     Attributes:
-        alive: The probability that the stream still runs at each of
+        survival: The probability that the stream still runs at each of
             `HORIZONS`.
         mean_tokens: The expected number of tokens still to be generated.
-        growth: Each probability multiplied by its horizon.
-        spread: The variance of whether the stream still runs, per horizon.
+        mean_growth: Each probability multiplied by its horizon.
+        survival_variance: The variance, at each horizon, of the indicator
+            that the stream still runs.
     """
 
-    alive: list[float]
+    survival: list[float]
     mean_tokens: float
-    growth: list[float] = attrs.field(init=False)
-    spread: list[float] = attrs.field(init=False)
+    mean_growth: list[float] = attrs.field(init=False)
+    survival_variance: list[float] = attrs.field(init=False)
 
-    @growth.default
-    def _growth(self) -> list[float]:
-        return [h * a for h, a in zip(HORIZONS, self.alive, strict=True)]
+    @mean_growth.default
+    def _mean_growth(self) -> list[float]:
+        return [h * a for h, a in zip(HORIZONS, self.survival, strict=True)]
 
-    @spread.default
-    def _spread(self) -> list[float]:
-        return [a * (1 - a) for a in self.alive]
+    @survival_variance.default
+    def _survival_variance(self) -> list[float]:
+        return [a * (1 - a) for a in self.survival]
 
 
 class LengthEstimator(Protocol):
@@ -65,18 +66,18 @@
         ...
 
 
-def _bin(tokens: int) -> int:
+def _bin_index(tokens: int) -> int:
     if tokens <= 0:
         return 0
-    place = int(math.log2(tokens) * BINS_PER_DOUBLING) + 1
-    return min(place, MAX_BINS - 1)
+    index = int(math.log2(tokens) * BINS_PER_DOUBLING) + 1
+    return min(index, MAX_BINS - 1)
 
 
-def _edge(place: int) -> float:
-    return 0.0 if place <= 0 else 2 ** ((place - 1) / BINS_PER_DOUBLING)
+def _bin_start(index: int) -> float:
+    return 0.0 if index <= 0 else 2 ** ((index - 1) / BINS_PER_DOUBLING)
 
 
-_LAST_HORIZON_BIN = _bin(HORIZONS[-1]) + 1
+_LAST_HORIZON_BIN = _bin_index(HORIZONS[-1]) + 1
 
 
 class SurvivalCurve:
@@ -91,8 +92,8 @@
         self._survival = [1.0] * (MAX_BINS + 1)
         self._weight = 1.0
         self._total = 0.0
-        self._unread = 0.0
-        self._outlooks: dict[tuple[int, int], Outlook] = {}
+        self._pending_weight = 0.0
+        self._forecasts: dict[tuple[int, int], Outlook] = {}
 
     @property
     def observations(self) -> float:
@@ -105,76 +106,80 @@
         # decaying the weights of all old ones.
         self._weight *= 2 ** (1 / HALF_LIFE_OBSERVATIONS)
         counts = self._ended if is_complete else self._censored
-        counts[_bin(tokens)] += self._weight
+        counts[_bin_index(tokens)] += self._weight
         self._total += self._weight
-        self._unread += self._weight
-        if self._unread > REBUILD_SHARE * self._total:
+        self._pending_weight += self._weight
+        if self._pending_weight > REBUILD_SHARE * self._total:
             self._rebuild()
 
-    def chance(self, tokens: float) -> float:
+    def survival_at(self, tokens: float) -> float:
         """Returns the probability that an output exceeds `tokens`."""
-        place = _bin(int(tokens))
-        low, high = _edge(place), _edge(place + 1)
-        part = min(1.0, max(0.0, (tokens - low) / (high - low)))
-        here = self._survival[place]
-        return here + part * (self._survival[place + 1] - here)
+        index = _bin_index(int(tokens))
+        low, high = _bin_start(index), _bin_start(index + 1)
+        fraction = min(1.0, max(0.0, (tokens - low) / (high - low)))
+        at_start = self._survival[index]
+        return at_start + fraction * (self._survival[index + 1] - at_start)
 
     def outlook(self, tokens: int, max_tokens: int) -> Outlook:
         """Returns the forecast after `tokens` of at most `max_tokens`."""
-        place = _bin(tokens)
-        left = _bin(max_tokens - tokens) + 1 if max_tokens else MAX_BINS
-        key = (place, min(left, _LAST_HORIZON_BIN))
-        known = self._outlooks.get(key)
-        if known is None:
-            known = self._outlook_after(_edge(place))
-            if left < _LAST_HORIZON_BIN:
-                known = _bounded(known, int(_edge(left)))
-            self._outlooks[key] = known
-        return known
-
-    def _outlook_after(self, tokens: float) -> Outlook:
-        now = self.chance(tokens)
+        index = _bin_index(tokens)
+        remaining = (
+            _bin_index(max_tokens - tokens) + 1 if max_tokens else MAX_BINS
+        )
+        key = (index, min(remaining, _LAST_HORIZON_BIN))
+        cached = self._forecasts.get(key)
+        if cached is None:
+            cached = self._forecast_after(_bin_start(index))
+            if remaining < _LAST_HORIZON_BIN:
+                cached = _truncated(cached, int(_bin_start(remaining)))
+            self._forecasts[key] = cached
+        return cached
+
+    def _forecast_after(self, tokens: float) -> Outlook:
+        now = self.survival_at(tokens)
         if now <= 0:
-            return _unknown(2 * int(tokens), int(tokens))
-        alive = [min(1.0, self.chance(tokens + h) / now) for h in HORIZONS]
-        return Outlook(alive, _mean(alive))
+            return _uniform(2 * int(tokens), int(tokens))
+        survival = [
+            min(1.0, self.survival_at(tokens + h) / now) for h in HORIZONS
+        ]
+        return Outlook(survival, _mean_remaining(survival))
 
     def _rebuild(self) -> None:
         """Recomputes the curve as the product of each bin's survival."""
-        self._unread = 0.0
-        self._outlooks.clear()
+        self._pending_weight = 0.0
+        self._forecasts.clear()
         at_risk = self._total
-        chance = 1.0
-        for place in range(MAX_BINS):
-            self._survival[place] = chance
+        survival = 1.0
+        for index in range(MAX_BINS):
+            self._survival[index] = survival
             # Censored observations count as surviving the bin they are in.
             if at_risk > self._total * 1e-6:
-                chance *= max(0.0, 1 - self._ended[place] / at_risk)
-            at_risk -= self._ended[place] + self._censored[place]
+                survival *= max(0.0, 1 - self._ended[index] / at_risk)
+            at_risk -= self._ended[index] + self._censored[index]
         self._survival[MAX_BINS] = 0.0
 
 
-def _mean(alive: list[float]) -> float:
+def _mean_remaining(survival: list[float]) -> float:
     mean = 0.0
     for i in range(len(HORIZONS) - 1):
         width = HORIZONS[i + 1] - HORIZONS[i]
-        mean += width * (alive[i] + alive[i + 1]) / 2
+        mean += width * (survival[i] + survival[i + 1]) / 2
     return mean
 
 
-def _bounded(outlook: Outlook, left: int) -> Outlook:
-    alive = [
-        a if h < left else 0.0
-        for a, h in zip(outlook.alive, HORIZONS, strict=True)
+def _truncated(outlook: Outlook, remaining: int) -> Outlook:
+    survival = [
+        a if h < remaining else 0.0
+        for a, h in zip(outlook.survival, HORIZONS, strict=True)
     ]
-    return Outlook(alive, min(outlook.mean_tokens, max(1, left)))
+    return Outlook(survival, min(outlook.mean_tokens, max(1, remaining)))
 
 
-def _unknown(max_tokens: int, tokens: int) -> Outlook:
+def _uniform(max_tokens: int, tokens: int) -> Outlook:
     """Returns the forecast for lengths that are uniform up to the limit."""
-    left = max(1, max_tokens - tokens)
-    alive = [max(0.0, 1 - h / left) for h in HORIZONS]
-    return Outlook(alive, left / 2)
+    remaining = max(1, max_tokens - tokens)
+    survival = [max(0.0, 1 - h / remaining) for h in HORIZONS]
+    return Outlook(survival, remaining / 2)
 
 
 class LearnedLengths:
@@ -189,7 +194,7 @@
             cell = self._cells.get(key)
             if cell is not None and cell.observations >= MIN_OBSERVATIONS:
                 return cell.outlook(tokens, request.max_tokens)
-        return _unknown(request.max_tokens, tokens)
+        return _uniform(request.max_tokens, tokens)
 
     def observe(
         self, request: PermitRequest, tokens: int, is_complete: bool
--- a/rhubarbwinch/admission/limits.py
+++ b/rhubarbwinch/admission/limits.py
@@ -7,8 +7,8 @@
 from rhubarbwinch.records.records import AccountSpec
 from rhubarbwinch.shared.clock import Clock
 
-RETRY_SHARE = 0.1
-_DEFAULT = AccountSpec()
+RETRY_RATIO = 0.1
+_DEFAULT_SPEC = AccountSpec()
 RETRY_RESERVE = 10.0
 MAX_BACKOFF_DOUBLINGS = 10
 
@@ -23,48 +23,48 @@
 
     def __init__(self, clock: Clock, per_second: float) -> None:
         self._clock = clock
-        self._rate = per_second / 1000
-        self._size = max(1.0, per_second)
-        self._level = self._size
+        self._tokens_per_ms = per_second / 1000
+        self._burst = max(1.0, per_second)
+        self._available = self._burst
         self._filled_ms = clock.now()
 
-    def take(self) -> int:
+    def try_acquire(self) -> int:
         """Takes one token and returns 0, or the ms until one is available."""
         now = self._clock.now()
-        added = (now - self._filled_ms) * self._rate
-        self._level = min(self._size, self._level + added)
+        added = (now - self._filled_ms) * self._tokens_per_ms
+        self._available = min(self._burst, self._available + added)
         self._filled_ms = now
-        if self._level >= 1:
-            self._level -= 1
+        if self._available >= 1:
+            self._available -= 1
             return 0
-        return int((1 - self._level) / self._rate) + 1
+        return int((1 - self._available) / self._tokens_per_ms) + 1
 
 
 class RetryBudget:
     """Limits retries to a ratio of first attempts.
 
     Args:
-        share: The number of retries allowed for each first attempt.
+        ratio: The number of retries allowed for each first attempt.
         reserve: The number of retries allowed before any first attempt; also
             the most that can accumulate.
     """
 
     def __init__(
-        self, share: float = RETRY_SHARE, reserve: float = RETRY_RESERVE
+        self, ratio: float = RETRY_RATIO, reserve: float = RETRY_RESERVE
     ) -> None:
-        self._share = share
+        self._ratio = ratio
         self._reserve = reserve
-        self._level = reserve
+        self._available = reserve
 
-    def add_attempt(self) -> None:
+    def record_attempt(self) -> None:
         """Records a first attempt, which increases the budget."""
-        self._level = min(self._reserve, self._level + self._share)
+        self._available = min(self._reserve, self._available + self._ratio)
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Returns whether a retry is allowed, and if so records it."""
-        if self._level < 1:
+        if self._available < 1:
             return False
-        self._level -= 1
+        self._available -= 1
         return True
 
 
@@ -89,15 +89,15 @@
 
     Attributes:
         spec: The account's record.
-        rate: Limits the rate of new requests; None without a limit.
-        retries: Limits retries.
+        rate_limit: Limits the rate of new requests; None without a limit.
+        retry_budget: Limits retries.
         requests: The number of requests in flight.
         tokens: The prompt and expected output tokens in flight.
     """
 
     spec: AccountSpec
-    rate: TokenBucket | None
-    retries: RetryBudget = attrs.field(factory=RetryBudget)
+    rate_limit: TokenBucket | None
+    retry_budget: RetryBudget = attrs.field(factory=RetryBudget)
     requests: int = 0
     tokens: int = 0
 
@@ -106,13 +106,13 @@
         """Whether the account has reached its limit of requests in flight."""
         return self.requests >= self.spec.room.requests
 
-    def has_room(self, tokens: int) -> bool:
+    def can_start(self, tokens: int) -> bool:
         """Returns whether a request of `tokens` may start now."""
         room = self.spec.room
         fits = self.tokens + tokens <= room.tokens
         return self.requests < room.requests and fits
 
-    def can_ever_fit(self, tokens: int) -> bool:
+    def can_ever_start(self, tokens: int) -> bool:
         """Returns whether a request of `tokens` may ever start."""
         room = self.spec.room
         return room.requests > 0 and tokens <= room.tokens
@@ -139,30 +139,32 @@
     def __init__(self, clock: Clock, accounts: dict[str, AccountSpec]) -> None:
         self._clock = clock
         self._specs = accounts
-        self._held: dict[str, AccountLimits] = {}
+        self._limits: dict[str, AccountLimits] = {}
 
     def configure(self, accounts: dict[str, AccountSpec]) -> None:
         """Applies new records; requests in flight stay counted."""
         self._specs = accounts
-        for name, held in self._held.items():
-            spec = accounts.get(name, _DEFAULT)
-            if spec.requests_per_second != held.spec.requests_per_second:
-                held.rate = self._rate(spec)
-            held.spec = spec
+        for name, limits in self._limits.items():
+            spec = accounts.get(name, _DEFAULT_SPEC)
+            if spec.requests_per_second != limits.spec.requests_per_second:
+                limits.rate_limit = self._make_bucket(spec)
+            limits.spec = spec
 
-    def of(self, account: str) -> AccountLimits:
+    def for_account(self, account: str) -> AccountLimits:
         """Returns an account's limits."""
-        held = self._held.get(account)
-        if held is None:
-            spec = self._specs.get(account, _DEFAULT)
-            held = self._held[account] = AccountLimits(spec, self._rate(spec))
-        return held
+        limits = self._limits.get(account)
+        if limits is None:
+            spec = self._specs.get(account, _DEFAULT_SPEC)
+            limits = self._limits[account] = AccountLimits(
+                spec, self._make_bucket(spec)
+            )
+        return limits
 
     def weight(self, account: str) -> float:
         """Returns an account's weight in fair queueing."""
-        return self._specs.get(account, _DEFAULT).weight
+        return self._specs.get(account, _DEFAULT_SPEC).weight
 
-    def _rate(self, spec: AccountSpec) -> TokenBucket | None:
+    def _make_bucket(self, spec: AccountSpec) -> TokenBucket | None:
         if not spec.requests_per_second:
             return None
         return TokenBucket(self._clock, spec.requests_per_second)
--- a/rhubarbwinch/admission/permits.py
+++ b/rhubarbwinch/admission/permits.py
@@ -36,16 +36,18 @@
     tokens: int = 0
 
 
-def pool_owner(pool: str, members: Members, avoid: str = "") -> Member | None:
+def pool_owner(
+    pool: str, members: Members, excluded: str = ""
+) -> Member | None:
     """Returns the serving broker that owns a pool.
 
     Args:
         pool: The pool's name.
         members: The known members.
-        avoid: The name of a broker to leave out, or empty for none.
+        excluded: The name of a broker to leave out, or empty for none.
     """
     serving = members.serving(Role.BROKER)
-    brokers = {m.name: m for m in serving if m.name != avoid}
+    brokers = {m.name: m for m in serving if m.name != excluded}
     name = rendezvous.owner(pool, brokers)
     return brokers[name] if name else None
 
@@ -71,32 +73,32 @@
         self._links = links
         self._members = members
         self._timeout_ms = timeout_ms
-        self._open: dict[str, Permit] = {}
-        links.on_late(PermitReply, self._hand_back)
+        self._permits: dict[str, Permit] = {}
+        links.on_late(PermitReply, self._release_late)
 
     @property
     def open_permits(self) -> list[Permit]:
         """The permits that this entry holds."""
-        return list(self._open.values())
+        return list(self._permits.values())
 
     def adopt(self, permit: Permit) -> None:
         """Registers a permit that another entry acquired."""
-        self._open[permit.request.request_id] = permit
+        self._permits[permit.request.request_id] = permit
 
     def drop(self, permit: Permit) -> None:
         """Removes a permit that was released or moved to another entry."""
-        self._open.pop(permit.request.request_id, None)
+        self._permits.pop(permit.request.request_id, None)
 
     async def ask(
-        self, request: PermitRequest, avoid: str = ""
+        self, request: PermitRequest, excluded: str = ""
     ) -> Result[Permit, Failure]:
         """Requests a permit from the owner of the request's pool.
 
         Args:
             request: The permit request.
-            avoid: The name of a broker that did not reply, or empty for none.
+            excluded: The name of a broker that did not reply; empty for none.
         """
-        broker = pool_owner(request.pool, self._members, avoid)
+        broker = pool_owner(request.pool, self._members, excluded)
         if broker is None:
             return Err(
                 not_run(
@@ -118,10 +120,10 @@
                 not_run(Reason.BROKER_UNAVAILABLE, detail, RETRY_AFTER_MS)
             )
         if reply.grant is None:
-            missing = not_run(Reason.INTERNAL, "an empty answer")
-            return Err(reply.failure or missing)
+            empty_reply = not_run(Reason.INTERNAL, "an empty answer")
+            return Err(reply.failure or empty_reply)
         permit = Permit(request, reply.grant)
-        self._open[request.request_id] = permit
+        self._permits[request.request_id] = permit
         return Ok(permit)
 
     async def ask_any(
@@ -135,7 +137,7 @@
         Each attempt has its own request id, so that a late grant can be
         released without affecting the permit that was acquired instead.
         """
-        answer: Result[Permit, Failure] = Err(
+        outcome: Result[Permit, Failure] = Err(
             not_run(
                 Reason.NO_ENDPOINT,
                 f"no pool of {request.service}",
@@ -144,17 +146,17 @@
         )
         for pool in pools:
             owner = pool_owner(pool, self._members)
-            asked = attrs.evolve(request, pool=pool, request_id=new_id())
+            attempt = attrs.evolve(request, pool=pool, request_id=new_id())
             with tracing.span("permit", pool=pool):
-                asked = attrs.evolve(asked, traceparent=tracing.current())
-                answer = await self.ask(asked)
-                if _is_silent(answer) and owner is not None:
+                attempt = attrs.evolve(attempt, traceparent=tracing.current())
+                outcome = await self.ask(attempt)
+                if _is_broker_unavailable(outcome) and owner is not None:
                     # The broker is down; the pool's next owner can reply.
-                    asked = attrs.evolve(asked, request_id=new_id())
-                    answer = await self.ask(asked, owner.name)
-            if answer.is_ok():
+                    attempt = attrs.evolve(attempt, request_id=new_id())
+                    outcome = await self.ask(attempt, owner.name)
+            if outcome.is_ok():
                 break
-        return answer
+        return outcome
 
     async def give_back(
         self, permit: Permit, end: StreamEnd, tokens: int = 0
@@ -162,12 +164,12 @@
         """Releases a permit; stream reports make up for a lost message."""
         self.drop(permit)
         request = permit.request
-        release = PermitRelease(request.request_id, request.pool, end, tokens)
+        message = PermitRelease(request.request_id, request.pool, end, tokens)
         broker = pool_owner(request.pool, self._members)
         if broker is not None:
-            await self._send(broker.link, release)
+            await self._send(broker.link, message)
 
-    async def _hand_back(self, reply: PermitReply) -> None:
+    async def _release_late(self, reply: PermitReply) -> None:
         """Releases a permit that was granted after its request timed out.
 
         The reply doesn't name the pool, so all brokers are told.
@@ -176,21 +178,21 @@
             self._metrics.count(metrics.LATE_ANSWERS)
         if reply.grant is None:
             return
-        release = PermitRelease(reply.grant.request_id, "", StreamEnd.UNUSED)
+        message = PermitRelease(reply.grant.request_id, "", StreamEnd.UNUSED)
         for broker in self._members.serving(Role.BROKER):
-            await self._send(broker.link, release)
+            await self._send(broker.link, message)
 
-    async def _send(self, address: str, release: PermitRelease) -> None:
+    async def _send(self, address: str, message: PermitRelease) -> None:
         try:
-            await self._links.send(address, release)
+            await self._links.send(address, message)
         except LinkError:
             # The broker is down. The pool's next owner learns the open
             # streams from the reports.
             return
 
 
-def _is_silent(answer: Result[Permit, Failure]) -> bool:
+def _is_broker_unavailable(outcome: Result[Permit, Failure]) -> bool:
     return (
-        isinstance(answer, Err)
-        and answer.err_value.reason is Reason.BROKER_UNAVAILABLE
+        isinstance(outcome, Err)
+        and outcome.err_value.reason is Reason.BROKER_UNAVAILABLE
     )
--- a/rhubarbwinch/admission/placement.py
+++ b/rhubarbwinch/admission/placement.py
@@ -9,22 +9,22 @@
 from rhubarbwinch.admission.steptime import StepTime
 from rhubarbwinch.shared.registry import Registry
 
-GAP_TARGET_MS = 41.0
+TOKEN_GAP_TARGET_MS = 41.0
 # For engines that miss the gap target even with one stream: the factor by
 # which a step may take longer than with one stream.
-SLOW_ENGINE_SLACK = 1.25
+SLOW_ENGINE_FACTOR = 1.25
 # Standard deviations above the mean KV cache use for which space is required.
 # With 2, about one admission in 40 exceeds the capacity.
-MEMORY_DEVIATIONS = 2.0
+KV_CACHE_DEVIATIONS = 2.0
 HEADROOM_SHARE = 0.12
 PREFILL_MS_PER_TOKEN = 0.04
 # Weight of the prefill time saved by cached blocks against the step time. A
 # prefill delays one step, but a stream takes part in every step until it ends.
 PREFILL_WEIGHT = 0.25
-CANDIDATES = 3
+MAX_CANDIDATES = 3
 
 
-class Policy(Protocol):
+class PlacementPolicy(Protocol):
     """Chooses among the endpoints that may run a request."""
 
     def choose(
@@ -34,19 +34,19 @@
         ...
 
 
-POLICIES: Registry[Callable[[StepTime, random.Random], Policy]] = Registry(
-    "placement policy"
+POLICIES: Registry[Callable[[StepTime, random.Random], PlacementPolicy]] = (
+    Registry("placement policy")
 )
 
 
-class _Simple:
+class _BasePolicy:
     """The base class of policies, with random tie breaking."""
 
     def __init__(self, step_time: StepTime, rng: random.Random) -> None:
         self._step_time = step_time
         self._rng = rng
 
-    def _least(
+    def _choose_minimum(
         self, engines: list[EngineState], key: Callable[[EngineState], float]
     ) -> EngineState | None:
         if not engines:
@@ -56,7 +56,7 @@
 
 
 @POLICIES.register("round-robin")
-class RoundRobin(_Simple):
+class RoundRobin(_BasePolicy):
     """Chooses the endpoints in turn."""
 
     def __init__(self, step_time: StepTime, rng: random.Random) -> None:
@@ -74,59 +74,60 @@
 
 
 @POLICIES.register("least-outstanding")
-class LeastOutstanding(_Simple):
+class LeastOutstanding(_BasePolicy):
     """Chooses the endpoint with the fewest requests that have not ended."""
 
     def choose(
         self, stream: Stream, engines: list[EngineState]
     ) -> EngineState | None:
         """Returns the endpoint with the fewest requests."""
-        return self._least(engines, lambda e: e.outstanding)
+        return self._choose_minimum(engines, lambda e: e.outstanding)
 
 
 @POLICIES.register("least-load")
-class LeastLoad(_Simple):
+class LeastLoad(_BasePolicy):
     """Chooses the endpoint that reported the least KV cache use."""
 
     def choose(
         self, stream: Stream, engines: list[EngineState]
     ) -> EngineState | None:
         """Returns the endpoint with the least reported load."""
-        return self._least(engines, _reported)
+        return self._choose_minimum(engines, _reported_tokens)
 
 
-def _reported(engine: EngineState) -> float:
+def _reported_tokens(engine: EngineState) -> float:
     load = engine.load
     return load.used_tokens + load.waiting if load else 0.0
 
 
 @POLICIES.register("reserve-maximum")
-class ReserveMaximum(_Simple):
+class ReserveMaximum(_BasePolicy):
     """Reserves KV cache for the prompt and `max_tokens` of each request."""
 
     def choose(
         self, stream: Stream, engines: list[EngineState]
     ) -> EngineState | None:
         """Returns the endpoint with the fewest reserved tokens that fits."""
-        more = _most_tokens(stream)
-        fit = [
+        additional = _max_tokens(stream)
+        fitting = [
             e
             for e in engines
-            if not e.capacity_tokens or _reserved(e) + more <= e.capacity_tokens
+            if not e.capacity_tokens
+            or _reserved_tokens(e) + additional <= e.capacity_tokens
         ]
-        return self._least(fit, _reserved)
+        return self._choose_minimum(fitting, _reserved_tokens)
 
 
-def _most_tokens(stream: Stream) -> int:
+def _max_tokens(stream: Stream) -> int:
     return stream.request.prompt_tokens + stream.request.max_tokens
 
 
-def _reserved(engine: EngineState) -> float:
-    return float(sum(_most_tokens(s) for s in engine.streams.values()))
+def _reserved_tokens(engine: EngineState) -> float:
+    return float(sum(_max_tokens(s) for s in engine.streams.values()))
 
 
 @POLICIES.register("quantile")
-class Quantile(_Simple):
+class Quantile(_BasePolicy):
     """Admits while an upper quantile of the predicted peak KV cache use fits.
 
     Background requests leave headroom for interactive ones, and no request
@@ -138,7 +139,7 @@
     ) -> EngineState | None:
         """Returns the cheapest candidate endpoint on which the stream fits."""
         best = heapq.nsmallest(
-            CANDIDATES, engines, key=lambda e: self._cost_ms(stream, e)
+            MAX_CANDIDATES, engines, key=lambda e: self._cost_ms(stream, e)
         )
         for engine in best:
             if self._fits(stream, engine):
@@ -160,23 +161,27 @@
         capacity = engine.capacity_tokens
         if not capacity:
             return True
-        can_wait = not stream.request.interactive
-        if can_wait:
+        is_background = not stream.request.interactive
+        if is_background:
             capacity = int(capacity * (1 - HEADROOM_SHARE))
-        if engine.peak_with(stream, MEMORY_DEVIATIONS) > capacity:
+        if engine.peak_tokens_with(stream, KV_CACHE_DEVIATIONS) > capacity:
             return False
-        return self._keeps_pace(engine, stream, can_wait)
+        return self._meets_gap_target(engine, stream, is_background)
 
-    def _keeps_pace(
-        self, engine: EngineState, stream: Stream, can_wait: bool
+    def _meets_gap_target(
+        self, engine: EngineState, stream: Stream, is_background: bool
     ) -> bool:
         if not self._step_time.is_learned or not engine.outstanding:
             # Predictions can be wrong, so they never keep an engine idle.
             return True
         batch = engine.outstanding + 1
-        step = self._step_time.predict(batch, engine.peak_with(stream, 0.0))
-        share = 1 - HEADROOM_SHARE if can_wait else 1.0
+        step = self._step_time.predict(
+            batch, engine.peak_tokens_with(stream, 0.0)
+        )
+        share = 1 - HEADROOM_SHARE if is_background else 1.0
         # Engines that miss the target even with a single stream must still
         # serve, so a step time close to their best is accepted.
         best = self._step_time.predict(1, float(stream.request.prompt_tokens))
-        return step <= max(GAP_TARGET_MS * share, SLOW_ENGINE_SLACK * best)
+        return step <= max(
+            TOKEN_GAP_TARGET_MS * share, SLOW_ENGINE_FACTOR * best
+        )
--- a/rhubarbwinch/admission/reports.py
+++ b/rhubarbwinch/admission/reports.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from rhubarbwinch.admission.digests import StreamReporter
+from rhubarbwinch.admission.digests import StreamReportBuilder
 from rhubarbwinch.admission.permits import Permit, PermitClient, pool_owner
 from rhubarbwinch.links.linktypes import RunningCaller
 from rhubarbwinch.links.messages import DigestReply, StreamProgress
@@ -37,15 +37,15 @@
         links: RunningCaller,
         clock: Clock,
     ) -> None:
-        self._reporter = StreamReporter(entry)
+        self._report_builder = StreamReportBuilder(entry)
         self._permits = permits
         self._members = members
         self._links = links
         self._clock = clock
         # The owner that each pool's last full report was sent to.
-        self._told: dict[str, str] = {}
-        self._changed = anyio.Event()
-        members.on_change(self._wake)
+        self._informed_owners: dict[str, str] = {}
+        self._members_changed = anyio.Event()
+        members.on_change(self._on_members_changed)
 
     @property
     def _period_ms(self) -> int:
@@ -56,39 +56,46 @@
     async def run(self) -> None:
         """Sends reports until cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._report_moves)
+            tasks.start_soon(self._report_to_new_owners)
             while True:
                 await self._clock.sleep(self._period_ms)
-                await self._report_all()
+                await self._send_all_reports()
 
-    async def _report_all(self) -> None:
+    async def _send_all_reports(self) -> None:
         """Sends a report to each pool's owner, concurrently."""
-        held = self._held()
+        permits_by_pool = self._permits_by_pool()
         async with anyio.create_task_group() as tasks:
-            for pool in sorted(set(self._told) | set(held)):
-                tasks.start_soon(self._report, pool, held.get(pool, []))
-
-    async def _report_moves(self) -> None:
+            for pool in sorted(
+                set(self._informed_owners) | set(permits_by_pool)
+            ):
+                tasks.start_soon(
+                    self._send_report, pool, permits_by_pool.get(pool, [])
+                )
+
+    async def _report_to_new_owners(self) -> None:
         """Sends full reports to new owners, which rebuild their view."""
         while True:
-            await self._changed.wait()
-            self._changed = anyio.Event()
-            for pool, permits in sorted(self._held().items()):
+            await self._members_changed.wait()
+            self._members_changed = anyio.Event()
+            for pool, permits in sorted(self._permits_by_pool().items()):
                 owner = pool_owner(pool, self._members)
-                if owner is not None and self._told.get(pool) != owner.name:
-                    await self._announce(pool, permits)
+                if (
+                    owner is not None
+                    and self._informed_owners.get(pool) != owner.name
+                ):
+                    await self._send_full_report(pool, permits)
 
-    async def _report(self, pool: str, permits: list[Permit]) -> None:
+    async def _send_report(self, pool: str, permits: list[Permit]) -> None:
         owner = pool_owner(pool, self._members)
         if owner is None:
             return
-        if self._told.get(pool) != owner.name:
-            await self._announce(pool, permits)
+        if self._informed_owners.get(pool) != owner.name:
+            await self._send_full_report(pool, permits)
             return
-        digest = self._reporter.digest(pool, _streams(permits))
+        digest = self._report_builder.digest(pool, _stream_progress(permits))
         if not permits:
             # This last, empty digest reports that no stream is open there.
-            self._told.pop(pool, None)
+            self._informed_owners.pop(pool, None)
         try:
             reply = await self._links.call(
                 owner.link, digest, DigestReply, REPLY_TIMEOUT_MS
@@ -97,33 +104,35 @@
             # The next report is sent to the pool's owner at that time.
             return
         if reply.wants_all:
-            held = self._held().get(pool, [])
-            await self._announce(pool, held)
+            latest = self._permits_by_pool().get(pool, [])
+            await self._send_full_report(pool, latest)
 
-    async def _announce(self, pool: str, permits: list[Permit]) -> None:
+    async def _send_full_report(self, pool: str, permits: list[Permit]) -> None:
         """Sends a full report of the pool's open streams to its owner."""
         owner = pool_owner(pool, self._members)
         if owner is None:
             return
-        report = self._reporter.announcement(pool, _streams(permits))
+        report = self._report_builder.build_full_report(
+            pool, _stream_progress(permits)
+        )
         try:
             await self._links.send(owner.link, report)
         except LinkError:
             # The next report is sent to the pool's owner at that time.
             return
-        self._told[pool] = owner.name
+        self._informed_owners[pool] = owner.name
 
-    def _held(self) -> dict[str, list[Permit]]:
+    def _permits_by_pool(self) -> dict[str, list[Permit]]:
         found: dict[str, list[Permit]] = {}
         for permit in self._permits.open_permits:
             found.setdefault(permit.request.pool, []).append(permit)
         return found
 
-    def _wake(self) -> None:
-        self._changed.set()
+    def _on_members_changed(self) -> None:
+        self._members_changed.set()
 
 
-def _streams(permits: list[Permit]) -> list[StreamProgress]:
+def _stream_progress(permits: list[Permit]) -> list[StreamProgress]:
     return [
         StreamProgress(p.request, p.grant.endpoint, p.tokens) for p in permits
     ]
--- a/rhubarbwinch/admission/steptime.py
+++ b/rhubarbwinch/admission/steptime.py
@@ -1,11 +1,11 @@
 """Predicts the step time of a pool's engines from their load reports."""
 
 MIN_REPORTS = 30
-FORGETTING = 0.9995
-UPPER_SHARE = 0.98
-QUANTILE_STEP_MS = 0.05
-START_UNCERTAINTY = 1000.0
-_SIZE = 3
+FORGETTING_FACTOR = 0.9995
+EXCESS_QUANTILE = 0.98
+EXCESS_STEP_MS = 0.05
+INITIAL_VARIANCE = 1000.0
+_COEFFICIENT_COUNT = 3
 
 
 class StepTime:
@@ -17,10 +17,13 @@
     """
 
     def __init__(self) -> None:
-        self._slopes = [0.0] * _SIZE
+        self._coefficients = [0.0] * _COEFFICIENT_COUNT
         self._covariance = [
-            [START_UNCERTAINTY if i == j else 0.0 for j in range(_SIZE)]
-            for i in range(_SIZE)
+            [
+                INITIAL_VARIANCE if i == j else 0.0
+                for j in range(_COEFFICIENT_COUNT)
+            ]
+            for i in range(_COEFFICIENT_COUNT)
         ]
         self._excess_ms = 0.0
         self._reports = 0
@@ -34,23 +37,28 @@
         """Learns from a reported step."""
         x = (1.0, float(running), used_tokens / 1000)
         p = self._covariance
-        px = [sum(p[i][j] * x[j] for j in range(_SIZE)) for i in range(_SIZE)]
-        scale = FORGETTING + sum(x[i] * px[i] for i in range(_SIZE))
-        error = step_ms - self._line(running, used_tokens)
-        for i in range(_SIZE):
-            self._slopes[i] += px[i] / scale * error
-        for i in range(_SIZE):
-            for j in range(_SIZE):
-                p[i][j] = (p[i][j] - px[i] * px[j] / scale) / FORGETTING
+        px = [
+            sum(p[i][j] * x[j] for j in range(_COEFFICIENT_COUNT))
+            for i in range(_COEFFICIENT_COUNT)
+        ]
+        scale = FORGETTING_FACTOR + sum(
+            x[i] * px[i] for i in range(_COEFFICIENT_COUNT)
+        )
+        error = step_ms - self._fitted_ms(running, used_tokens)
+        for i in range(_COEFFICIENT_COUNT):
+            self._coefficients[i] += px[i] / scale * error
+        for i in range(_COEFFICIENT_COUNT):
+            for j in range(_COEFFICIENT_COUNT):
+                p[i][j] = (p[i][j] - px[i] * px[j] / scale) / FORGETTING_FACTOR
         above = error > self._excess_ms
-        share = UPPER_SHARE if above else UPPER_SHARE - 1
-        self._excess_ms = max(0.0, self._excess_ms + QUANTILE_STEP_MS * share)
+        share = EXCESS_QUANTILE if above else EXCESS_QUANTILE - 1
+        self._excess_ms = max(0.0, self._excess_ms + EXCESS_STEP_MS * share)
         self._reports += 1
 
     def predict(self, running: int, used_tokens: float) -> float:
         """Returns the step time, in ms, that 49 of 50 steps don't exceed."""
-        return self._line(running, used_tokens) + self._excess_ms
+        return self._fitted_ms(running, used_tokens) + self._excess_ms
 
-    def _line(self, running: int, used_tokens: float) -> float:
-        base, batch, resident = self._slopes
+    def _fitted_ms(self, running: int, used_tokens: float) -> float:
+        base, batch, resident = self._coefficients
         return base + batch * running + resident * used_tokens / 1000
--- a/rhubarbwinch/admission/streamindex.py
+++ b/rhubarbwinch/admission/streamindex.py
@@ -46,18 +46,20 @@
         if not of_entry:
             del self._by_entry[request.entry]
 
-    def move(self, stream: Stream, request: PermitRequest) -> None:
+    def reassign(self, stream: Stream, request: PermitRequest) -> None:
         """Reassigns a stream to the entry that its caller reconnected to."""
         self.remove(stream)
         stream.request = request
         self.add(stream)
 
-    def grow(self, entry: str, grown: list[StreamGrowth], now: int) -> None:
+    def apply_growth(
+        self, entry: str, grown: list[StreamGrowth], now: int
+    ) -> None:
         """Applies the token counts that an entry reported at time `now`."""
         if not grown:
             return
         tokens = {growth.key: growth.tokens for growth in grown}
         for stream in self.of_entry(entry):
-            told = tokens.get(request_key(stream.request.request_id))
-            if told is not None:
-                stream.tokens, stream.at_ms = told, now
+            reported = tokens.get(request_key(stream.request.request_id))
+            if reported is not None:
+                stream.tokens, stream.at_ms = reported, now
--- a/rhubarbwinch/admission/waits.py
+++ b/rhubarbwinch/admission/waits.py
@@ -5,8 +5,8 @@
 from rhubarbwinch.shared.clock import Clock
 
 START_WINDOW_MS = 20_000.0
-MIN_RATE_PER_MS = 1e-6
-RUN_MEMORY = 50
+MIN_TOKENS_PER_MS = 1e-6
+RUN_AVERAGE_COUNT = 50
 
 
 class StartRate:
@@ -18,34 +18,36 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._at_ms = clock.now()
-        self._idle_ms = clock.now()
-        self._sum = 0.0
+        self._decayed_ms = clock.now()
+        self._last_empty_ms = clock.now()
+        self._window_tokens = 0.0
 
     @property
-    def is_full(self) -> bool:
+    def covers_window(self) -> bool:
         """Whether the queue was never empty in the window of the rate."""
-        return self._clock.now() - self._idle_ms >= START_WINDOW_MS
+        return self._clock.now() - self._last_empty_ms >= START_WINDOW_MS
 
     @property
-    def per_ms(self) -> float:
+    def tokens_per_ms(self) -> float:
         """The rate, in tokens per ms."""
-        self._fade()
-        return self._sum / START_WINDOW_MS
+        self._decay()
+        return self._window_tokens / START_WINDOW_MS
 
-    def note_idle(self) -> None:
+    def record_empty(self) -> None:
         """Records that the queue was empty."""
-        self._idle_ms = self._clock.now()
+        self._last_empty_ms = self._clock.now()
 
-    def note_start(self, tokens: float) -> None:
+    def record_start(self, tokens: float) -> None:
         """Records the start of a request."""
-        self._fade()
-        self._sum += tokens
+        self._decay()
+        self._window_tokens += tokens
 
-    def _fade(self) -> None:
+    def _decay(self) -> None:
         now = self._clock.now()
-        self._sum *= math.exp((self._at_ms - now) / START_WINDOW_MS)
-        self._at_ms = now
+        self._window_tokens *= math.exp(
+            (self._decayed_ms - now) / START_WINDOW_MS
+        )
+        self._decayed_ms = now
 
 
 class ServiceRate:
@@ -71,18 +73,18 @@
         self._running_tokens = 0.0
         self._tokens_per_step = 0.0
 
-    def note_start(self, tokens: float, steps: float) -> None:
+    def record_start(self, tokens: float, steps: float) -> None:
         """Records the start of a request.
 
         Args:
             tokens: The expected tokens of the prompt and the output.
             steps: The expected number of decode steps.
         """
-        self.starts.note_start(tokens)
+        self.starts.record_start(tokens)
         self._running_tokens += tokens
         self._tokens_per_step += tokens / max(1.0, steps)
 
-    def note_end(self, tokens: float, steps: float, run_ms: float) -> None:
+    def record_end(self, tokens: float, steps: float, run_ms: float) -> None:
         """Records the end of a request.
 
         Args:
@@ -94,16 +96,16 @@
         self._tokens_per_step -= tokens / max(1.0, steps)
         if not self._mean_run_ms:
             self._mean_run_ms = run_ms
-        self._mean_run_ms += (run_ms - self._mean_run_ms) / RUN_MEMORY
+        self._mean_run_ms += (run_ms - self._mean_run_ms) / RUN_AVERAGE_COUNT
 
-    def wait_ms(self, ahead: float) -> float:
-        """Returns the expected wait behind `ahead` tokens, 0 if unknown."""
+    def wait_ms(self, tokens_ahead: float) -> float:
+        """Returns the wait behind `tokens_ahead` tokens, or 0 if unknown."""
         if self.step_ms:
             rate = self._tokens_per_step / self.step_ms
         elif self._mean_run_ms:
             rate = self._running_tokens / self._mean_run_ms
         else:
             return 0.0
-        if self.starts.is_full:
-            rate = min(rate, self.starts.per_ms)
-        return ahead / max(rate, MIN_RATE_PER_MS)
+        if self.starts.covers_window:
+            rate = min(rate, self.starts.tokens_per_ms)
+        return tokens_ahead / max(rate, MIN_TOKENS_PER_MS)
--- a/rhubarbwinch/admission/yielding.py
+++ b/rhubarbwinch/admission/yielding.py
@@ -2,10 +2,10 @@
 
 from rhubarbwinch.admission.enginestate import EngineState, Stream
 
-YIELDING_PRIORITY = 2
+LOWERED_PRIORITY = 2
 
 
-def choose_yielding(engine: EngineState) -> Stream | None:
+def choose_stream_to_lower(engine: EngineState) -> Stream | None:
     """Returns the stream whose priority is to be lowered, or None.
 
     Only one stream per engine has a lowered priority, and only a background
@@ -13,10 +13,10 @@
     the most further KV cache.
     """
     capacity = engine.capacity_tokens
-    if not capacity or engine.soon_tokens() <= capacity:
+    if not capacity or engine.next_horizon_tokens() <= capacity:
         return None
     streams = engine.streams.values()
-    if any(s.priority == YIELDING_PRIORITY for s in streams):
+    if any(s.priority == LOWERED_PRIORITY for s in streams):
         return None
-    patient = [s for s in streams if not s.request.interactive]
-    return max(patient, key=lambda s: s.left_tokens, default=None)
+    background = [s for s in streams if not s.request.interactive]
+    return max(background, key=lambda s: s.remaining_tokens, default=None)
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -4,7 +4,7 @@
 import unittest
 
 from rhubarbwinch.admission.admission import (
-    ENTRY_SILENCE_MS,
+    ENTRY_TIMEOUT_MS,
     Admission,
     LoadReport,
     Options,
@@ -310,7 +310,7 @@
         pool = Pool(acme={"room": Room(requests=1)})
         pool.submit()
         pool.submit(wait_ms=100_000)
-        almost = ENTRY_SILENCE_MS - 1000
+        almost = ENTRY_TIMEOUT_MS - 1000
         self.assertEqual(granted(pool.pass_time(almost)), [])
         self.assertEqual(granted(pool.pass_time(3000)), ["r2"])
 
--- a/tests/admission/test_digests.py
+++ b/tests/admission/test_digests.py
@@ -5,7 +5,7 @@
 from rhubarbwinch.admission.digests import (
     GROWTH_TOKENS,
     DigestChecker,
-    StreamReporter,
+    StreamReportBuilder,
     request_key,
 )
 from rhubarbwinch.links.messages import StreamProgress
@@ -21,12 +21,12 @@
     """An entry's reports against an owner's view."""
 
     def setUp(self):
-        self.reporter = StreamReporter("entry-1")
+        self.reporter = StreamReportBuilder("entry-1")
         self.checker = DigestChecker()
 
     def _wants_all(self, streams, known):
         report = self.reporter.digest("p", streams)
-        return self.checker.wants_all(report, known)
+        return self.checker.needs_full_report(report, known)
 
     def test_an_equal_view_needs_no_announcement_in_whatever_order(self):
         streams = [_stream("a"), _stream("b")]
@@ -56,5 +56,5 @@
 
     def test_an_announcement_counts_as_told(self):
         streams = [_stream("a", GROWTH_TOKENS)]
-        self.reporter.announcement("p", streams)
+        self.reporter.build_full_report("p", streams)
         self.assertEqual(self.reporter.digest("p", streams).grown, [])
--- a/tests/admission/test_fairness.py
+++ b/tests/admission/test_fairness.py
@@ -3,7 +3,7 @@
 import unittest
 from collections import Counter
 
-from rhubarbwinch.admission.fairness import FairQueue, Queued, ShareMeter
+from rhubarbwinch.admission.fairness import FairQueue, QueuedRequest, ShareMeter
 from rhubarbwinch.shared.clock import ManualClock
 from tests import builders
 
@@ -16,7 +16,7 @@
     for account, count in counts.items():
         for _ in range(count):
             request = builders.permit_request(account=account)
-            queue.push(account, Queued(request, 100, 0, 1000))
+            queue.push(account, QueuedRequest(request, 100, 0, 1000))
     return queue
 
 
@@ -49,13 +49,13 @@
         _serve(queue, 300)
         for _ in range(50):
             request = builders.permit_request(account="small")
-            queue.push("small", Queued(request, 100, 0, 1000))
+            queue.push("small", QueuedRequest(request, 100, 0, 1000))
         self.assertAlmostEqual(_serve(queue, 40)["small"], 10, delta=2)
 
     def test_a_flood_is_not_ahead_of_another_account(self):
         queue = _queue({"large": 500})
-        self.assertLess(queue.ahead("small"), 1000)
-        self.assertEqual(queue.ahead("large"), 50_000)
+        self.assertLess(queue.tokens_ahead("small"), 1000)
+        self.assertEqual(queue.tokens_ahead("large"), 50_000)
 
     def test_an_account_that_must_wait_lets_the_next_one_pass(self):
         queue = _queue({"large": 2, "small": 1})
@@ -71,7 +71,7 @@
         meter = ShareMeter(ManualClock(), WEIGHTS.__getitem__)
         meter.add("large", 300)
         meter.add("small", 100)
-        self.assertFalse(meter.is_over("small"))
+        self.assertFalse(meter.is_over_share("small"))
         meter.add("small", 300)
-        self.assertTrue(meter.is_over("small"))
-        self.assertFalse(meter.is_over("large"))
+        self.assertTrue(meter.is_over_share("small"))
+        self.assertFalse(meter.is_over_share("large"))
--- a/tests/admission/test_lengths.py
+++ b/tests/admission/test_lengths.py
@@ -22,7 +22,7 @@
             curve.add(rng.randrange(1, 1001), is_complete=True)
         for tokens in (100, 500, 900):
             self.assertAlmostEqual(
-                curve.chance(tokens), 1 - tokens / 1000, delta=0.08
+                curve.survival_at(tokens), 1 - tokens / 1000, delta=0.08
             )
 
     def test_censored_streams_lengthen_the_curve(self):
@@ -33,8 +33,8 @@
             seen = min(length, cut)
             curve.add(seen, is_complete=length <= cut)
             naive.add(seen, is_complete=True)
-        self.assertAlmostEqual(curve.chance(500), 0.5, delta=0.08)
-        self.assertLess(naive.chance(500), 0.35)
+        self.assertAlmostEqual(curve.survival_at(500), 0.5, delta=0.08)
+        self.assertLess(naive.survival_at(500), 0.35)
 
     def test_a_stream_that_outlived_the_short_ones_is_expected_to_go_on(self):
         curve = SurvivalCurve()
@@ -48,9 +48,9 @@
         for _ in range(100):
             curve.add(5000, is_complete=True)
         outlook = curve.outlook(0, 256)
-        for horizon, alive in zip(HORIZONS, outlook.alive, strict=True):
+        for horizon, survival in zip(HORIZONS, outlook.survival, strict=True):
             if horizon > 2 * 256:
-                self.assertEqual(alive, 0)
+                self.assertEqual(survival, 0)
 
     def test_old_observations_fade(self):
         curve = SurvivalCurve()
@@ -58,7 +58,7 @@
             curve.add(10, is_complete=True)
         for _ in range(1200):
             curve.add(1000, is_complete=True)
-        self.assertGreater(curve.chance(500), 0.8)
+        self.assertGreater(curve.survival_at(500), 0.8)
 
 
 class LearnedLengthsTest(unittest.TestCase):
--- a/tests/admission/test_limits.py
+++ b/tests/admission/test_limits.py
@@ -13,23 +13,23 @@
     def test_the_rate_is_held_and_the_wait_that_is_told_suffices(self):
         clock = ManualClock()
         bucket = TokenBucket(clock, 5)
-        self.assertEqual([bucket.take() for _ in range(5)], [0] * 5)
-        wait_ms = bucket.take()
+        self.assertEqual([bucket.try_acquire() for _ in range(5)], [0] * 5)
+        wait_ms = bucket.try_acquire()
         self.assertEqual(wait_ms, 201)
         clock.set(wait_ms)
-        self.assertEqual(bucket.take(), 0)
-        self.assertGreater(bucket.take(), 0)
+        self.assertEqual(bucket.try_acquire(), 0)
+        self.assertGreater(bucket.try_acquire(), 0)
 
 
 class RetryBudgetTest(unittest.TestCase):
     """Retries."""
 
     def test_retries_stay_a_share_of_first_attempts(self):
-        budget = RetryBudget(share=0.1, reserve=10)
+        budget = RetryBudget(ratio=0.1, reserve=10)
         allowed = 0
         for _ in range(1000):
-            budget.add_attempt()
-            allowed += budget.take()
+            budget.record_attempt()
+            allowed += budget.try_acquire()
         self.assertLessEqual(allowed, 110)
         self.assertGreaterEqual(allowed, 100)
 
--- a/tests/admission/test_streamindex.py
+++ b/tests/admission/test_streamindex.py
@@ -3,8 +3,8 @@
 import random
 import unittest
 
-from rhubarbwinch.admission.admission import SETTLE_MS, Admission
-from rhubarbwinch.admission.digests import GROWTH_TOKENS, StreamReporter
+from rhubarbwinch.admission.admission import REPORT_GRACE_MS, Admission
+from rhubarbwinch.admission.digests import GROWTH_TOKENS, StreamReportBuilder
 from rhubarbwinch.links.messages import StreamProgress
 from rhubarbwinch.records.records import check
 from rhubarbwinch.shared.clock import ManualClock
@@ -18,7 +18,7 @@
         self.clock = ManualClock()
         spec = check(builders.pool("vintner", [builders.endpoint("engine-1")]))
         self.pool = Admission(spec, self.clock, random.Random(1))
-        self.reporter = StreamReporter("entry-1")
+        self.reporter = StreamReportBuilder("entry-1")
 
     def _grant(self, request_id, entry="entry-1"):
         request = builders.permit_request(request_id, entry=entry)
@@ -38,10 +38,10 @@
     def test_a_lost_release_is_made_good_by_an_announcement(self):
         kept, _ = self._grant("r1"), self._grant("r2")
         self._grant("r3", entry="entry-2")
-        self.clock.set(SETTLE_MS)
+        self.clock.set(REPORT_GRACE_MS)
         self.assertFalse(self._wants_all(kept))
         self.assertTrue(self._wants_all(kept))
-        announced = self.reporter.announcement("vintner.dc-a", [kept])
+        announced = self.reporter.build_full_report("vintner.dc-a", [kept])
         self.pool.report_progress(announced)
         self.assertFalse(self._wants_all(kept))
 
@@ -49,16 +49,16 @@
         stream = StreamProgress(builders.permit_request("r9"), "engine-1", 7)
         self._wants_all(stream)
         self.assertTrue(self._wants_all(stream))
-        announced = self.reporter.announcement("vintner.dc-a", [stream])
+        announced = self.reporter.build_full_report("vintner.dc-a", [stream])
         self.pool.report_progress(announced)
         self.assertFalse(self._wants_all(stream))
 
     def test_a_stream_that_moves_to_another_entry_counts_once(self):
         stream = self._grant("r1")
         moved = builders.permit_request("r1", entry="entry-2")
-        other = StreamReporter("entry-2")
+        other = StreamReportBuilder("entry-2")
         taken = [StreamProgress(moved, stream.endpoint, 5)]
-        announced = other.announcement("vintner.dc-a", taken)
+        announced = other.build_full_report("vintner.dc-a", taken)
         self.pool.report_progress(announced)
         report = other.digest("vintner.dc-a", taken)
         self.assertFalse(self.pool.check_digest(report))
