--- a/rhubarbwinch/claims/__init__.py
+++ b/rhubarbwinch/claims/__init__.py
@@ -1,1 +1,1 @@
-"""What may run at most once: claims, their pages, quarantine, audit."""
+"""At-most-once execution: claims and their pages, quarantine and audit."""
--- a/rhubarbwinch/claims/audit.py
+++ b/rhubarbwinch/claims/audit.py
@@ -1,8 +1,8 @@
-"""Lists every paid action of a period once, from the store alone.
+"""Lists the billable calls and tokens of a period from the store alone.
 
-A call that is not repeatable belongs to the period of its key's own time, so
-each call is in exactly one period. Tokens belong to the hour in which their
-stream ended.
+Each is listed exactly once. A call that is not repeatable belongs to the
+period of the timestamp inside its idempotency key, so each call is in exactly
+one period. Tokens belong to the hour in which their stream ended.
 """
 
 import datetime
@@ -24,15 +24,17 @@
 from rhubarbwinch.stores import keys
 from rhubarbwinch.stores.store import Store
 
-# One scan reads the pages whose window numbers differ in the last digit only.
+# One scan reads the pages whose window numbers differ only in the last digit,
+# because they share a key prefix.
 WINDOWS_A_SCAN = 10
-# A stream may be resumed or end in a later hour than it started in.
+# A stream can be resumed or end in a later hour than it started in, so marks
+# are also read for this many hours before and after the period.
 MARGIN_PERIODS = 24
 
 
 @attrs.frozen
 class Period:
-    """Whole hours of Unix time, in milliseconds; the end is not in it."""
+    """Whole hours in Unix time, in milliseconds; the end is exclusive."""
 
     start_ms: int
     end_ms: int
@@ -43,15 +45,15 @@
     """A call that is not repeatable and ran or may have run.
 
     Attributes:
-        time: The key's own time, in UTC.
+        time: The time inside the idempotency key, in UTC.
         account: The client account.
         service: The service that was called.
         key: The idempotency key.
         ran: `yes`, or `unknown` if no outcome is recorded.
-        status: The HTTP status of the answer; 0 if there is none.
-        endpoint: Where it was sent.
-        entry: The member that sent it.
-        answer: SHA-256 of the answer's body.
+        status: The HTTP status of the response; 0 without a response.
+        endpoint: The endpoint that the call was sent to.
+        entry: The entry that sent the call.
+        answer: SHA-256 of the response body.
     """
 
     time: str
@@ -67,7 +69,7 @@
 
 @attrs.frozen
 class PaidTokens:
-    """The tokens passed on for an account by a service."""
+    """The tokens relayed to callers of an account by a service."""
 
     account: str
     service: str
@@ -79,7 +81,8 @@
     """Returns the period between two times such as `2026-12-03T14`, in UTC.
 
     Raises:
-        SettingError: They are not whole hours, or the end is not later.
+        SettingError: A time is not a whole hour, or the end is not after the
+            start.
     """
     times = []
     for name, text in (("from", start), ("to", end)):
@@ -99,7 +102,10 @@
 
 
 async def list_calls(store: Store, period: Period) -> list[PaidCall]:
-    """Returns the period's calls that are not repeatable, by time and key."""
+    """Returns the period's calls that are not repeatable.
+
+    They are sorted by time, account, service and key.
+    """
     first = period.start_ms // claimkeys.WINDOW_MS
     last = (period.end_ms - 1) // claimkeys.WINDOW_MS
     found = []
@@ -113,7 +119,7 @@
 
 
 async def list_tokens(store: Store, period: Period) -> list[PaidTokens]:
-    """Returns the period's tokens for each account and service."""
+    """Returns the period's tokens, summed by account and service."""
     first = period.start_ms // PERIOD_MS
     after = period.end_ms // PERIOD_MS
     documents: dict[int, list[MeterDocument]] = {}
@@ -143,7 +149,7 @@
 
 
 def _paid_call(name: str, record: ClaimRecord) -> PaidCall | None:
-    """Returns a claim's line; None if it was certainly not sent."""
+    """Returns the call of a claim, or None if it was certainly not sent."""
     if record.state is ClaimState.RELEASED:
         return None
     account, service, key = name.split("/")
@@ -166,7 +172,14 @@
 def _settle_marks(
     documents: dict[int, list[MeterDocument]],
 ) -> Iterable[tuple[int, GenerationMark]]:
-    """Yields each marked stream once, with the last period that marks it."""
+    """Yields each stream that is to be counted by its marks, once.
+
+    A stream whose origin already counted it in its totals is left out.
+
+    Yields:
+        The last period with a mark of the stream, and the mark with the most
+        tokens.
+    """
     marks: dict[str, list[tuple[int, GenerationMark]]] = {}
     last_numbers: dict[str, int] = {}
     marked_at_origin: set[str] = set()
@@ -187,7 +200,8 @@
             and counter <= last_numbers.get(origin, 0)
         )
         if ended_at_origin:
-            # It is in the origin's totals; this was a second reading.
+            # The origin's totals include the stream. The mark comes from a
+            # caller that read the stream again at another entry.
             continue
         longest = max((mark for _, mark in seen), key=lambda m: m.tokens)
         service = next((m.service for _, m in seen if m.service), "")
--- a/rhubarbwinch/claims/claimchanges.py
+++ b/rhubarbwinch/claims/claimchanges.py
@@ -1,4 +1,4 @@
-"""The changes of claims; each looks for its own token first."""
+"""The idempotent changes that are applied to claims in pages."""
 
 import attrs
 
@@ -9,13 +9,13 @@
 
 @attrs.frozen
 class Take:
-    """Claims a name that is free or was released.
+    """Claims a name that is unclaimed or was released.
 
     Attributes:
         name: The claim's name.
-        record: What is written.
-        from_token: The token of an owner that vouched that it never sent;
-            its claim may be replaced. Empty for none.
+        record: The record to write.
+        from_token: The token of a claim that may be replaced, because its
+            owner confirmed that it never sent and never will; empty for none.
     """
 
     name: str
@@ -25,7 +25,7 @@
     def apply(
         self, current: ClaimRecord | None, crowded: bool
     ) -> ClaimRecord | None:
-        """Returns our record if the name may be claimed."""
+        """Returns the new record if the name may be claimed."""
         if current is None:
             return None if crowded else self.record
         if current.state is ClaimState.RELEASED:
@@ -38,14 +38,14 @@
 
 @attrs.frozen
 class Finish:
-    """Records how a claim ended; only with the claim's own token.
+    """Records how a claim ended if the claim still has the given token.
 
     Attributes:
         name: The claim's name.
         token: The token of the claim.
-        state: What it becomes.
-        endpoint: Where the call was sent.
-        outcome: The endpoint's answer, for a completed call.
+        state: The claim's new state.
+        endpoint: The endpoint that the call was sent to; empty for none.
+        outcome: The endpoint's response, for a completed call.
     """
 
     name: str
@@ -57,7 +57,7 @@
     def apply(
         self, current: ClaimRecord | None, crowded: bool
     ) -> ClaimRecord | None:
-        """Returns the claim as it ended."""
+        """Returns the claim in its new state, or unchanged."""
         if current is None or current.token != self.token:
             return current
         if current.state not in _UNFINISHED or current.state is self.state:
--- a/rhubarbwinch/claims/claimfloor.py
+++ b/rhubarbwinch/claims/claimfloor.py
@@ -1,8 +1,9 @@
-"""The oldest keys that are accepted, and the cleanup of pages below them.
+"""Keeps the floor, the oldest accepted key window, and cleans up below it.
 
-The floor in the store only rises. It is raised first, and pages below it are
-deleted a pass later, when no member can still accept a key of theirs. So a
-deleted page never comes back empty under a key that has run.
+The floor in the store only rises. A cleanup pass raises the floor, and the
+next pass deletes the pages below it, when no member can still accept a key in
+them. So a key that has run is never looked up in a page that was deleted and
+created anew.
 """
 
 import attrs
@@ -26,12 +27,12 @@
 
 @attrs.frozen
 class Floor:
-    """What the store holds.
+    """The floor and the cleanup progress, as stored.
 
     Attributes:
         window: Keys of earlier windows are refused.
         cleaned: Pages of earlier windows are deleted.
-        at_ms: Unix time of the last pass.
+        at_ms: Unix time of the last cleanup pass.
     """
 
     window: int = 0
@@ -40,7 +41,7 @@
 
 
 class ClaimFloor:
-    """Reads the floor; a reading is used for at most `REFRESH_MS`.
+    """Reads the floor and caches it for at most `REFRESH_MS`.
 
     Args:
         store: The platform's store.
@@ -76,12 +77,13 @@
 class ClaimCleaner:
     """Raises the floor and deletes the pages below it.
 
-    Several members may run one; a pass that loses its race does nothing.
+    Several members may run a cleaner; a pass whose compare-and-swap fails
+    leaves the floor unchanged.
 
     Args:
         store: The platform's store.
         clock: The source of time.
-        keep_ms: How long claims are kept.
+        keep_ms: The retention of claims.
     """
 
     def __init__(self, store: Store, clock: Clock, keep_ms: int) -> None:
@@ -90,7 +92,7 @@
         self._keep_ms = keep_ms
 
     async def run(self) -> None:
-        """Makes passes until cancelled."""
+        """Runs cleanup passes until cancelled."""
         while True:
             await self._clock.sleep(CHECK_MS)
             try:
@@ -99,13 +101,13 @@
                 events.STORE_DOWN.log(error=str(error))
 
     async def step(self) -> None:
-        """Makes a pass if the last one is long enough ago."""
+        """Runs a pass if the last one was at least `PASS_MS` ago."""
         floor, revision = await read_floor(self._store)
         now = self._clock.wall()
         if now - floor.at_ms < PASS_MS:
             return
         wanted = max(floor.window, (now - self._keep_ms) // WINDOW_MS)
-        # A first pass starts where keys can first be accepted.
+        # The first pass starts at the oldest window that can hold claims.
         cleaned = floor.cleaned or wanted
         count = 0
         for window in range(cleaned, floor.window):
@@ -123,7 +125,7 @@
     """Returns the floor in the store and its revision.
 
     Raises:
-        StoreError: It can't be read; without it no key is accepted.
+        StoreError: The floor can't be read, so no key may be accepted.
     """
     entry = await store.get(keys.CLAIMS_CURSOR)
     if entry is None:
--- a/rhubarbwinch/claims/claimkeys.py
+++ b/rhubarbwinch/claims/claimkeys.py
@@ -1,7 +1,8 @@
-"""Idempotency keys: UUIDv7 (RFC 9562), whose own time names the claim's page.
+"""Parses idempotency keys, which are UUIDv7 (RFC 9562), and finds their pages.
 
-A page is known from the key alone, so a key can be looked up without an index
-and a key older than the retention can be refused without any state.
+The page of a claim follows from the timestamp inside its key. So a key can be
+looked up without an index, and a key older than the retention can be refused
+without any stored state.
 """
 
 import hashlib
@@ -22,12 +23,12 @@
 
 @attrs.frozen
 class ClaimKey:
-    """What a caller's idempotency key stands for.
+    """An idempotency key in the scope of an account and a service.
 
     Attributes:
-        account: The client account; equal keys of two accounts differ.
+        account: The client account; equal UUIDs of two accounts differ.
         service: The service that was called.
-        text: The UUID in its usual form.
+        text: The UUID in canonical form.
         digest: Digest of the request's content.
         retention_ms: How long the service keeps keys.
     """
@@ -40,7 +41,7 @@
 
     @property
     def name(self) -> str:
-        """The claim's name, unique in the whole system."""
+        """The claim's name, unique across the system."""
         return f"{self.account}/{self.service}/{self.text}"
 
     @property
@@ -56,9 +57,9 @@
 
 
 def parse_uuid7(text: str) -> str | None:
-    """Returns the usual form of a UUIDv7, or None for any other text.
+    """Returns the canonical form of a UUIDv7, or None for any other text.
 
-    Quotes around it are allowed: the header is a structured-field string.
+    The UUID may be quoted, since the header is a structured-field string.
     """
     try:
         value = uuid.UUID(text.strip().strip('"'))
@@ -73,6 +74,6 @@
 
 
 def content_digest(method: str, path: str, query: str, body: bytes) -> str:
-    """Returns the digest by which two requests are the same."""
+    """Returns the digest by which two requests are compared."""
     head = f"{method} {path}?{query}\0".encode()
     return hashlib.sha256(head + body).hexdigest()[:_DIGEST_CHARS]
--- a/rhubarbwinch/claims/claimowners.py
+++ b/rhubarbwinch/claims/claimowners.py
@@ -1,4 +1,4 @@
-"""Asks the owners of claims whether they have sent."""
+"""Asks the owners of claims whether they sent or may still send the call."""
 
 import enum
 from typing import Protocol
@@ -13,23 +13,23 @@
 
 
 class Standing(enum.Enum):
-    """What is known of a claim's owner."""
+    """What is known about the owner of a claim."""
 
-    UNSENT = "it vouches that it never sent and never will"
-    HELD = "it is at work, or it did not answer"
-    GONE = "its process is not among the members"
+    UNSENT = "the owner confirms that it never sent and never will"
+    HELD = "the owner may still send, or it did not reply"
+    GONE = "the owner's process is not among the known members"
 
 
 class Owners(Protocol):
-    """Where the owners of claims are asked."""
+    """Asks the owners of claims for their status."""
 
     async def ask(self, record: ClaimRecord) -> Standing:
-        """Returns the standing of a claim's owner."""
+        """Returns the status of a claim's owner."""
         ...
 
 
 class LinkOwners:
-    """Asks owners over the links.
+    """Asks owners of claims over the links.
 
     Args:
         links: The links to the other members.
@@ -41,7 +41,7 @@
         self._members = members
 
     async def ask(self, record: ClaimRecord) -> Standing:
-        """Returns the standing of a claim's owner."""
+        """Returns the status of a claim's owner."""
         owner = self._members.get(record.owner)
         if owner is None or owner.incarnation != record.incarnation:
             return Standing.GONE
@@ -51,6 +51,6 @@
                 owner.link, question, ClaimAnswer, ASK_TIMEOUT_MS
             )
         except (LinkError, CodecError):
-            # Silence vouches for nothing: a paused owner may yet send.
+            # A missing reply proves nothing: a paused owner may still send.
             return Standing.HELD
         return Standing.UNSENT if answer.unsent else Standing.HELD
--- a/rhubarbwinch/claims/claimpages.py
+++ b/rhubarbwinch/claims/claimpages.py
@@ -1,8 +1,9 @@
-"""Pages of claims: many claims in each write, one write in flight a page.
+"""Reads and writes pages of claims, batching the changes of each page.
 
-Every change is idempotent: it looks for its own token in the page first. So a
-page can be read again and the change made again after a lost answer or a lost
-race, without knowing which of the two it was.
+A page has at most one write in flight, which carries many changes. Each
+change is idempotent: it first looks for its own token in the page. So after a
+lost reply or a compare-and-swap conflict, the page is read again and the
+change applied again without knowing which of the two happened.
 """
 
 import collections
@@ -25,8 +26,8 @@
 )
 from rhubarbwinch.stores.store import Entry, Store, Swap
 
-# A page takes no new claims beyond this; the room up to the store's limit is
-# for the outcomes of those that it holds.
+# A page above this size accepts no new claims. The rest, up to the store's
+# value limit, is reserved for the outcomes of the claims in the page.
 CROWDED_PAGE_BYTES = 450_000
 MAX_BATCH = 256
 MAX_ATTEMPTS = 20
@@ -36,7 +37,7 @@
 
 
 class ClaimState(enum.StrEnum):
-    """How far a claim has come."""
+    """The state of a claim."""
 
     CLAIMED = "claimed"
     COMPLETED = "completed"
@@ -46,14 +47,14 @@
 
 @attrs.frozen
 class Outcome:
-    """What the endpoint answered.
+    """The recorded response of the endpoint.
 
     Attributes:
         status: The HTTP status.
-        content_type: Of the answer.
-        body: The answer; empty if it was too long to be kept.
-        digest: SHA-256 of the whole answer.
-        kept: Whether `body` is the whole answer.
+        content_type: The content type of the response.
+        body: The response body; empty if it was too long to be kept.
+        digest: SHA-256 of the whole response body.
+        kept: Whether `body` is the whole response body.
     """
 
     status: int
@@ -65,17 +66,17 @@
 
 @attrs.frozen
 class ClaimRecord:
-    """A claim as it stands in its page.
+    """A claim as stored in its page.
 
     Attributes:
-        token: Random, new with each try to claim.
-        owner: The member that made it.
+        token: A random token, new for each attempt to claim.
+        owner: The member that made the claim.
         incarnation: The owner's incarnation.
-        state: How far it has come.
+        state: The claim's state.
         request: Digest of the request's content.
         at_ms: Unix time of the claim.
-        endpoint: Where it was sent.
-        outcome: The answer, once completed.
+        endpoint: The endpoint that the call was sent to; empty for none.
+        outcome: The endpoint's response, once the call has completed.
     """
 
     token: str
@@ -106,18 +107,18 @@
     def apply(
         self, current: ClaimRecord | None, crowded: bool
     ) -> ClaimRecord | None:
-        """Returns the record to be written; `current` itself for no change.
+        """Returns the record to write, or `current` itself for no change.
 
         Args:
-            current: The claim as the page has it.
-            crowded: Whether the page has no room for more claims.
+            current: The claim in the page, or None if there is none.
+            crowded: Whether the page accepts no more claims.
         """
         ...
 
 
 @attrs.define
 class _Pending:
-    """A change that waits for its write, or a read without change."""
+    """A queued change of a claim, or a queued read."""
 
     name: str
     change: PageChange | None
@@ -131,7 +132,7 @@
 
 @attrs.frozen
 class _Known:
-    """A page as it was last seen, with its encoded size in bytes."""
+    """A page as last read or written, with its encoded size in bytes."""
 
     page: Page
     revision: int
@@ -140,7 +141,7 @@
 
 @attrs.define
 class PageCounters:
-    """What the pages cost; for metrics and measurements."""
+    """Counts the store operations on pages, for measurements."""
 
     reads: int = 0
     writes: int = 0
@@ -149,13 +150,13 @@
 
 
 class ClaimPages:
-    """Reads and changes pages; `run` must be running.
+    """Reads and changes pages while its `run` is running.
 
     Args:
         store: The platform's store.
         clock: The source of time.
-        writes_per_s: The most writes that this process makes in a second.
-        batched: Whether a write carries more than one change.
+        writes_per_s: The most writes that this process makes per second.
+        batched: Whether one write may carry several changes.
     """
 
     def __init__(
@@ -178,7 +179,7 @@
         self._tasks: anyio.abc.TaskGroup | None = None
 
     async def run(self) -> None:
-        """Keeps the pages' tasks until cancelled."""
+        """Runs the tasks that read and write pages, until cancelled."""
         try:
             async with anyio.create_task_group() as tasks:
                 self._tasks = tasks
@@ -192,13 +193,13 @@
     async def read(
         self, page: str, name: str
     ) -> Result[ClaimRecord | None, StoreError]:
-        """Returns a claim as the store holds it now."""
+        """Returns a claim as currently stored, or None."""
         return await self._submit(page, _Pending(name, None))
 
     async def change(
         self, page: str, change: PageChange
     ) -> Result[ClaimRecord | None, StoreError]:
-        """Makes a change; returns the claim as it then stands."""
+        """Applies a change; returns the claim as stored afterwards."""
         return await self._submit(page, _Pending(change.name, change))
 
     async def _submit(
@@ -213,15 +214,16 @@
             self._tasks.start_soon(self._work, page)
         await pending.done.wait()
         if pending.result is None:
-            raise AssertionError("a change was woken without a result")
+            raise AssertionError("a change finished without a result")
         return pending.result
 
     async def _work(self, page: str) -> None:
-        """Writes batches of a page until none is left."""
+        """Processes the queue of a page in batches until it is empty."""
         queue = self._queues[page]
         while queue:
             if any(pending.change for pending in queue):
-                # More may come while this write waits for its turn.
+                # More changes can be queued during this delay; the batch is
+                # taken afterwards to include them.
                 await self._pace()
             count = min(len(queue), self._batch)
             batch = [queue.popleft() for _ in range(count)]
@@ -236,7 +238,7 @@
         del self._queues[page]
 
     async def _pace(self) -> None:
-        """Waits for this write's turn."""
+        """Delays a write to keep to the process's write rate."""
         now = self._clock.now()
         earliest = now - BURST_WRITES * self._interval_ms
         self._next_write = max(self._next_write, earliest) + self._interval_ms
@@ -252,8 +254,8 @@
         for _ in range(MAX_ATTEMPTS):
             wanted = _apply(known, batch)
             if wanted is known.page and not is_fresh:
-                # Another entry may have written since; only the store knows
-                # that there is nothing to do.
+                # Another entry may have written the page since it was cached.
+                # Only a fresh read shows that no change is needed.
                 known = await self._fetch(page)
                 is_fresh = True
                 continue
@@ -264,8 +266,8 @@
             try:
                 swap = await self._swap(page, known.revision, data)
             except StoreUncertain:
-                # The page tells whether the write took effect: our tokens
-                # stand in it or do not.
+                # The write took effect if the page contains the tokens of the
+                # batch, so the page is read again.
                 lost_answers += 1
                 if lost_answers > MAX_LOST_ANSWERS:
                     raise
@@ -280,7 +282,7 @@
             self.counters.lost_races += 1
             known = _known(swap.current)
             is_fresh = True
-            # A lost write counts against the store's rate as well.
+            # A write that failed on a conflict counts towards the rate too.
             await self._pace()
         raise StoreUncertain(f"{page}: lost {MAX_ATTEMPTS} races")
 
@@ -293,7 +295,12 @@
         return _known(await self._store.get(page))
 
     async def _fetch_uncertain(self, page: str) -> _Known:
-        """Reads a page after a lost answer; a failure leaves it uncertain."""
+        """Reads a page after a lost reply.
+
+        Raises:
+            StoreUncertain: The read failed too, so it stays unknown whether
+                the write took effect.
+        """
         try:
             return await self._fetch(page)
         except StoreUnavailable as error:
@@ -316,7 +323,7 @@
 
 
 def _apply(known: _Known, batch: list[_Pending]) -> Page:
-    """Returns the page with all changes; the same object if none changed."""
+    """Returns the page with all changes, or the same object if unchanged."""
     crowded = known.size > CROWDED_PAGE_BYTES
     claims = dict(known.page.claims)
     changed = False
--- a/rhubarbwinch/claims/claimrouting.py
+++ b/rhubarbwinch/claims/claimrouting.py
@@ -1,9 +1,10 @@
-"""Sends changes of a page to one entry, so that writers do not race.
+"""Routes the changes of a page to one entry, its writer, to avoid conflicts.
 
-Which entry that is follows from the members alone. Two entries that each take
-themselves for a page's writer only race; the compare-and-swap keeps the page
-right. So without an answer a change is made directly: it is idempotent, and a
-late one at the other entry finds its own token or changes nothing.
+The writer of a page is determined by the member list alone. If two entries
+both act as the writer, their writes conflict, and the compare-and-swap keeps
+the page correct. So if the writer doesn't reply, the change is applied
+directly. This is safe because changes are idempotent: if the writer applies
+the same change late, it finds the change's token or changes nothing.
 """
 
 from typing import Protocol
@@ -20,7 +21,7 @@
 from rhubarbwinch.shared.exceptions import CodecError, LinkError, StoreError
 
 CALL_TIMEOUT_MS = 1_000
-# A writer that was silent is not asked again for so long.
+# A writer that did not reply is not asked again for this time.
 SILENT_MS = 5_000
 
 
@@ -30,25 +31,25 @@
     async def read(
         self, page: str, name: str
     ) -> Result[ClaimRecord | None, StoreError]:
-        """Returns a claim as the store holds it now."""
+        """Returns a claim as currently stored, or None."""
         ...
 
     async def change(
         self, page: str, change: Take | Finish
     ) -> Result[ClaimRecord | None, StoreError]:
-        """Makes a change; returns the claim as it then stands."""
+        """Applies a change; returns the claim as stored afterwards."""
         ...
 
 
 @attrs.frozen
 class PageCall:
-    """Asks a page's writer for a change, or only for the claim.
+    """Asks a page's writer to change a claim, or only to read it.
 
     Attributes:
         page: The page's key in the store.
         name: The claim's name.
-        take: The change, if it is one of these.
-        finish: The change, if it is one of these.
+        take: The change, if it is a `Take`.
+        finish: The change, if it is a `Finish`.
     """
 
     page: str
@@ -59,11 +60,11 @@
 
 @attrs.frozen
 class PageReply:
-    """The writer's answer.
+    """The writer's reply.
 
     Attributes:
-        done: Whether the store did it.
-        record: The claim as it then stood.
+        done: Whether the store operation succeeded.
+        record: The claim as stored afterwards, or None.
     """
 
     done: bool
@@ -71,11 +72,11 @@
 
 
 class RoutedPages:
-    """Has pages read and changed by their writers.
+    """Reads and changes pages through their writers.
 
     Args:
-        pages: Reads and changes the pages that are ours, and others when their
-            writer does not answer.
+        pages: Reads and changes the pages whose writer is this entry, and
+            other pages if their writer doesn't reply.
         links: The links to the other entries.
         members: The known members.
         clock: The source of time.
@@ -93,7 +94,7 @@
     async def read(
         self, page: str, name: str
     ) -> Result[ClaimRecord | None, StoreError]:
-        """Returns a claim as the store holds it now."""
+        """Returns a claim as currently stored, or None."""
         reply = await self._ask(PageCall(page, name))
         if reply is not None:
             return Ok(reply.record)
@@ -102,7 +103,7 @@
     async def change(
         self, page: str, change: Take | Finish
     ) -> Result[ClaimRecord | None, StoreError]:
-        """Makes a change; returns the claim as it then stands."""
+        """Applies a change; returns the claim as stored afterwards."""
         if isinstance(change, Take):
             call = PageCall(page, change.name, take=change)
         else:
@@ -113,7 +114,7 @@
         return await self._pages.change(page, change)
 
     async def answer(self, call: PageCall) -> PageReply:
-        """Does what another entry asks for, also for a page not ours."""
+        """Handles another entry's call, even if this isn't the writer."""
         change = call.take or call.finish
         if change is None:
             result = await self._pages.read(call.page, call.name)
@@ -124,7 +125,7 @@
         return PageReply(done=True, record=result.ok_value)
 
     async def _ask(self, call: PageCall) -> PageReply | None:
-        """Returns the writer's answer; None to do it here."""
+        """Returns the writer's reply, or None to access the page directly."""
         writer = self._writer(call.page)
         if writer is None:
             return None
@@ -138,7 +139,10 @@
         return reply if reply.done else None
 
     def _writer(self, page: str) -> Member | None:
-        """Returns the page's writer, or None if that is this entry."""
+        """Returns the page's writer, or None to access the page directly.
+
+        This is so if the writer is this entry or recently didn't reply.
+        """
         entries = {m.name: m for m in self._members.serving(Role.ENTRY)}
         name = rendezvous.owner(page, entries)
         if name is None or name == self._members.me.name:
--- a/rhubarbwinch/claims/claims.py
+++ b/rhubarbwinch/claims/claims.py
@@ -1,8 +1,9 @@
-"""At most once: a key is claimed in the store before anything is sent.
+"""Runs calls at most once by claiming their key in the store before sending.
 
-The claim in the store is the only permission to send. Nobody else is given it
-while the claim's owner might still use it: not when a lease lapses, not when
-the owner is silent. docs/design/claims.md weighs this against leases.
+Only the owner of the claim in the store may send the call. The claim is given
+to no other member while its owner might still send, even if the owner's lease
+has expired or it doesn't reply. docs/design/claims.md compares this with
+leases.
 """
 
 import enum
@@ -30,14 +31,14 @@
 MAX_POLL_MS = 1_000
 RETRY_AFTER_MS = 1_000
 RECORD_RETRY_MS = 1_000
-# A process that was paused for longer gives its claim up instead of sending.
+# A process that was paused for longer than this does not send under its claim.
 MAX_HOLD_MS = 5_000
 MAX_KEPT_BODY_BYTES = 1_024
 MAX_UNRECORDED_RELEASES = 10_000
 
 
 class _Stage(enum.Enum):
-    """How far the owner itself has come with a claim."""
+    """The state of a claim within its owner's process."""
 
     HELD = enum.auto()
     SENT = enum.auto()
@@ -49,9 +50,9 @@
     """A claim that this process holds.
 
     Attributes:
-        key: What is claimed.
-        token: Its token in the page.
-        endpoint: Where it was sent last.
+        key: The claimed idempotency key.
+        token: The claim's token in its page.
+        endpoint: The endpoint that the call was last sent to.
     """
 
     key: ClaimKey
@@ -63,49 +64,50 @@
 
     @property
     def sent(self) -> bool:
-        """Whether bytes may have gone out."""
+        """Whether bytes of the call may have been sent."""
         return self._stage is _Stage.SENT
 
     def start_hold(self, clock: Clock) -> None:
-        """Notes the time before which the claim was certainly not ours."""
+        """Records the time, which is before the claim is written."""
         self._taken_now, self._taken_wall = clock.now(), clock.wall()
 
     def held_ms(self, clock: Clock) -> int:
-        """Returns how long it has been held.
+        """Returns how long the claim has been held, in ms.
 
-        The monotonic clock stands still while a VM is suspended, so the wall
-        clock counts as well.
+        The monotonic clock stops while a VM is suspended, so the longer of
+        the times by the monotonic and the wall clock is used.
         """
         wall = clock.wall() - self._taken_wall
         return max(clock.now() - self._taken_now, wall)
 
     def mark_sent(self, endpoint: str) -> None:
-        """Notes that bytes may go out from now on."""
+        """Records that bytes of the call may be sent from now on."""
         if self._stage is _Stage.ENDED:
-            raise AssertionError("a claim that was given up is not sent")
+            raise AssertionError("cannot send under an abandoned claim")
         self._stage = _Stage.SENT
         self.endpoint = endpoint
 
     def mark_unsent(self) -> None:
-        """Notes that a send failed before its first byte."""
+        """Records that an attempt failed before its first byte was sent."""
         self._stage = _Stage.HELD
 
     def end(self) -> None:
-        """Notes that nothing is sent under this claim any more."""
+        """Records that nothing will be sent under this claim."""
         self._stage = _Stage.ENDED
 
 
 class Claims:
-    """The claims of this process.
+    """Makes, finds and finishes the claims of this process.
 
     Args:
-        pages: Where claims are kept; its `run` must be running too.
-        owners: Asks the owners of other claims.
-        floor: The oldest keys that are accepted.
+        pages: Reads and changes the claims in the store; its `run` must be
+            running too.
+        owners: Asks the owners of other claims for their status.
+        floor: Returns the oldest key window that is accepted.
         clock: The source of time.
-        rng: Makes tokens.
+        rng: Generates tokens.
         member: This member's name.
-        incarnation: This process's number.
+        incarnation: This process's incarnation.
     """
 
     def __init__(
@@ -125,27 +127,29 @@
         self._rng = rng
         self._member = member
         self._incarnation = incarnation
-        # Every token under which this process may yet send, or has sent
-        # without the outcome in the store. It vouches for all others.
+        # The claims under which this process may still send, or has sent
+        # without recording the outcome in the store. For any other token of
+        # this incarnation, `answer` confirms that it is never used to send.
         self._held: dict[str, Claim] = {}
         self._unrecorded: dict[str, tuple[str, Finish]] = {}
 
     async def run(self) -> None:
-        """Writes outcomes that the store missed, until cancelled."""
+        """Retries writes of outcomes that failed, until cancelled."""
         while True:
             await self._clock.sleep(RECORD_RETRY_MS)
             for page, finish in list(self._unrecorded.values()):
                 await self._record(page, finish)
 
     async def answer(self, question: ClaimQuestion) -> ClaimAnswer:
-        """Tells another member whether a claim of ours can still be sent."""
+        """Replies whether a claim of this process is unsent and stays so."""
         ours = question.incarnation == self._incarnation
         return ClaimAnswer(ours and question.token not in self._held)
 
     async def find(self, key: ClaimKey) -> Result[Outcome | None, Failure]:
         """Returns the recorded outcome, or None if the key may be claimed.
 
-        A claim that another request holds is waited for.
+        If another request holds a claim on the key, its outcome is awaited
+        for at most `WAIT_MS`.
         """
         end = self._clock.now() + WAIT_MS
         pause = FIRST_POLL_MS
@@ -161,7 +165,7 @@
             if settled is not None:
                 return settled
             if record is None:
-                raise AssertionError("an absent claim settles")
+                raise AssertionError("an absent claim must be settled")
             standing = await self._ask(record)
             if standing is Standing.UNSENT:
                 return Ok(None)
@@ -174,32 +178,36 @@
         """Claims a key.
 
         Returns:
-            The claim, or the failure; `IN_PROGRESS` if another was first.
+            The claim, or the failure; `IN_PROGRESS` if another request
+            claimed the key first.
         """
         claim = Claim(key, f"{self._rng.getrandbits(128):032x}")
-        # The token is held before it is written: an answer to a question
-        # about it must never come before the decision not to use it.
+        # The token is registered before it is written, so that `answer` never
+        # confirms it as unused while it may still be used to send.
         self._held[claim.token] = claim
         failure: Failure | None = _in_progress()
         try:
             claim.start_hold(self._clock)
             failure = await self._claim(claim)
             if failure is None:
-                # The page may have been deleted and made anew by this claim
-                # if the process was paused for very long before it.
+                # If the process was paused for very long before the write,
+                # the page may have been deleted and created anew by this
+                # claim, so the key's age is checked again.
                 failure = await self._check_time(key)
         finally:
-            # Also on cancellation, when the write may be under way.
+            # This also runs on cancellation, when the write may be in flight.
             if failure is not None:
                 self._abandon(claim)
         return Ok(claim) if failure is None else Err(failure)
 
     def begin_send(self, claim: Claim, endpoint: str) -> bool:
-        """Tells whether a send may start now; nothing is awaited before it.
+        """Marks the claim as sent and returns whether the call may be sent.
 
-        False after a pause in which others were told that the outcome is
-        unknown. A pause between this check and the first byte can't be seen;
-        the claim still holds through it, because nobody takes it over.
+        The caller must send without awaiting anything in between. The result
+        is False after a pause of over `MAX_HOLD_MS`, in which other members
+        may have reported the outcome as unknown. A pause between this check
+        and the first byte can't be detected. The claim stays valid during
+        such a pause because no other member takes it over.
         """
         if claim.held_ms(self._clock) > MAX_HOLD_MS:
             events.CLAIM_HELD_TOO_LONG.log(claim=claim.key.name)
@@ -208,7 +216,7 @@
         return True
 
     async def complete(self, claim: Claim, outcome: Outcome) -> None:
-        """Records the endpoint's answer."""
+        """Records the endpoint's response."""
         await self._finish(claim, ClaimState.COMPLETED, outcome)
 
     async def lose(self, claim: Claim) -> None:
@@ -216,7 +224,7 @@
         await self._finish(claim, ClaimState.MAY_HAVE_RUN)
 
     async def release(self, claim: Claim) -> None:
-        """Records that nothing was sent and nothing will be."""
+        """Records that nothing was sent under the claim and nothing will be."""
         self._abandon(claim)
         pending = self._unrecorded.get(claim.token)
         if pending is not None:
@@ -273,11 +281,12 @@
     async def _give_up(
         self, key: ClaimKey, record: ClaimRecord, standing: Standing
     ) -> Failure:
-        """Returns the failure of a request whose wait is over."""
+        """Returns the failure of a request that waited for too long."""
         if standing is not Standing.GONE:
             return _in_progress()
-        # The owner's process is gone, and what it did is not known. Should it
-        # be there after all, its own token still lets it write the outcome.
+        # The owner's process is not a member, and whether it sent the call is
+        # unknown. If it still runs after all, it can record the outcome
+        # later, because the claim keeps its token.
         finish = Finish(key.name, record.token, ClaimState.MAY_HAVE_RUN)
         await self._pages.change(key.page, finish)
         return _unknown()
@@ -304,10 +313,11 @@
         self._unrecorded[finish.token] = (page, finish)
 
     def _abandon(self, claim: Claim) -> None:
-        """Gives a claim up unsent; its release is written when it can be.
+        """Abandons an unsent claim and schedules the write of its release.
 
-        Until then, or if the claim's own write takes effect even later, this
-        process vouches for it and the next request takes it over.
+        Until the release is written, or if the claim's own write takes effect
+        only later, this process confirms to others that the claim is unused,
+        so the next request takes it over.
         """
         claim.end()
         self._held.pop(claim.token, None)
@@ -317,7 +327,7 @@
 
 
 def make_outcome(status: int, content_type: str, body: bytes) -> Outcome:
-    """Returns the outcome to record; a long answer is kept as a digest."""
+    """Returns the outcome to record; of a long body only the digest."""
     kept = len(body) <= MAX_KEPT_BODY_BYTES
     return Outcome(
         status=status,
@@ -331,7 +341,7 @@
 def _settle(
     key: ClaimKey, record: ClaimRecord | None
 ) -> Result[Outcome | None, Failure] | None:
-    """Returns what a claim's record alone decides, or None to wait."""
+    """Returns the result that the record alone determines, or None to wait."""
     if record is None:
         return Ok(None)
     if record.request != key.digest:
@@ -349,7 +359,8 @@
 
 
 def _store_failure(error: StoreError) -> Failure:
-    # The verdict is of this request; an earlier one with the key may have run.
+    # The verdict is about this request only. An earlier request with the same
+    # key may have run.
     detail = f"nothing was sent; try again with the same key ({error})"
     return not_run(Reason.STORE_UNAVAILABLE, detail, RETRY_AFTER_MS)
 
--- a/rhubarbwinch/claims/quarantine.py
+++ b/rhubarbwinch/claims/quarantine.py
@@ -1,8 +1,10 @@
-"""Requests under which endpoints die: strikes, trials and quarantine.
+"""Quarantines requests that crash endpoints.
 
-A request is known by the digest of its account and content. Each endpoint that
-dies under it is a strike. With one strike it may run once more in the whole
-system; the store decides which run that is. With two it is refused everywhere.
+A request is identified by the digest of its account and content. Each endpoint
+that dies while it runs the request is a strike. After one strike the request
+is a suspect: only one more run, its trial, is allowed in the whole system, and
+the store decides which run that is. After two strikes it is in quarantine and
+refused everywhere.
 """
 
 from collections.abc import Awaitable, Callable
@@ -35,27 +37,27 @@
 
 
 class Sharer(Protocol):
-    """Tells all members, as gossip does."""
+    """Broadcasts updates to all members, as gossip does."""
 
     def share(self, kind: str, key: str, data: bytes) -> None:
-        """Tells every other member."""
+        """Broadcasts an update to all other members."""
         ...
 
     def on(
         self, kind: str, handler: Callable[[str, bytes], Awaitable[None]]
     ) -> None:
-        """Sets what takes news of a kind."""
+        """Sets the handler of received updates of a kind."""
         ...
 
 
 @attrs.frozen
 class Suspect:
-    """A request under which an endpoint died.
+    """A request during a run of which an endpoint died.
 
     Attributes:
-        fingerprint: Digest of account and content.
-        strikes: The runs under which an endpoint died, oldest first.
-        trial: The run that is allowed after the first strike.
+        fingerprint: Digest of the request's account and content.
+        strikes: The runs during which an endpoint died, oldest first.
+        trial: The run that is allowed after the first strike; empty for none.
         at_ms: Unix time of the last strike.
     """
 
@@ -66,26 +68,31 @@
 
     @property
     def is_quarantined(self) -> bool:
-        """Whether it is refused everywhere."""
+        """Whether the request is refused everywhere."""
         return len(self.strikes) >= MAX_STRIKES
 
 
 @attrs.frozen
 class EndpointLock:
-    """Held while a suspect runs on an endpoint."""
+    """The lock that a run of a suspect holds on its endpoint.
+
+    Attributes:
+        run: The run that holds the lock.
+        at_ms: Unix time of the acquisition.
+    """
 
     run: str
     at_ms: int
 
 
 class Quarantine:
-    """What this member knows of suspects.
+    """Records strikes and decides which runs of suspects may start.
 
     Args:
-        store: Keeps suspects for members that start later.
-        sharer: Tells the members that are there.
+        store: Stores the suspects, also for members that start later.
+        sharer: Broadcasts strikes to the current members.
         clock: The source of time.
-        spread_ms: How long news takes to reach the members.
+        spread_ms: The time in which a broadcast reaches all members.
     """
 
     def __init__(
@@ -105,7 +112,7 @@
         sharer.on(KIND, self._take_news)
 
     async def run(self) -> None:
-        """Reads the store's suspects now and then, until cancelled."""
+        """Loads the suspects from the store periodically, until cancelled."""
         while True:
             try:
                 await self.load()
@@ -116,7 +123,7 @@
             await self._clock.sleep(wait)
 
     async def load(self) -> None:
-        """Reads all suspects; writes strikes that the store missed."""
+        """Loads all suspects after retrying writes of strikes that failed."""
         for run, fingerprint in list(self._unsaved.items()):
             await self._save_strike(fingerprint, run)
         listing = await self._store.scan(keys.SUSPECTS)
@@ -130,20 +137,20 @@
         self._is_loaded = True
 
     async def wait_loaded(self, limit_ms: int) -> None:
-        """Waits until the store's suspects are known, up to a limit."""
+        """Waits at most `limit_ms` until the suspects are first loaded."""
         end = self._clock.now() + limit_ms
         while not self._is_loaded and self._clock.now() < end:
             await self._clock.sleep(LOAD_POLL_MS)
 
     def get(self, fingerprint: str) -> Suspect | None:
-        """Returns what is known of a request; None if it is no suspect."""
+        """Returns the suspect with a fingerprint, or None if there is none."""
         return self._suspects.get(fingerprint)
 
     async def strike(self, fingerprint: str, run: str) -> None:
-        """Notes that an endpoint died under a run, and tells everybody.
+        """Records and broadcasts that an endpoint died during a run.
 
-        Returns only when the others can know it, so that a caller which sends
-        its request again to another member finds it known there.
+        Returns only after the broadcast has had time to reach all members, so
+        that a caller's retry at another member finds the strike there.
         """
         now = self._clock.wall()
         events.ENDPOINT_STRIKE.log(fingerprint=fingerprint, run=run)
@@ -154,13 +161,13 @@
         try:
             await self._save_strike(fingerprint, run)
         except StoreError as error:
-            # It is written with the next reading; peers know it already.
+            # `load` retries the write. Other members have the broadcast.
             events.STORE_DOWN.log(error=str(error))
         if self._spread_ms:
             await self._clock.sleep(self._spread_ms)
 
     async def clear(self, fingerprint: str) -> None:
-        """Forgets a suspect that has finished."""
+        """Removes a suspect, because one of its runs has finished."""
         if self._suspects.pop(fingerprint, None) is None:
             return
         events.SUSPECT_CLEARED.log(fingerprint=fingerprint)
@@ -172,16 +179,17 @@
             if entry is not None:
                 await self._store.delete(key, entry.revision)
         except StoreError as error:
-            # The record lapses by itself; until then it costs one trial.
+            # The stored record expires by itself. Until then the request may
+            # need one more trial.
             events.STORE_DOWN.log(error=str(error))
 
     async def wait_trial(self, fingerprint: str, run: str) -> bool:
-        """Tells whether a run of a suspect may start, after a wait.
+        """Waits for a suspect's trial; returns whether the run may start.
 
-        Another run of it may be about to clear it.
+        The wait gives another run of the suspect time to finish and clear it.
 
         Raises:
-            StoreError: It can't be known, so the run must not start.
+            StoreError: The store is unavailable, so the run must not start.
         """
         end = self._clock.now() + LOCK_WAIT_MS
         while not await self.begin_trial(fingerprint, run):
@@ -194,10 +202,13 @@
         return True
 
     async def begin_trial(self, fingerprint: str, run: str) -> bool:
-        """Tells whether a run may start: cleared, or the one that is allowed.
+        """Returns whether a run of a suspect may start.
+
+        The run may start if the suspect has been cleared or if this run
+        becomes its trial.
 
         Raises:
-            StoreError: It can't be known, so the run must not start.
+            StoreError: The store is unavailable, so the run must not start.
         """
         for struck in [r for r, f in self._unsaved.items() if f == fingerprint]:
             await self._save_strike(fingerprint, struck)
@@ -209,14 +220,14 @@
 
         suspect = await self._update(fingerprint, claim)
         if not suspect.strikes:
-            # It has finished meanwhile.
+            # Another run finished and cleared the suspect.
             self._suspects.pop(fingerprint, None)
             return True
         self._merge(suspect)
         return suspect.trial == run and not suspect.is_quarantined
 
     async def end_trial(self, fingerprint: str, run: str) -> None:
-        """Gives a trial back that neither finished nor killed its endpoint."""
+        """Releases a trial that neither finished nor killed its endpoint."""
 
         def free(suspect: Suspect) -> Suspect:
             if suspect.trial != run:
@@ -226,14 +237,14 @@
         try:
             await self._update(fingerprint, free)
         except StoreError as error:
-            # Other runs of it are refused until the record lapses.
+            # Other runs of the suspect are refused until the record expires.
             events.STORE_DOWN.log(error=str(error))
 
     async def wait_lock(self, endpoint: str, run: str) -> bool:
-        """Waits until a suspect may run on an endpoint; False if it may not.
+        """Waits for the endpoint's lock; returns whether it was acquired.
 
         Raises:
-            StoreError: It can't be known.
+            StoreError: The store is unavailable, so the run must not start.
         """
         end = self._clock.now() + LOCK_WAIT_MS
         while not await self.lock(endpoint, run):
@@ -243,10 +254,12 @@
         return True
 
     async def lock(self, endpoint: str, run: str) -> bool:
-        """Tells whether a suspect may run on an endpoint, alone of its kind.
+        """Tries to acquire the lock that keeps suspects apart on an endpoint.
+
+        Returns whether the run holds the lock.
 
         Raises:
-            StoreError: It can't be known.
+            StoreError: The store is unavailable, so the run must not start.
         """
         key = keys.trial(endpoint)
         now = self._clock.wall()
@@ -264,14 +277,14 @@
             return found is not None and found.value == data
 
     async def unlock(self, endpoint: str, run: str) -> None:
-        """Lets other suspects run on an endpoint."""
+        """Releases the endpoint's lock if the run holds it."""
         key = keys.trial(endpoint)
         try:
             entry = await self._store.get(key)
             if entry and codec.decode(entry.value, EndpointLock).run == run:
                 await self._store.delete(key, entry.revision)
         except StoreError as error:
-            # The lock lapses by itself.
+            # The lock expires by itself.
             events.STORE_DOWN.log(error=str(error))
 
     async def _take_news(self, _: str, data: bytes) -> None:
@@ -308,10 +321,11 @@
     async def _update(
         self, fingerprint: str, change: Callable[[Suspect], Suspect]
     ) -> Suspect:
-        """Changes a record by compare-and-swap; the change is idempotent.
+        """Applies an idempotent change to a record by compare-and-swap.
 
         Raises:
-            StoreError: The change was not made, or may have been made.
+            StoreError: The change failed, or it is unknown whether it took
+                effect.
         """
         key = keys.suspect(fingerprint)
         for _ in range(MAX_RACES):
@@ -326,7 +340,8 @@
                     key, expected, codec.encode(wanted)
                 )
             except StoreUncertain:
-                # Read again: the change finds itself done or is made again.
+                # The next attempt reads the record again and finds the change
+                # already made, or applies it again.
                 continue
             if swap.won:
                 return wanted
--- a/rhubarbwinch/claims/repeatable.py
+++ b/rhubarbwinch/claims/repeatable.py
@@ -1,4 +1,4 @@
-"""Which requests run at most once, and their recorded answers."""
+"""Decides which requests run at most once and replays recorded outcomes."""
 
 from rhubarbwinch.claims import claimkeys
 from rhubarbwinch.claims.claimkeys import ClaimKey
@@ -11,9 +11,9 @@
 
 
 def is_repeatable(service: ServiceSpec, method: str, path: str) -> bool:
-    """Tells whether a call may run more than once.
+    """Returns whether a call may run more than once.
 
-    An operation that ends in `*` stands for all paths that start so.
+    An operation that ends in `*` matches all paths with that prefix.
     """
     called = f"{method} {path}"
     for operation in service.not_repeatable:
@@ -27,9 +27,10 @@
 def claim_key(
     account: str, name: str, service: ServiceSpec, request: Request, path: str
 ) -> ClaimKey | None:
-    """Returns the key under which a request runs at most once.
+    """Returns the key under which a request runs at most once, or None.
 
-    The service's record or the caller, by sending a key, asks for it.
+    A request runs at most once if the service's record demands it or the
+    caller sends an idempotency key. Otherwise the result is None.
 
     Raises:
         Refused: The key is missing or not a UUIDv7.
@@ -51,10 +52,10 @@
 
 
 async def replay(outcome: Outcome, responder: Responder) -> None:
-    """Sends a recorded answer again.
+    """Sends the recorded response of a call again.
 
     Raises:
-        Refused: The answer was too long to be kept; the call ran.
+        Refused: The call ran, but its response was too long to be kept.
     """
     if not outcome.kept:
         detail = (
