--- a/rhubarbwinch/claims/audit.py
+++ b/rhubarbwinch/claims/audit.py
@@ -26,7 +26,7 @@
 
 # One scan reads the pages whose window numbers differ only in the last digit,
 # because they share a key prefix.
-WINDOWS_A_SCAN = 10
+WINDOWS_PER_SCAN = 10
 # A stream can be resumed or end in a later hour than it started in, so marks
 # are also read for this many hours before and after the period.
 MARGIN_PERIODS = 24
@@ -109,12 +109,12 @@
     first = period.start_ms // claimkeys.WINDOW_MS
     last = (period.end_ms - 1) // claimkeys.WINDOW_MS
     found = []
-    for group in range(first // WINDOWS_A_SCAN, last // WINDOWS_A_SCAN + 1):
-        prefix = keys.claims_window(group * WINDOWS_A_SCAN)[:-1]
+    for group in range(first // WINDOWS_PER_SCAN, last // WINDOWS_PER_SCAN + 1):
+        prefix = keys.claims_window(group * WINDOWS_PER_SCAN)[:-1]
         for entry in (await store.scan(prefix)).entries:
             claims = codec.decode(entry.value, Page).claims
             found += [_paid_call(n, record) for n, record in claims.items()]
-    listed = [call for call in found if call and _is_in(call, period)]
+    listed = [call for call in found if call and _is_in_period(call, period)]
     return sorted(listed, key=lambda c: (c.time, c.account, c.service, c.key))
 
 
@@ -134,7 +134,7 @@
         for document in documents[number]:
             for count in document.counts:
                 _add(totals, count)
-    for number, mark in _settle_marks(documents):
+    for number, mark in _resolve_marks(documents):
         if first <= number < after:
             _add(totals, MeterCount(mark.account, mark.service, 1, mark.tokens))
     return [
@@ -143,7 +143,7 @@
     ]
 
 
-def _is_in(call: PaidCall, period: Period) -> bool:
+def _is_in_period(call: PaidCall, period: Period) -> bool:
     time_ms = claimkeys.time_of(call.key)
     return period.start_ms <= time_ms < period.end_ms
 
@@ -169,7 +169,7 @@
     )
 
 
-def _settle_marks(
+def _resolve_marks(
     documents: dict[int, list[MeterDocument]],
 ) -> Iterable[tuple[int, GenerationMark]]:
     """Yields each stream that is to be counted by its marks, once.
@@ -193,7 +193,7 @@
                 marks.setdefault(mark.generation, []).append((number, mark))
                 if origin_of(mark.generation)[0] == document.incarnation:
                     marked_at_origin.add(mark.generation)
-    for generation, seen in marks.items():
+    for generation, period_marks in marks.items():
         origin, counter = origin_of(generation)
         ended_at_origin = (
             generation not in marked_at_origin
@@ -203,16 +203,18 @@
             # The origin's totals include the stream. The mark comes from a
             # caller that read the stream again at another entry.
             continue
-        longest = max((mark for _, mark in seen), key=lambda m: m.tokens)
-        service = next((m.service for _, m in seen if m.service), "")
+        longest = max(
+            (mark for _, mark in period_marks), key=lambda m: m.tokens
+        )
+        service = next((m.service for _, m in period_marks if m.service), "")
         yield (
-            max(number for number, _ in seen),
+            max(number for number, _ in period_marks),
             attrs.evolve(longest, service=service),
         )
 
 
-def _add(totals: dict[tuple[str, str], MeterCount], more: MeterCount) -> None:
-    name = (more.account, more.service)
+def _add(totals: dict[tuple[str, str], MeterCount], added: MeterCount) -> None:
+    name = (added.account, added.service)
     total = totals.setdefault(name, MeterCount(*name))
-    total.generations += more.generations
-    total.tokens += more.tokens
+    total.generations += added.generations
+    total.tokens += added.tokens
--- a/rhubarbwinch/claims/claimchanges.py
+++ b/rhubarbwinch/claims/claimchanges.py
@@ -23,15 +23,15 @@
     from_token: str = ""
 
     def apply(
-        self, current: ClaimRecord | None, crowded: bool
+        self, current: ClaimRecord | None, is_page_full: bool
     ) -> ClaimRecord | None:
         """Returns the new record if the name may be claimed."""
         if current is None:
-            return None if crowded else self.record
+            return None if is_page_full else self.record
         if current.state is ClaimState.RELEASED:
             return self.record
-        vouched = current.token == self.from_token
-        if vouched and current.state is ClaimState.CLAIMED:
+        is_replaceable = current.token == self.from_token
+        if is_replaceable and current.state is ClaimState.CLAIMED:
             return self.record
         return current
 
@@ -55,7 +55,7 @@
     outcome: Outcome | None = None
 
     def apply(
-        self, current: ClaimRecord | None, crowded: bool
+        self, current: ClaimRecord | None, is_page_full: bool
     ) -> ClaimRecord | None:
         """Returns the claim in its new state, or unchanged."""
         if current is None or current.token != self.token:
@@ -63,7 +63,7 @@
         if current.state not in _UNFINISHED or current.state is self.state:
             return current
         outcome = self.outcome
-        if crowded and outcome is not None and outcome.body:
+        if is_page_full and outcome is not None and outcome.body:
             outcome = attrs.evolve(outcome, body=b"", kept=False)
         return attrs.evolve(
             current,
--- a/rhubarbwinch/claims/claimfloor.py
+++ b/rhubarbwinch/claims/claimfloor.py
@@ -20,9 +20,9 @@
 from rhubarbwinch.stores import keys
 from rhubarbwinch.stores.store import Store, delete_prefix
 
-REFRESH_MS = 60_000
-PASS_MS = 600_000
-CHECK_MS = 60_000
+MAX_FLOOR_AGE_MS = 60_000
+PASS_INTERVAL_MS = 600_000
+CHECK_INTERVAL_MS = 60_000
 
 
 @attrs.frozen
@@ -41,7 +41,7 @@
 
 
 class ClaimFloor:
-    """Reads the floor and caches it for at most `REFRESH_MS`.
+    """Reads the floor and caches it for at most `MAX_FLOOR_AGE_MS`.
 
     Args:
         store: The platform's store.
@@ -52,8 +52,8 @@
         self._store = store
         self._clock = clock
         self._window = 0
-        self._read_now: int | None = None
-        self._read_wall = 0
+        self._read_ms: int | None = None
+        self._read_wall_ms = 0
 
     async def read(self) -> Result[int, StoreError]:
         """Returns the first window whose keys are accepted."""
@@ -64,14 +64,14 @@
             except StoreError as error:
                 return Err(error)
             self._window = max(self._window, floor.window)
-            self._read_now, self._read_wall = now, wall
+            self._read_ms, self._read_wall_ms = now, wall
         return Ok(self._window)
 
     def _is_stale(self) -> bool:
-        if self._read_now is None:
+        if self._read_ms is None:
             return True
-        wall = self._clock.wall() - self._read_wall
-        return max(self._clock.now() - self._read_now, wall) > REFRESH_MS
+        wall = self._clock.wall() - self._read_wall_ms
+        return max(self._clock.now() - self._read_ms, wall) > MAX_FLOOR_AGE_MS
 
 
 class ClaimCleaner:
@@ -94,31 +94,31 @@
     async def run(self) -> None:
         """Runs cleanup passes until cancelled."""
         while True:
-            await self._clock.sleep(CHECK_MS)
+            await self._clock.sleep(CHECK_INTERVAL_MS)
             try:
-                await self.step()
+                await self.run_pass()
             except (StoreError, CodecError) as error:
                 events.STORE_DOWN.log(error=str(error))
 
-    async def step(self) -> None:
-        """Runs a pass if the last one was at least `PASS_MS` ago."""
+    async def run_pass(self) -> None:
+        """Runs a pass if the last one was at least `PASS_INTERVAL_MS` ago."""
         floor, revision = await read_floor(self._store)
         now = self._clock.wall()
-        if now - floor.at_ms < PASS_MS:
+        if now - floor.at_ms < PASS_INTERVAL_MS:
             return
-        wanted = max(floor.window, (now - self._keep_ms) // WINDOW_MS)
+        new_window = max(floor.window, (now - self._keep_ms) // WINDOW_MS)
         # The first pass starts at the oldest window that can hold claims.
-        cleaned = floor.cleaned or wanted
+        cleaned = floor.cleaned or new_window
         count = 0
         for window in range(cleaned, floor.window):
             count += await delete_prefix(
                 self._store, keys.claims_window(window)
             )
-        raised = Floor(wanted, max(cleaned, floor.window), now)
+        new_floor = Floor(new_window, max(cleaned, floor.window), now)
         await self._store.swap(
-            keys.CLAIMS_CURSOR, revision, codec.encode(raised)
+            keys.CLAIMS_CURSOR, revision, codec.encode(new_floor)
         )
-        events.CLAIMS_CLEANED.log(floor=wanted, pages=count)
+        events.CLAIMS_CLEANED.log(floor=new_window, pages=count)
 
 
 async def read_floor(store: Store) -> tuple[Floor, int]:
--- a/rhubarbwinch/claims/claimpages.py
+++ b/rhubarbwinch/claims/claimpages.py
@@ -28,10 +28,10 @@
 
 # A page above this size accepts no new claims. The rest, up to the store's
 # value limit, is reserved for the outcomes of the claims in the page.
-CROWDED_PAGE_BYTES = 450_000
+FULL_PAGE_BYTES = 450_000
 MAX_BATCH = 256
 MAX_ATTEMPTS = 20
-MAX_LOST_ANSWERS = 2
+MAX_LOST_REPLIES = 2
 MAX_CACHED_PAGES = 32
 BURST_WRITES = 8
 
@@ -105,19 +105,19 @@
         ...
 
     def apply(
-        self, current: ClaimRecord | None, crowded: bool
+        self, current: ClaimRecord | None, is_page_full: bool
     ) -> ClaimRecord | None:
         """Returns the record to write, or `current` itself for no change.
 
         Args:
             current: The claim in the page, or None if there is none.
-            crowded: Whether the page accepts no more claims.
+            is_page_full: Whether the page accepts no more claims.
         """
         ...
 
 
 @attrs.define
-class _Pending:
+class _PendingOperation:
     """A queued change of a claim, or a queued read."""
 
     name: str
@@ -131,7 +131,7 @@
 
 
 @attrs.frozen
-class _Known:
+class _PageVersion:
     """A page as last read or written, with its encoded size in bytes."""
 
     page: Page
@@ -170,10 +170,10 @@
         self._store = store
         self._clock = clock
         self._interval_ms = 1000 / writes_per_s
-        self._batch = MAX_BATCH if batched else 1
-        self._next_write = float("-inf")
-        self._queues: dict[str, collections.deque[_Pending]] = {}
-        self._cache: collections.OrderedDict[str, _Known] = (
+        self._max_batch = MAX_BATCH if batched else 1
+        self._next_write_ms = float("-inf")
+        self._queues: dict[str, collections.deque[_PendingOperation]] = {}
+        self._cache: collections.OrderedDict[str, _PageVersion] = (
             collections.OrderedDict()
         )
         self._tasks: anyio.abc.TaskGroup | None = None
@@ -187,23 +187,23 @@
         finally:
             self._tasks = None
             for queue in self._queues.values():
-                _fail(queue, StoreUncertain("the pages' task ended"))
+                _fail_batch(queue, StoreUncertain("the pages' task ended"))
             self._queues.clear()
 
     async def read(
         self, page: str, name: str
     ) -> Result[ClaimRecord | None, StoreError]:
         """Returns a claim as currently stored, or None."""
-        return await self._submit(page, _Pending(name, None))
+        return await self._submit(page, _PendingOperation(name, None))
 
     async def change(
         self, page: str, change: PageChange
     ) -> Result[ClaimRecord | None, StoreError]:
         """Applies a change; returns the claim as stored afterwards."""
-        return await self._submit(page, _Pending(change.name, change))
+        return await self._submit(page, _PendingOperation(change.name, change))
 
     async def _submit(
-        self, page: str, pending: _Pending
+        self, page: str, pending: _PendingOperation
     ) -> Result[ClaimRecord | None, StoreError]:
         if self._tasks is None:
             return Err(StoreUnavailable("claims are not running"))
@@ -211,90 +211,92 @@
             self._queues[page].append(pending)
         else:
             self._queues[page] = collections.deque([pending])
-            self._tasks.start_soon(self._work, page)
+            self._tasks.start_soon(self._process_queue, page)
         await pending.done.wait()
         if pending.result is None:
             raise AssertionError("a change finished without a result")
         return pending.result
 
-    async def _work(self, page: str) -> None:
+    async def _process_queue(self, page: str) -> None:
         """Processes the queue of a page in batches until it is empty."""
         queue = self._queues[page]
         while queue:
             if any(pending.change for pending in queue):
                 # More changes can be queued during this delay; the batch is
                 # taken afterwards to include them.
-                await self._pace()
-            count = min(len(queue), self._batch)
+                await self._wait_for_rate()
+            count = min(len(queue), self._max_batch)
             batch = [queue.popleft() for _ in range(count)]
             try:
                 await self._write(page, batch)
             except (StoreError, CodecError) as error:
                 self._cache.pop(page, None)
-                _fail(batch, error)
+                _fail_batch(batch, error)
             except BaseException:
-                _fail(batch, StoreUncertain("the write was cancelled"))
+                _fail_batch(batch, StoreUncertain("the write was cancelled"))
                 raise
         del self._queues[page]
 
-    async def _pace(self) -> None:
+    async def _wait_for_rate(self) -> None:
         """Delays a write to keep to the process's write rate."""
         now = self._clock.now()
         earliest = now - BURST_WRITES * self._interval_ms
-        self._next_write = max(self._next_write, earliest) + self._interval_ms
-        if self._next_write > now:
-            await self._clock.sleep(int(self._next_write - now) + 1)
-
-    async def _write(self, page: str, batch: list[_Pending]) -> None:
-        known = self._cache.get(page)
-        is_fresh = known is None or any(p.change is None for p in batch)
-        if known is None or is_fresh:
-            known = await self._fetch(page)
-        lost_answers = 0
+        self._next_write_ms = (
+            max(self._next_write_ms, earliest) + self._interval_ms
+        )
+        if self._next_write_ms > now:
+            await self._clock.sleep(int(self._next_write_ms - now) + 1)
+
+    async def _write(self, page: str, batch: list[_PendingOperation]) -> None:
+        version = self._cache.get(page)
+        is_fresh = version is None or any(p.change is None for p in batch)
+        if version is None or is_fresh:
+            version = await self._fetch(page)
+        lost_replies = 0
         for _ in range(MAX_ATTEMPTS):
-            wanted = _apply(known, batch)
-            if wanted is known.page and not is_fresh:
+            updated = _apply_changes(version, batch)
+            if updated is version.page and not is_fresh:
                 # Another entry may have written the page since it was cached.
                 # Only a fresh read shows that no change is needed.
-                known = await self._fetch(page)
+                version = await self._fetch(page)
                 is_fresh = True
                 continue
-            if wanted is known.page:
-                self._settle(page, known, batch)
+            if updated is version.page:
+                self._finish_batch(page, version, batch)
                 return
-            data = codec.encode(wanted)
+            data = codec.encode(updated)
             try:
-                swap = await self._swap(page, known.revision, data)
+                swap = await self._swap(page, version.revision, data)
             except StoreUncertain:
                 # The write took effect if the page contains the tokens of the
                 # batch, so the page is read again.
-                lost_answers += 1
-                if lost_answers > MAX_LOST_ANSWERS:
+                lost_replies += 1
+                if lost_replies > MAX_LOST_REPLIES:
                     raise
-                known = await self._fetch_uncertain(page)
+                version = await self._fetch_after_lost_reply(page)
                 is_fresh = True
                 continue
             if swap.won:
                 self.counters.changes += len(batch)
-                known = _Known(wanted, swap.revision, len(data))
-                self._settle(page, known, batch)
+                version = _PageVersion(updated, swap.revision, len(data))
+                self._finish_batch(page, version, batch)
                 return
             self.counters.lost_races += 1
-            known = _known(swap.current)
+            version = _decode_page(swap.current)
             is_fresh = True
             # A write that failed on a conflict counts towards the rate too.
-            await self._pace()
+            await self._wait_for_rate()
         raise StoreUncertain(f"{page}: lost {MAX_ATTEMPTS} races")
 
     async def _swap(self, page: str, expected: int, data: bytes) -> Swap:
         self.counters.writes += 1
         return await self._store.swap(page, expected, data)
 
-    async def _fetch(self, page: str) -> _Known:
+    async def _fetch(self, page: str) -> _PageVersion:
         self.counters.reads += 1
-        return _known(await self._store.get(page))
+        return _decode_page(await self._store.get(page))
 
-    async def _fetch_uncertain(self, page: str) -> _Known:
+    async def _fetch_after_lost_reply(self, page: str) -> _PageVersion:
         """Reads a page after a lost reply.
 
         Raises:
@@ -306,40 +308,44 @@
         except StoreUnavailable as error:
             raise StoreUncertain(str(error)) from error
 
-    def _settle(self, page: str, known: _Known, batch: list[_Pending]) -> None:
-        self._cache[page] = known
+    def _finish_batch(
+        self, page: str, version: _PageVersion, batch: list[_PendingOperation]
+    ) -> None:
+        self._cache[page] = version
         self._cache.move_to_end(page)
         if len(self._cache) > MAX_CACHED_PAGES:
             self._cache.popitem(last=False)
         for pending in batch:
-            pending.finish(Ok(known.page.claims.get(pending.name)))
+            pending.finish(Ok(version.page.claims.get(pending.name)))
 
 
-def _known(entry: Entry | None) -> _Known:
+def _decode_page(entry: Entry | None) -> _PageVersion:
     if entry is None:
-        return _Known(Page(), 0, 0)
+        return _PageVersion(Page(), 0, 0)
     page = codec.decode(entry.value, Page)
-    return _Known(page, entry.revision, len(entry.value))
+    return _PageVersion(page, entry.revision, len(entry.value))
 
 
-def _apply(known: _Known, batch: list[_Pending]) -> Page:
+def _apply_changes(
+    version: _PageVersion, batch: list[_PendingOperation]
+) -> Page:
     """Returns the page with all changes, or the same object if unchanged."""
-    crowded = known.size > CROWDED_PAGE_BYTES
-    claims = dict(known.page.claims)
+    is_page_full = version.size > FULL_PAGE_BYTES
+    claims = dict(version.page.claims)
     changed = False
     for pending in batch:
         if pending.change is None:
             continue
         current = claims.get(pending.name)
-        wanted = pending.change.apply(current, crowded)
-        if wanted is None or wanted is current:
+        updated = pending.change.apply(current, is_page_full)
+        if updated is None or updated is current:
             continue
-        claims[pending.name] = wanted
+        claims[pending.name] = updated
         changed = True
-    return Page(claims) if changed else known.page
+    return Page(claims) if changed else version.page
 
 
-def _fail(batch: Iterable[_Pending], error: Exception) -> None:
+def _fail_batch(batch: Iterable[_PendingOperation], error: Exception) -> None:
     failure = error
     if not isinstance(failure, StoreError):
         events.CLAIM_PAGE_BAD.log(error=str(error))
--- a/rhubarbwinch/claims/claimrouting.py
+++ b/rhubarbwinch/claims/claimrouting.py
@@ -22,10 +22,10 @@
 
 CALL_TIMEOUT_MS = 1_000
 # A writer that did not reply is not asked again for this time.
-SILENT_MS = 5_000
+WRITER_RETRY_MS = 5_000
 
 
-class Pages(Protocol):
+class PageAccess(Protocol):
     """Reads and changes claims in their pages."""
 
     async def read(
@@ -83,19 +83,19 @@
     """
 
     def __init__(
-        self, pages: Pages, links: Caller, members: Members, clock: Clock
+        self, pages: PageAccess, links: Caller, members: Members, clock: Clock
     ) -> None:
         self._pages = pages
         self._links = links
         self._members = members
         self._clock = clock
-        self._silent_until: dict[str, int] = {}
+        self._retry_at_ms: dict[str, int] = {}
 
     async def read(
         self, page: str, name: str
     ) -> Result[ClaimRecord | None, StoreError]:
         """Returns a claim as currently stored, or None."""
-        reply = await self._ask(PageCall(page, name))
+        reply = await self._call_writer(PageCall(page, name))
         if reply is not None:
             return Ok(reply.record)
         return await self._pages.read(page, name)
@@ -108,7 +108,7 @@
             call = PageCall(page, change.name, take=change)
         else:
             call = PageCall(page, change.name, finish=change)
-        reply = await self._ask(call)
+        reply = await self._call_writer(call)
         if reply is not None:
             return Ok(reply.record)
         return await self._pages.change(page, change)
@@ -124,7 +124,7 @@
             return PageReply(done=False)
         return PageReply(done=True, record=result.ok_value)
 
-    async def _ask(self, call: PageCall) -> PageReply | None:
+    async def _call_writer(self, call: PageCall) -> PageReply | None:
         """Returns the writer's reply, or None to access the page directly."""
         writer = self._writer(call.page)
         if writer is None:
@@ -134,7 +134,7 @@
                 writer.link, call, PageReply, CALL_TIMEOUT_MS
             )
         except (LinkError, CodecError):
-            self._silent_until[writer.name] = self._clock.now() + SILENT_MS
+            self._retry_at_ms[writer.name] = self._clock.now() + WRITER_RETRY_MS
             return None
         return reply if reply.done else None
 
@@ -147,6 +147,6 @@
         name = rendezvous.owner(page, entries)
         if name is None or name == self._members.me.name:
             return None
-        if self._clock.now() < self._silent_until.get(name, 0):
+        if self._clock.now() < self._retry_at_ms.get(name, 0):
             return None
         return entries[name]
--- a/rhubarbwinch/claims/claims.py
+++ b/rhubarbwinch/claims/claims.py
@@ -19,14 +19,14 @@
 from rhubarbwinch.claims.claimkeys import CLOCK_SKEW_MS, ClaimKey
 from rhubarbwinch.claims.claimowners import Owners, Standing
 from rhubarbwinch.claims.claimpages import ClaimRecord, ClaimState, Outcome
-from rhubarbwinch.claims.claimrouting import Pages
+from rhubarbwinch.claims.claimrouting import PageAccess
 from rhubarbwinch.links.messages import ClaimAnswer, ClaimQuestion
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import StoreError
 from rhubarbwinch.shared.verdict import Failure, Reason, Verdict, not_run
 
-WAIT_MS = 3_000
+FIND_TIMEOUT_MS = 3_000
 FIRST_POLL_MS = 100
 MAX_POLL_MS = 1_000
 RETRY_AFTER_MS = 1_000
@@ -59,8 +59,8 @@
     token: str
     endpoint: str = ""
     _stage: _Stage = attrs.field(default=_Stage.HELD, init=False)
-    _taken_now: int = attrs.field(default=0, init=False)
-    _taken_wall: int = attrs.field(default=0, init=False)
+    _held_since_ms: int = attrs.field(default=0, init=False)
+    _held_since_wall_ms: int = attrs.field(default=0, init=False)
 
     @property
     def sent(self) -> bool:
@@ -69,7 +69,10 @@
 
     def start_hold(self, clock: Clock) -> None:
         """Records the time, which is before the claim is written."""
-        self._taken_now, self._taken_wall = clock.now(), clock.wall()
+        self._held_since_ms, self._held_since_wall_ms = (
+            clock.now(),
+            clock.wall(),
+        )
 
     def held_ms(self, clock: Clock) -> int:
         """Returns how long the claim has been held, in ms.
@@ -77,8 +80,8 @@
         The monotonic clock stops while a VM is suspended, so the longer of
         the times by the monotonic and the wall clock is used.
         """
-        wall = clock.wall() - self._taken_wall
-        return max(clock.now() - self._taken_now, wall)
+        wall = clock.wall() - self._held_since_wall_ms
+        return max(clock.now() - self._held_since_ms, wall)
 
     def mark_sent(self, endpoint: str) -> None:
         """Records that bytes of the call may be sent from now on."""
@@ -91,7 +94,7 @@
         """Records that an attempt failed before its first byte was sent."""
         self._stage = _Stage.HELD
 
-    def end(self) -> None:
+    def mark_ended(self) -> None:
         """Records that nothing will be sent under this claim."""
         self._stage = _Stage.ENDED
 
@@ -112,7 +115,7 @@
 
     def __init__(
         self,
-        pages: Pages,
+        pages: PageAccess,
         owners: Owners,
         floor: ClaimFloor,
         clock: Clock,
@@ -130,7 +133,7 @@
         # The claims under which this process may still send, or has sent
         # without recording the outcome in the store. For any other token of
         # this incarnation, `answer` confirms that it is never used to send.
-        self._held: dict[str, Claim] = {}
+        self._active: dict[str, Claim] = {}
         self._unrecorded: dict[str, tuple[str, Finish]] = {}
 
     async def run(self) -> None:
@@ -143,36 +146,36 @@
     async def answer(self, question: ClaimQuestion) -> ClaimAnswer:
         """Replies whether a claim of this process is unsent and stays so."""
         ours = question.incarnation == self._incarnation
-        return ClaimAnswer(ours and question.token not in self._held)
+        return ClaimAnswer(ours and question.token not in self._active)
 
     async def find(self, key: ClaimKey) -> Result[Outcome | None, Failure]:
         """Returns the recorded outcome, or None if the key may be claimed.
 
         If another request holds a claim on the key, its outcome is awaited
-        for at most `WAIT_MS`.
+        for at most `FIND_TIMEOUT_MS`.
         """
-        end = self._clock.now() + WAIT_MS
-        pause = FIRST_POLL_MS
+        deadline_ms = self._clock.now() + FIND_TIMEOUT_MS
+        poll_ms = FIRST_POLL_MS
         while True:
-            refusal = await self._check_time(key)
+            refusal = await self._check_key_age(key)
             if refusal is not None:
                 return Err(refusal)
             read = await self._pages.read(key.page, key.name)
             if isinstance(read, Err):
                 return Err(_store_failure(read.err_value))
             record = read.ok_value
-            settled = _settle(key, record)
+            settled = _settled_result(key, record)
             if settled is not None:
                 return settled
             if record is None:
                 raise AssertionError("an absent claim must be settled")
-            standing = await self._ask(record)
+            standing = await self._owner_status(record)
             if standing is Standing.UNSENT:
                 return Ok(None)
-            if self._clock.now() >= end:
-                return Err(await self._give_up(key, record, standing))
-            await self._clock.sleep(pause)
-            pause = min(2 * pause, MAX_POLL_MS)
+            if self._clock.now() >= deadline_ms:
+                return Err(await self._timeout_failure(key, record, standing))
+            await self._clock.sleep(poll_ms)
+            poll_ms = min(2 * poll_ms, MAX_POLL_MS)
 
     async def take(self, key: ClaimKey) -> Result[Claim, Failure]:
         """Claims a key.
@@ -184,7 +187,7 @@
         claim = Claim(key, f"{self._rng.getrandbits(128):032x}")
         # The token is registered before it is written, so that `answer` never
         # confirms it as unused while it may still be used to send.
-        self._held[claim.token] = claim
+        self._active[claim.token] = claim
         failure: Failure | None = _in_progress()
         try:
             claim.start_hold(self._clock)
@@ -193,7 +196,7 @@
                 # If the process was paused for very long before the write,
                 # the page may have been deleted and created anew by this
                 # claim, so the key's age is checked again.
-                failure = await self._check_time(key)
+                failure = await self._check_key_age(key)
         finally:
             # This also runs on cancellation, when the write may be in flight.
             if failure is not None:
@@ -256,29 +259,29 @@
                 return None
             if current.state is not ClaimState.CLAIMED:
                 return _in_progress()
-            if await self._ask(current) is not Standing.UNSENT:
+            if await self._owner_status(current) is not Standing.UNSENT:
                 return _in_progress()
             from_token = current.token
 
-    async def _check_time(self, key: ClaimKey) -> Failure | None:
+    async def _check_key_age(self, key: ClaimKey) -> Failure | None:
         age = self._clock.wall() - key.time_ms
         if age < -CLOCK_SKEW_MS:
             return not_run(Reason.BAD_REQUEST, "the key's time is to come")
         if age > key.retention_ms:
-            return _expired()
+            return _key_expired()
         floor = await self._floor.read()
         if isinstance(floor, Err):
             return _store_failure(floor.err_value)
-        too_old = key.time_ms // claimkeys.WINDOW_MS < floor.ok_value
-        return _expired() if too_old else None
+        is_below_floor = key.time_ms // claimkeys.WINDOW_MS < floor.ok_value
+        return _key_expired() if is_below_floor else None
 
-    async def _ask(self, record: ClaimRecord) -> Standing:
+    async def _owner_status(self, record: ClaimRecord) -> Standing:
         if record.incarnation != self._incarnation:
             return await self._owners.ask(record)
-        held = record.token in self._held
+        held = record.token in self._active
         return Standing.HELD if held else Standing.UNSENT
 
-    async def _give_up(
+    async def _timeout_failure(
         self, key: ClaimKey, record: ClaimRecord, standing: Standing
     ) -> Failure:
         """Returns the failure of a request that waited for too long."""
@@ -289,7 +292,7 @@
         # later, because the claim keeps its token.
         finish = Finish(key.name, record.token, ClaimState.MAY_HAVE_RUN)
         await self._pages.change(key.page, finish)
-        return _unknown()
+        return _outcome_unknown()
 
     async def _finish(
         self,
@@ -306,7 +309,7 @@
         written = await self._pages.change(page, finish)
         if isinstance(written, Ok):
             self._unrecorded.pop(finish.token, None)
-            self._held.pop(finish.token, None)
+            self._active.pop(finish.token, None)
             return
         if finish.state is not ClaimState.RELEASED:
             events.CLAIM_UNRECORDED.log(error=str(written.err_value))
@@ -319,8 +322,8 @@
         only later, this process confirms to others that the claim is unused,
         so the next request takes it over.
         """
-        claim.end()
-        self._held.pop(claim.token, None)
+        claim.mark_ended()
+        self._active.pop(claim.token, None)
         if len(self._unrecorded) < MAX_UNRECORDED_RELEASES:
             finish = Finish(claim.key.name, claim.token, ClaimState.RELEASED)
             self._unrecorded[claim.token] = (claim.key.page, finish)
@@ -338,7 +341,7 @@
     )
 
 
-def _settle(
+def _settled_result(
     key: ClaimKey, record: ClaimRecord | None
 ) -> Result[Outcome | None, Failure] | None:
     """Returns the result that the record alone determines, or None to wait."""
@@ -351,7 +354,7 @@
         case ClaimState.RELEASED:
             return Ok(None)
         case ClaimState.MAY_HAVE_RUN:
-            return Err(_unknown())
+            return Err(_outcome_unknown())
         case ClaimState.COMPLETED:
             return Ok(record.outcome)
         case _:
@@ -365,7 +368,7 @@
     return not_run(Reason.STORE_UNAVAILABLE, detail, RETRY_AFTER_MS)
 
 
-def _expired() -> Failure:
+def _key_expired() -> Failure:
     detail = "nothing was sent; the key is older than keys are kept"
     return not_run(Reason.KEY_EXPIRED, detail)
 
@@ -379,7 +382,7 @@
     )
 
 
-def _unknown() -> Failure:
+def _outcome_unknown() -> Failure:
     return Failure(
         Verdict.MAY_HAVE_RUN,
         Reason.OUTCOME_UNKNOWN,
--- a/rhubarbwinch/claims/quarantine.py
+++ b/rhubarbwinch/claims/quarantine.py
@@ -25,18 +25,18 @@
 KIND = "suspect"
 MAX_STRIKES = 2
 MAX_SUSPECTS = 10_000
-KEEP_MS = 3_600_000
-REFRESH_MS = 30_000
-RETRY_MS = 500
+SUSPECT_RETENTION_MS = 3_600_000
+RELOAD_INTERVAL_MS = 30_000
+RELOAD_RETRY_MS = 500
 LOAD_POLL_MS = 20
-MAX_RACES = 10
-LOCK_MS = 600_000
+MAX_CONFLICTS = 10
+LOCK_LIFETIME_MS = 600_000
 LOCK_WAIT_MS = 5_000
 LOCK_POLL_MS = 200
-SPREAD_MS = 500
+PROPAGATION_MS = 500
 
 
-class Sharer(Protocol):
+class Broadcaster(Protocol):
     """Broadcasts updates to all members, as gossip does."""
 
     def share(self, kind: str, key: str, data: bytes) -> None:
@@ -90,56 +90,56 @@
 
     Args:
         store: Stores the suspects, also for members that start later.
-        sharer: Broadcasts strikes to the current members.
+        broadcaster: Broadcasts strikes to the current members.
         clock: The source of time.
-        spread_ms: The time in which a broadcast reaches all members.
+        propagation_ms: The time in which a broadcast reaches all members.
     """
 
     def __init__(
         self,
         store: Store,
-        sharer: Sharer,
+        broadcaster: Broadcaster,
         clock: Clock,
-        spread_ms: int = SPREAD_MS,
+        propagation_ms: int = PROPAGATION_MS,
     ) -> None:
-        self._spread_ms = spread_ms
+        self._propagation_ms = propagation_ms
         self._store = store
-        self._sharer = sharer
+        self._broadcaster = broadcaster
         self._clock = clock
         self._suspects: dict[str, Suspect] = {}
-        self._unsaved: dict[str, str] = {}
+        self._unsaved_strikes: dict[str, str] = {}
         self._is_loaded = False
-        sharer.on(KIND, self._take_news)
+        broadcaster.on(KIND, self._handle_update)
 
     async def run(self) -> None:
         """Loads the suspects from the store periodically, until cancelled."""
         while True:
             try:
                 await self.load()
-                wait = REFRESH_MS
+                delay_ms = RELOAD_INTERVAL_MS
             except StoreError as error:
                 events.STORE_DOWN.log(error=str(error))
-                wait = RETRY_MS
-            await self._clock.sleep(wait)
+                delay_ms = RELOAD_RETRY_MS
+            await self._clock.sleep(delay_ms)
 
     async def load(self) -> None:
         """Loads all suspects after retrying writes of strikes that failed."""
-        for run, fingerprint in list(self._unsaved.items()):
+        for run, fingerprint in list(self._unsaved_strikes.items()):
             await self._save_strike(fingerprint, run)
         listing = await self._store.scan(keys.SUSPECTS)
         for entry in listing.entries:
             suspect = _decode(entry.value)
-            if self._is_over(suspect):
+            if self._is_expired(suspect):
                 await self._store.delete(entry.key, entry.revision)
             else:
                 self._merge(suspect)
-        self._forget()
+        self._remove_expired()
         self._is_loaded = True
 
     async def wait_loaded(self, limit_ms: int) -> None:
         """Waits at most `limit_ms` until the suspects are first loaded."""
-        end = self._clock.now() + limit_ms
-        while not self._is_loaded and self._clock.now() < end:
+        deadline_ms = self._clock.now() + limit_ms
+        while not self._is_loaded and self._clock.now() < deadline_ms:
             await self._clock.sleep(LOAD_POLL_MS)
 
     def get(self, fingerprint: str) -> Suspect | None:
@@ -156,15 +156,15 @@
         events.ENDPOINT_STRIKE.log(fingerprint=fingerprint, run=run)
         suspect = Suspect(fingerprint, [run], at_ms=now)
         self._merge(suspect)
-        self._sharer.share(KIND, fingerprint, codec.encode(suspect))
-        self._unsaved[run] = fingerprint
+        self._broadcaster.share(KIND, fingerprint, codec.encode(suspect))
+        self._unsaved_strikes[run] = fingerprint
         try:
             await self._save_strike(fingerprint, run)
         except StoreError as error:
             # `load` retries the write. Other members have the broadcast.
             events.STORE_DOWN.log(error=str(error))
-        if self._spread_ms:
-            await self._clock.sleep(self._spread_ms)
+        if self._propagation_ms:
+            await self._clock.sleep(self._propagation_ms)
 
     async def clear(self, fingerprint: str) -> None:
         """Removes a suspect, because one of its runs has finished."""
@@ -172,7 +172,7 @@
             return
         events.SUSPECT_CLEARED.log(fingerprint=fingerprint)
         cleared = Suspect(fingerprint)
-        self._sharer.share(KIND, fingerprint, codec.encode(cleared))
+        self._broadcaster.share(KIND, fingerprint, codec.encode(cleared))
         key = keys.suspect(fingerprint)
         try:
             entry = await self._store.get(key)
@@ -191,12 +191,12 @@
         Raises:
             StoreError: The store is unavailable, so the run must not start.
         """
-        end = self._clock.now() + LOCK_WAIT_MS
+        deadline_ms = self._clock.now() + LOCK_WAIT_MS
         while not await self.begin_trial(fingerprint, run):
             suspect = self._suspects.get(fingerprint)
             if suspect is not None and suspect.is_quarantined:
                 return False
-            if self._clock.now() >= end:
+            if self._clock.now() >= deadline_ms:
                 return False
             await self._clock.sleep(LOCK_POLL_MS)
         return True
@@ -210,15 +210,17 @@
         Raises:
             StoreError: The store is unavailable, so the run must not start.
         """
-        for struck in [r for r, f in self._unsaved.items() if f == fingerprint]:
+        for struck in [
+            r for r, f in self._unsaved_strikes.items() if f == fingerprint
+        ]:
             await self._save_strike(fingerprint, struck)
 
-        def claim(suspect: Suspect) -> Suspect:
+        def set_trial(suspect: Suspect) -> Suspect:
             if not suspect.strikes or suspect.is_quarantined or suspect.trial:
                 return suspect
             return attrs.evolve(suspect, trial=run)
 
-        suspect = await self._update(fingerprint, claim)
+        suspect = await self._update(fingerprint, set_trial)
         if not suspect.strikes:
             # Another run finished and cleared the suspect.
             self._suspects.pop(fingerprint, None)
@@ -229,13 +231,13 @@
     async def end_trial(self, fingerprint: str, run: str) -> None:
         """Releases a trial that neither finished nor killed its endpoint."""
 
-        def free(suspect: Suspect) -> Suspect:
+        def clear_trial(suspect: Suspect) -> Suspect:
             if suspect.trial != run:
                 return suspect
             return attrs.evolve(suspect, trial="")
 
         try:
-            await self._update(fingerprint, free)
+            await self._update(fingerprint, clear_trial)
         except StoreError as error:
             # Other runs of the suspect are refused until the record expires.
             events.STORE_DOWN.log(error=str(error))
@@ -246,9 +248,9 @@
         Raises:
             StoreError: The store is unavailable, so the run must not start.
         """
-        end = self._clock.now() + LOCK_WAIT_MS
+        deadline_ms = self._clock.now() + LOCK_WAIT_MS
         while not await self.lock(endpoint, run):
-            if self._clock.now() >= end:
+            if self._clock.now() >= deadline_ms:
                 return False
             await self._clock.sleep(LOCK_POLL_MS)
         return True
@@ -265,9 +267,9 @@
         now = self._clock.wall()
         entry = await self._store.get(key)
         if entry is not None:
-            held = codec.decode(entry.value, EndpointLock)
-            if now - held.at_ms < LOCK_MS:
-                return held.run == run
+            current = codec.decode(entry.value, EndpointLock)
+            if now - current.at_ms < LOCK_LIFETIME_MS:
+                return current.run == run
         data = codec.encode(EndpointLock(run, now))
         expected = entry.revision if entry else 0
         try:
@@ -287,7 +289,7 @@
             # The lock expires by itself.
             events.STORE_DOWN.log(error=str(error))
 
-    async def _take_news(self, _: str, data: bytes) -> None:
+    async def _handle_update(self, _: str, data: bytes) -> None:
         try:
             suspect = codec.decode(data, Suspect)
         except CodecError as error:
@@ -315,7 +317,7 @@
     async def _save_strike(self, fingerprint: str, run: str) -> None:
         struck = Suspect(fingerprint, [run], at_ms=self._clock.wall())
         saved = await self._update(fingerprint, lambda s: _union(s, struck))
-        self._unsaved.pop(run, None)
+        self._unsaved_strikes.pop(run, None)
         self._merge(saved)
 
     async def _update(
@@ -328,31 +330,31 @@
                 effect.
         """
         key = keys.suspect(fingerprint)
-        for _ in range(MAX_RACES):
+        for _ in range(MAX_CONFLICTS):
             entry = await self._store.get(key)
             current = _decode(entry.value) if entry else Suspect(fingerprint)
-            wanted = change(current)
-            if wanted == current:
+            updated = change(current)
+            if updated == current:
                 return current
             expected = entry.revision if entry else 0
             try:
                 swap = await self._store.swap(
-                    key, expected, codec.encode(wanted)
+                    key, expected, codec.encode(updated)
                 )
             except StoreUncertain:
                 # The next attempt reads the record again and finds the change
                 # already made, or applies it again.
                 continue
             if swap.won:
-                return wanted
-        raise StoreUncertain(f"{key}: lost {MAX_RACES} races")
+                return updated
+        raise StoreUncertain(f"{key}: lost {MAX_CONFLICTS} races")
 
-    def _is_over(self, suspect: Suspect) -> bool:
-        return self._clock.wall() - suspect.at_ms > KEEP_MS
+    def _is_expired(self, suspect: Suspect) -> bool:
+        return self._clock.wall() - suspect.at_ms > SUSPECT_RETENTION_MS
 
-    def _forget(self) -> None:
+    def _remove_expired(self) -> None:
         for suspect in list(self._suspects.values()):
-            if self._is_over(suspect):
+            if self._is_expired(suspect):
                 del self._suspects[suspect.fingerprint]
 
 
--- a/rhubarbwinch/claims/repeatable.py
+++ b/rhubarbwinch/claims/repeatable.py
@@ -7,7 +7,7 @@
 from rhubarbwinch.records.records import ServiceSpec
 from rhubarbwinch.shared.verdict import Failure, Reason, Verdict, not_run
 
-REPLAYED = (b"idempotency-replayed", b"true")
+REPLAYED_HEADER = (b"idempotency-replayed", b"true")
 
 
 def is_repeatable(service: ServiceSpec, method: str, path: str) -> bool:
@@ -65,5 +65,5 @@
         raise Refused(Failure(Verdict.RAN, Reason.OUTCOME_NOT_KEPT, detail))
     content_type = (b"content-type", outcome.content_type.encode())
     await responder.whole(
-        outcome.status, [content_type, REPLAYED], outcome.body
+        outcome.status, [content_type, REPLAYED_HEADER], outcome.body
     )
--- a/tests/claims/test_claimfloor.py
+++ b/tests/claims/test_claimfloor.py
@@ -1,6 +1,10 @@
 """The cleanup of pages: state stays bounded, and no key runs again."""
 
-from rhubarbwinch.claims.claimfloor import PASS_MS, REFRESH_MS, ClaimCleaner
+from rhubarbwinch.claims.claimfloor import (
+    MAX_FLOOR_AGE_MS,
+    PASS_INTERVAL_MS,
+    ClaimCleaner,
+)
 from rhubarbwinch.stores import keys
 from tests.claimworld import World
 from tests.helpers import GoldTestCase, asynchronous
@@ -25,23 +29,23 @@
                 told = await world.call(entry, key, path=LEDGER)
                 world.note(f"{title}: {told}")
 
-            await cleaner.step()
+            await cleaner.run_pass()
             key, late = world.key(1), world.key(2)
             await call("first", 0, key)
-            await world.clock.advance(HOUR_MS + 2 * PASS_MS)
+            await world.clock.advance(HOUR_MS + 2 * PASS_INTERVAL_MS)
             await call("before the cleanup", 0, key)
             gate = world.entries[1].gate
             paused = await world.stop(1, "before write", late, path=LEDGER)
-            await cleaner.step()
+            await cleaner.run_pass()
             await pages("floor raised")
-            await world.clock.advance(PASS_MS)
-            await cleaner.step()
+            await world.clock.advance(PASS_INTERVAL_MS)
+            await cleaner.run_pass()
             await pages("a pass later")
             await call("again", 0, key)
             gate.wake()
             await world.settle(paused)
             world.note(f"paused through the cleanup: {paused.text}")
-            await world.clock.advance(REFRESH_MS)
+            await world.clock.advance(MAX_FLOOR_AGE_MS)
             await call("a new key", 1, world.key(3))
             world.note(f"endpoint ran {len(world.desk.ran)}")
         self.assert_gold("claims-cleanup", "\n".join(world.lines) + "\n")
--- a/tests/claims/test_quarantine.py
+++ b/tests/claims/test_quarantine.py
@@ -23,19 +23,19 @@
 class Member:
     """A member: its quarantine, and the news that it gives and takes."""
 
-    def __init__(self, room):
-        self._room = room
+    def __init__(self, cluster):
+        self._cluster = cluster
         self.handler = None
-        self.quarantine = Quarantine(room.store, self, room.clock, 0)
+        self.quarantine = Quarantine(cluster.store, self, cluster.clock, 0)
 
     def on(self, kind, handler):
         self.handler = handler
 
     def share(self, kind, key, data):
-        self._room.news.append((self, key, data))
+        self._cluster.updates.append((self, key, data))
 
 
-class Room:
+class Cluster:
     """Engines that die of some requests, and members that run requests."""
 
     def __init__(self, engines=8, members=4):
@@ -47,7 +47,7 @@
         self.trial_ms = 0
         self.trials = dict.fromkeys(self.alive, 0)
         self.most_trials = 0
-        self.news = []
+        self.updates = []
         self.members = [Member(self) for _ in range(members)]
         self.runs = 0
         self.lines = []
@@ -59,8 +59,8 @@
 
     async def spread(self):
         """Delivers the news of all members to the others."""
-        while self.news:
-            sender, key, data = self.news.pop(0)
+        while self.updates:
+            sender, key, data = self.updates.pop(0)
             for member in self.members:
                 if member is not sender:
                     await member.handler(key, data)
@@ -154,144 +154,146 @@
 
     @asynchronous
     async def test_a_poisonous_request_costs_two_endpoints_at_most(self):
-        room = Room()
-        await room.load()
+        cluster = Cluster()
+        await cluster.load()
         for number in range(6):
-            told = await room.send(number % 4, "bad", poison=True)
-            await room.spread()
-            room.note(f"member {number % 4}: {told}")
-        late = Member(room)
-        room.members.append(late)
+            status = await cluster.send(number % 4, "bad", poison=True)
+            await cluster.spread()
+            cluster.note(f"member {number % 4}: {status}")
+        late = Member(cluster)
+        cluster.members.append(late)
         await late.quarantine.load()
-        told = await room.send(4, "bad", poison=True)
-        room.note(f"a member that started later: {told}")
-        room.note(f"another request: {await room.send(4, 'good')}")
-        self.assert_gold("quarantine", "\n".join(room.lines) + "\n")
+        status = await cluster.send(4, "bad", poison=True)
+        cluster.note(f"a member that started later: {status}")
+        cluster.note(f"another request: {await cluster.send(4, 'good')}")
+        self.assert_gold("quarantine", "\n".join(cluster.lines) + "\n")
 
     @asynchronous
     async def test_copies_sent_at_once_after_a_strike_share_one_trial(self):
-        room = Room()
-        await room.load()
-        quarantine = room.members[0].quarantine
-        room.kill("engine-0")
+        cluster = Cluster()
+        await cluster.load()
+        quarantine = cluster.members[0].quarantine
+        cluster.kill("engine-0")
         await quarantine.strike("bad", "a-0-t~engine-0")
-        await room.spread()
-        room.poison_ms = 1_000
+        await cluster.spread()
+        cluster.poison_ms = 1_000
         answers = []
 
         async def send(member):
             first = f"engine-{member + 1}"
-            told = await room.send(member, "bad", poison=True, first=first)
-            answers.append(told)
+            status = await cluster.send(member, "bad", poison=True, first=first)
+            answers.append(status)
 
         async with anyio.create_task_group() as tasks:
             for member in (0, 1, 2, 3):
                 tasks.start_soon(send, member)
             for _ in range(14):
-                await room.clock.advance(500)
-        room.poison_ms = 0
-        for told in sorted(answers):
-            room.note(told)
-        room.note(f"answers {len(answers)}")
-        await room.spread()
-        room.note(f"again: {await room.send(1, 'bad', poison=True)}")
-        room.store.faults.down = True
-        quarantine = room.members[2].quarantine
+                await cluster.clock.advance(500)
+        cluster.poison_ms = 0
+        for status in sorted(answers):
+            cluster.note(status)
+        cluster.note(f"answers {len(answers)}")
+        await cluster.spread()
+        cluster.note(f"again: {await cluster.send(1, 'bad', poison=True)}")
+        cluster.store.faults.down = True
+        quarantine = cluster.members[2].quarantine
         await quarantine.strike("worse", "a-1-t~engine-1")
-        told = await room.send(2, "worse", poison=True)
-        room.note(f"trial with the store down: {told}")
-        room.store.faults.down = False
-        await room.load()
-        told = await room.send(3, "worse", repeatable=False)
-        room.note(f"not repeatable, after a strike: {told}")
-        self.assert_gold("quarantine-copies", "\n".join(room.lines) + "\n")
+        status = await cluster.send(2, "worse", poison=True)
+        cluster.note(f"trial with the store down: {status}")
+        cluster.store.faults.down = False
+        await cluster.load()
+        status = await cluster.send(3, "worse", repeatable=False)
+        cluster.note(f"not repeatable, after a strike: {status}")
+        self.assert_gold("quarantine-copies", "\n".join(cluster.lines) + "\n")
 
     @asynchronous
     async def test_innocent_requests_clear_themselves_by_finishing(self):
-        room = Room(engines=5)
-        await room.load()
+        cluster = Cluster(engines=5)
+        await cluster.load()
         answers = {}
 
         async def send(name, hold):
-            told = await room.send(1, name, hold=hold, first="engine-0")
-            answers[name] = told
+            status = await cluster.send(1, name, hold=hold, first="engine-0")
+            answers[name] = status
 
         hold = anyio.Event()
         async with anyio.create_task_group() as tasks:
             for name in ("good-1", "good-2", "good-3"):
                 tasks.start_soon(send, name, hold)
             await anyio.wait_all_tasks_blocked()
-            told = await room.send(0, "bad", poison=True)
+            status = await cluster.send(0, "bad", poison=True)
             await anyio.wait_all_tasks_blocked()
-            room.note(f"bad: {told}")
+            cluster.note(f"bad: {status}")
             hold.set()
-            room.trial_ms = 1_000
+            cluster.trial_ms = 1_000
             for _ in range(20):
-                await room.clock.advance(500)
-        for name, told in sorted(answers.items()):
-            room.note(f"{name}: {told}")
-        room.note(f"suspects at once on an engine: {room.most_trials}")
-        await room.spread()
+                await cluster.clock.advance(500)
+        for name, status in sorted(answers.items()):
+            cluster.note(f"{name}: {status}")
+        cluster.note(f"suspects at once on an engine: {cluster.most_trials}")
+        await cluster.spread()
         for name in ("good-1", "good-2", "good-3", "bad"):
-            known = [m.quarantine.get(name) for m in room.members]
-            room.note(f"{name} is a suspect at {sum(map(bool, known))} members")
-        self.assert_gold("quarantine-innocent", "\n".join(room.lines) + "\n")
+            known = [m.quarantine.get(name) for m in cluster.members]
+            cluster.note(
+                f"{name} is a suspect at {sum(map(bool, known))} members"
+            )
+        self.assert_gold("quarantine-innocent", "\n".join(cluster.lines) + "\n")
 
     @asynchronous
     async def test_an_innocent_request_sent_again_in_its_trial_waits(self):
-        room = Room()
-        await room.load()
-        await room.members[0].quarantine.strike("good", "a-0-t~engine-0")
-        await room.spread()
-        room.trial_ms = 1_000
+        cluster = Cluster()
+        await cluster.load()
+        await cluster.members[0].quarantine.strike("good", "a-0-t~engine-0")
+        await cluster.spread()
+        cluster.trial_ms = 1_000
         answers = []
 
         async def send(member, first):
-            answers.append(await room.send(member, "good", first=first))
+            answers.append(await cluster.send(member, "good", first=first))
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(send, 0, "engine-1")
             tasks.start_soon(send, 1, "engine-2")
             for _ in range(6):
-                await room.clock.advance(500)
-                await room.spread()
-        room.note(f"both: {answers}")
-        self.assert_gold("quarantine-again", "\n".join(room.lines) + "\n")
+                await cluster.clock.advance(500)
+                await cluster.spread()
+        cluster.note(f"both: {answers}")
+        self.assert_gold("quarantine-again", "\n".join(cluster.lines) + "\n")
 
     @asynchronous
     async def test_a_caller_that_hangs_up_does_not_hide_a_death(self):
-        room = Room()
-        await room.load()
+        cluster = Cluster()
+        await cluster.load()
         for _ in range(4):
             with anyio.CancelScope() as scope:
-                first = sorted(room.alive)[0]
+                first = sorted(cluster.alive)[0]
 
                 async def hang_up(scope=scope, first=first):
                     await anyio.wait_all_tasks_blocked()
-                    room.alive.pop(first)
-                    room.lost += 1
+                    cluster.alive.pop(first)
+                    cluster.lost += 1
                     scope.cancel()
 
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(hang_up)
-                    told = await room.send(0, "bad", hold=anyio.Event())
+                    status = await cluster.send(0, "bad", hold=anyio.Event())
                     tasks.cancel_scope.cancel()
-                    room.note(told)
-        room.note("the end")
-        self.assert_gold("quarantine-hang-up", "\n".join(room.lines) + "\n")
+                    cluster.note(status)
+        cluster.note("the end")
+        self.assert_gold("quarantine-hang-up", "\n".join(cluster.lines) + "\n")
 
     def test_processes_lose_two_engines_at_most(self):
         with Fleet(entries=3, engines=5) as fleet:
             body = {"model": "chat", "prompt": "poison"}
-            told = []
+            status = []
             alive = _count(fleet)
             for number in range(6):
                 url = f"http://{fleet.entries[number % 3]}/v1/completions"
                 answer = httpx.post(
                     url, json=body, headers=AUTHORIZATION, timeout=20
                 )
-                told.append(answer.headers["x-verdict"])
-            lines = [f"told {told}", f"engines lost {alive - _count(fleet)}"]
+                status.append(answer.headers["x-verdict"])
+            lines = [f"told {status}", f"engines lost {alive - _count(fleet)}"]
             address = fleet.add_entry("entry-late")
             answer = httpx.post(
                 f"http://{address}/v1/completions",
--- a/tests/claimworld.py
+++ b/tests/claimworld.py
@@ -99,7 +99,7 @@
         return swap
 
 
-class Desk:
+class CountingEndpoint:
     """An endpoint that counts what it runs: the judge."""
 
     def __init__(self):
@@ -113,23 +113,23 @@
 class GatedEndpoints:
     """The endpoint as one entry reaches it."""
 
-    def __init__(self, desk, gate, clock):
-        self._desk = desk
+    def __init__(self, endpoint, gate, clock):
+        self._endpoint = endpoint
         self._gate = gate
         self._clock = clock
 
     async def call(self, method, url, body, headers):
         await self._gate.reach("before send")
-        if self._desk.refuses:
-            self._desk.refuses -= 1
+        if self._endpoint.refuses:
+            self._endpoint.refuses -= 1
             raise EndpointError("connection refused", sent=False)
-        self._desk.ran.append(f"{method} /{url.split('/', 3)[3]}")
-        if self._desk.dies:
+        self._endpoint.ran.append(f"{method} /{url.split('/', 3)[3]}")
+        if self._endpoint.dies:
             raise EndpointError("the connection broke", sent=True)
-        if self._desk.delay_ms:
-            await self._clock.sleep(self._desk.delay_ms)
+        if self._endpoint.delay_ms:
+            await self._clock.sleep(self._endpoint.delay_ms)
         await self._gate.reach("after run")
-        data = self._desk.body or {"number": len(self._desk.ran)}
+        data = self._endpoint.body or {"number": len(self._endpoint.ran)}
         return httpx.Response(200, json=data)
 
 
@@ -223,7 +223,7 @@
     def __init__(self, entries=2):
         self.clock = ManualClock()
         self.store = MemoryStore(self.clock)
-        self.desk = Desk()
+        self.desk = CountingEndpoint()
         self.entries = [
             Entry(self, f"entry-{i}", 100 + i) for i in range(entries)
         ]
