--- a/tests/admission/__init__.py
+++ b/tests/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of `rhubarbwinch.admission.admission`."""
+"""Tests of `rhubarbwinch.admission`."""
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -1,4 +1,4 @@
-"""Decisions of one pool, under a manual clock."""
+"""Tests the admission decisions of one pool, under a manual clock."""
 
 import random
 import unittest
@@ -29,7 +29,7 @@
 
 
 class Pool:
-    """An Admission with two engines, and short ways to drive it."""
+    """An Admission with two engines, and helpers to drive it."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         self.report_loads()
 
     def report_loads(self):
-        """Both engines report that they are there."""
+        """Sends a load report of both engines."""
         for name in ("e0", "e1"):
             report = LoadReport(
                 name,
@@ -68,7 +68,7 @@
             self.admission.report_load(report)
 
     def pass_time(self, ms):
-        """Moves the clock on, with reports; returns what was decided."""
+        """Advances the clock with load reports; returns all decisions."""
         decisions = []
         for _ in range(ms // 100):
             self.clock.set(self.clock.now() + 100)
@@ -97,12 +97,12 @@
 
 
 def failures(decisions):
-    """Returns the failures."""
+    """Returns the failures of refused requests."""
     return [d.reply.failure for d in decisions if d.reply.failure]
 
 
 class PaceTest(unittest.TestCase):
-    """Engines that can't keep to the target gap at any batch."""
+    """Engines that are predicted to miss the token gap target."""
 
     def test_each_slow_engine_serves(self):
         for step_ms in (40.0, 90.0):
@@ -124,7 +124,7 @@
 
 
 class LimitsTest(unittest.TestCase):
-    """What an account may have in flight."""
+    """Limits of accounts."""
 
     def test_requests_in_flight_are_held_exactly(self):
         pool = Pool(acme={"room": Room(requests=3)})
@@ -134,7 +134,7 @@
         self.assertEqual(granted(pool.pass_time(500)), [])
 
     def test_tokens_in_flight_are_held_exactly_and_given_back(self):
-        # Each is expected to take 100 + 200 tokens.
+        # Each request has 100 prompt tokens and 200 expected output tokens.
         pool = Pool(acme={"room": Room(tokens=700)})
         started = [i for _ in range(4) for i in granted(pool.submit())]
         self.assertEqual(len(started), 2)
@@ -170,7 +170,7 @@
 
 
 class PlacementTest(unittest.TestCase):
-    """Memory, headroom and endpoints that are not to be used."""
+    """KV cache limits, headroom and endpoints that must not be used."""
 
     def test_memory_is_not_promised_twice_once_lengths_are_known(self):
         pool = Pool(capacity=3000)
@@ -179,7 +179,7 @@
             if granted(decisions):
                 pool.end(decisions[0].request_id, tokens=400)
         count = sum(len(granted(pool.submit())) for _ in range(20))
-        # Each grows to 500 tokens.
+        # Each request grows to 500 tokens.
         self.assertLessEqual(count * 500, 2 * 3000)
         self.assertGreaterEqual(count, 8)
 
@@ -241,7 +241,7 @@
 
 
 class RefusalTest(unittest.TestCase):
-    """What can't start in time is refused at once."""
+    """Refusals of requests that can't or did not start in time."""
 
     def test_without_a_chance_to_start_the_refusal_is_immediate(self):
         pool = Pool(max_running=2)
@@ -271,7 +271,7 @@
 
 
 class ReportTest(unittest.TestCase):
-    """What entries report of their open streams."""
+    """Reports of open streams by entries."""
 
     def test_a_new_owner_holds_limits_after_the_first_reports(self):
         pool = Pool(acme={"room": Room(requests=3)})
@@ -316,7 +316,7 @@
 
 
 class PolicyTest(unittest.TestCase):
-    """The policies that need no forecast."""
+    """The placement policies that use no forecast."""
 
     def test_each_policy_spreads_requests_and_keeps_to_the_count(self):
         for name in ("round-robin", "least-outstanding", "least-load"):
--- a/tests/admission/test_digests.py
+++ b/tests/admission/test_digests.py
@@ -1,4 +1,4 @@
-"""Digests of open streams."""
+"""Tests digests of open streams."""
 
 import unittest
 
@@ -18,7 +18,7 @@
 
 
 class ReportsTest(unittest.TestCase):
-    """An entry's reports against an owner's view."""
+    """An entry's digests compared with an owner's view."""
 
     def setUp(self):
         self.reporter = StreamReportBuilder("entry-1")
--- a/tests/admission/test_fairness.py
+++ b/tests/admission/test_fairness.py
@@ -1,4 +1,4 @@
-"""Fair queueing between accounts."""
+"""Tests fair queueing between accounts."""
 
 import unittest
 from collections import Counter
@@ -11,7 +11,7 @@
 
 
 def _queue(counts):
-    """Returns a queue that holds so many requests of each account."""
+    """Returns a queue with the given number of requests per account."""
     queue = FairQueue(WEIGHTS.__getitem__)
     for account, count in counts.items():
         for _ in range(count):
@@ -21,7 +21,7 @@
 
 
 def _serve(queue, count):
-    """Starts requests in order; returns how many of each account."""
+    """Starts `count` requests in order; returns the number per account."""
     served = Counter()
     for _ in range(count):
         item = next(queue.heads(1))
@@ -32,7 +32,7 @@
 
 
 class FairQueueTest(unittest.TestCase):
-    """Weights, tokens and absence."""
+    """Weights, charges and idle accounts."""
 
     def test_accounts_are_served_by_their_weights(self):
         queue = _queue({"large": 200, "small": 200})
@@ -65,7 +65,7 @@
 
 
 class ShareMeterTest(unittest.TestCase):
-    """Accounts far over their share."""
+    """Detection of accounts far over their share."""
 
     def test_only_the_account_that_floods_is_over_its_share(self):
         meter = ShareMeter(ManualClock(), WEIGHTS.__getitem__)
--- a/tests/admission/test_lengths.py
+++ b/tests/admission/test_lengths.py
@@ -1,4 +1,4 @@
-"""Survival curves of output lengths."""
+"""Tests the forecasts of output lengths."""
 
 import random
 import unittest
@@ -13,7 +13,7 @@
 
 
 class SurvivalCurveTest(unittest.TestCase):
-    """One cell."""
+    """The survival curve of one cell."""
 
     def test_the_curve_follows_the_observed_lengths(self):
         rng = random.Random(1)
@@ -62,7 +62,7 @@
 
 
 class LearnedLengthsTest(unittest.TestCase):
-    """Cells and their back-off."""
+    """Cells and their fallback to coarser cells."""
 
     def test_a_new_account_is_judged_by_the_service_until_it_is_known(self):
         lengths = LearnedLengths()
--- a/tests/admission/test_limits.py
+++ b/tests/admission/test_limits.py
@@ -1,4 +1,4 @@
-"""Rates, retry budgets and backoff."""
+"""Tests token buckets, retry budgets and backoff."""
 
 import random
 import unittest
@@ -8,7 +8,7 @@
 
 
 class TokenBucketTest(unittest.TestCase):
-    """Requests a second."""
+    """Limits of requests per second."""
 
     def test_the_rate_is_held_and_the_wait_that_is_told_suffices(self):
         clock = ManualClock()
@@ -22,7 +22,7 @@
 
 
 class RetryBudgetTest(unittest.TestCase):
-    """Retries."""
+    """Limits of retries."""
 
     def test_retries_stay_a_share_of_first_attempts(self):
         budget = RetryBudget(ratio=0.1, reserve=10)
@@ -35,7 +35,7 @@
 
 
 class BackoffTest(unittest.TestCase):
-    """Waits before retries."""
+    """Delays before retries."""
 
     def test_the_bound_doubles_up_to_the_limit(self):
         rng = random.Random(1)
--- a/tests/admission/test_prefixes.py
+++ b/tests/admission/test_prefixes.py
@@ -1,4 +1,4 @@
-"""Hashes of leading blocks."""
+"""Tests the hashes of the leading blocks of prompts."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 
 
 class PrefixesTest(unittest.TestCase):
-    """Prompts that share beginnings."""
+    """Prompts that share prefixes."""
 
     def test_prompts_share_the_hashes_of_the_blocks_that_they_share(self):
         shared = b"a" * (2 * BLOCK_BYTES)
--- a/tests/admission/test_steptime.py
+++ b/tests/admission/test_steptime.py
@@ -1,4 +1,4 @@
-"""Step times learned from load reports."""
+"""Tests the step times learned from load reports."""
 
 import random
 import unittest
@@ -7,7 +7,7 @@
 
 
 class StepTimeTest(unittest.TestCase):
-    """The line and the part above it."""
+    """The linear model and the quantile of its residuals."""
 
     def test_the_slopes_are_found_and_prompts_come_on_top(self):
         rng = random.Random(1)
--- a/tests/admission/test_streamindex.py
+++ b/tests/admission/test_streamindex.py
@@ -1,4 +1,4 @@
-"""Streams of a pool by request and by entry, and the digests about them."""
+"""Tests the digest checks of a pool's owner and its index of streams."""
 
 import random
 import unittest
@@ -12,7 +12,7 @@
 
 
 class DigestsAtAnOwnerTest(unittest.TestCase):
-    """A pool's owner that hears digests of two entries."""
+    """A pool's owner that receives the digests of two entries."""
 
     def setUp(self):
         self.clock = ManualClock()
--- a/tests/claims/__init__.py
+++ b/tests/claims/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of `rhubarbwinch.claims.claims`."""
+"""Tests of `rhubarbwinch.claims`."""
--- a/tests/claims/test_audit.py
+++ b/tests/claims/test_audit.py
@@ -1,4 +1,4 @@
-"""The audit: tokens counted once from the store, after any failure."""
+"""Tests that the audit counts each token once, whatever fails."""
 
 import attrs
 
@@ -15,7 +15,7 @@
 
 @attrs.define
 class Ledger:
-    """Meters of some entries over one store, and what they should count."""
+    """Meters of several entries over one store, and the listed totals."""
 
     clock: ManualClock
     store: object
@@ -30,20 +30,20 @@
         return meter
 
     def stream(self, entry, number, tokens, account="acme"):
-        """Starts a stream of an entry and passes tokens on."""
+        """Starts a stream at an entry and relays tokens."""
         generation = f"{0xA0 + entry:x}-{number:x}-tag~engine-0"
         position = Position(generation, tokens)
         self.meters[entry].start(position, account, "chat")
         return position
 
     def resume(self, entry, position, tokens):
-        """Goes on with a stream at another entry."""
+        """Resumes a stream at another entry."""
         there = Position(position.generation, tokens)
         self.meters[entry].start(there, "acme", "chat")
         return there
 
     async def show(self, title, hours=1, first=0):
-        """Adds what the audit lists."""
+        """Appends a line with the totals that the audit lists."""
         start = 1_700_000_000_000 // PERIOD_MS * PERIOD_MS
         start += first * PERIOD_MS
         period = audit.Period(start, start + hours * PERIOD_MS)
--- a/tests/claims/test_claimfloor.py
+++ b/tests/claims/test_claimfloor.py
@@ -1,4 +1,4 @@
-"""The cleanup of pages: state stays bounded, and no key runs again."""
+"""Tests that cleanup bounds the stored pages and no key runs again."""
 
 from rhubarbwinch.claims.claimfloor import (
     MAX_FLOOR_AGE_MS,
@@ -14,7 +14,7 @@
 
 
 class ClaimFloorTest(GoldTestCase):
-    """Keys whose pages are past their keeping."""
+    """Keys older than the retention of their pages."""
 
     @asynchronous
     async def test_a_key_whose_page_is_deleted_never_runs_again(self):
--- a/tests/claims/test_claimrouting.py
+++ b/tests/claims/test_claimrouting.py
@@ -1,4 +1,4 @@
-"""Changes of pages by one writer, and without it."""
+"""Tests changes of pages through their writer, and without its reply."""
 
 import anyio
 
@@ -15,7 +15,7 @@
 
 
 class Link:
-    """A link to another entry's pages, which fails on request."""
+    """A link to another entry's pages with injectable faults."""
 
     def __init__(self):
         self.peer = None
@@ -32,7 +32,7 @@
 
 
 class Members:
-    """Two entries, the first of which writes every page."""
+    """A member list in which the entry `writer` is the writer of each page."""
 
     def __init__(self, name):
         self.me = type("Me", (), {"name": name})
@@ -48,7 +48,7 @@
 
 
 class RoutingTest(GoldTestCase):
-    """An entry that has its pages changed by another."""
+    """An entry whose pages are changed through another entry."""
 
     @asynchronous
     async def test_a_writer_that_fails_is_done_without(self):
--- a/tests/claims/test_claims.py
+++ b/tests/claims/test_claims.py
@@ -1,4 +1,4 @@
-"""At most once: whole sessions with the endpoint's own count as the judge."""
+"""Tests at-most-once execution against the endpoint's own count of runs."""
 
 from rhubarbwinch.shared.verdict import Reason, not_run
 from tests.claimworld import World
@@ -6,7 +6,7 @@
 
 
 class ClaimsTest(GoldTestCase):
-    """Calls that are not repeatable, under failures."""
+    """Calls that are not repeatable, under injected failures."""
 
     @asynchronous
     async def test_two_entries_with_the_same_key_at_once_run_it_once(self):
@@ -127,7 +127,7 @@
         async with World() as world:
             key = world.key()
             first = await world.stop(0, "after write", key)
-            # The caller hangs up, and the release can't reach the store.
+            # The caller disconnects, and the release can't reach the store.
             first.scope.cancel()
             world.entries[0].gate.cut = "both ways"
             world.entries[0].gate.wake()
--- a/tests/claims/test_quarantine.py
+++ b/tests/claims/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that crash endpoints: how many are lost, and who is refused."""
+"""Tests how many endpoints a crashing request kills and what is refused."""
 
 import contextlib
 
@@ -21,7 +21,7 @@
 
 
 class Member:
-    """A member: its quarantine, and the news that it gives and takes."""
+    """A member with its quarantine and its broadcasts."""
 
     def __init__(self, cluster):
         self._cluster = cluster
@@ -36,7 +36,7 @@
 
 
 class Cluster:
-    """Engines that die of some requests, and members that run requests."""
+    """Engines that some requests crash, and members that run requests."""
 
     def __init__(self, engines=8, members=4):
         self.clock = ManualClock()
@@ -53,12 +53,12 @@
         self.lines = []
 
     async def load(self):
-        """Lets all members read the store."""
+        """Loads the suspects from the store at all members."""
         for member in self.members:
             await member.quarantine.load()
 
     async def spread(self):
-        """Delivers the news of all members to the others."""
+        """Delivers the broadcasts of each member to all others."""
         while self.updates:
             sender, key, data = self.updates.pop(0)
             for member in self.members:
@@ -66,10 +66,10 @@
                     await member.handler(key, data)
 
     def note(self, text):
-        """Adds a line to the session."""
+        """Appends a line to the golden text."""
         self.lines.append(f"{text}; engines lost {self.lost}")
 
-    # What a guard needs of endpoints and permits.
+    # The methods that a guard calls on its endpoint and permit clients.
 
     async def read_json(self, url):
         name = url.split("/")[2]
@@ -81,7 +81,7 @@
         pass
 
     def kill(self, name):
-        """Ends an engine and all that runs on it."""
+        """Kills an engine and all its runs."""
         self.lost += 1
         self.alive.pop(name).set()
 
@@ -95,7 +95,8 @@
             await self.clock.sleep(self.trial_ms)
             self.trials[name] -= 1
         if poison:
-            # A request has some time to spread before its engine dies.
+            # During this time, copies of the request can be sent to other
+            # engines.
             await self.clock.sleep(self.poison_ms)
             self.kill(name)
         elif hold is not None:
@@ -114,7 +115,7 @@
         first="",
         repeatable=True,
     ):
-        """Runs a request with retries, as an entry does."""
+        """Runs a request with retries at other engines, as an entry does."""
         guard = QuarantineGuard(
             self.members[member].quarantine, self, self, content, repeatable
         )
@@ -150,7 +151,7 @@
 
 
 class QuarantineTest(GoldTestCase):
-    """Strikes, trials, quarantine and the innocent."""
+    """Strikes, trials and quarantine, also of harmless requests."""
 
     @asynchronous
     async def test_a_poisonous_request_costs_two_endpoints_at_most(self):
@@ -316,7 +317,7 @@
 
 
 def _count(fleet):
-    """Returns how many engines answer."""
+    """Returns the number of engines that respond."""
     alive = 0
     for address in fleet.engines:
         with contextlib.suppress(httpx.HTTPError):
--- a/tests/claimworld.py
+++ b/tests/claimworld.py
@@ -1,4 +1,4 @@
-"""Entries with claims in one process, over a store that fails on request."""
+"""Runs entries with claims in one process, with injectable faults."""
 
 import contextlib
 import random
@@ -36,7 +36,7 @@
 
 
 def uuid7(time_ms, number=0):
-    """Returns a UUIDv7 of a time; the number stands in its random part."""
+    """Returns a UUIDv7 with a time, and a number as its random part."""
     value = time_ms << 80 | 0x7 << 76 | 0b10 << 62 | number
     return str(uuid.UUID(int=value))
 
@@ -52,7 +52,7 @@
         self._wake = anyio.Event()
 
     async def reach(self, point):
-        """Passes a point, or waits there until woken."""
+        """Returns at once, or blocks at the point to stop at until woken."""
         if point == self.stop_at:
             self.closed = True
             self.stop_at = None
@@ -62,19 +62,19 @@
             raise StoreUnavailable("the process is dead")
 
     def wake(self):
-        """Lets the entry go on, as SIGCONT would."""
+        """Resumes the entry, as SIGCONT would."""
         self.closed = False
         self._wake.set()
         self._wake = anyio.Event()
 
     def end(self):
-        """Makes everything that waits fail; for the end of a test."""
+        """Makes all blocked operations fail, at the end of a test."""
         self.dead = True
         self.wake()
 
 
 class GatedStore:
-    """The store as one entry reaches it."""
+    """One entry's connection to the store, with points to stop at."""
 
     def __init__(self, store, gate):
         self._store = store
@@ -100,7 +100,7 @@
 
 
 class CountingEndpoint:
-    """An endpoint that counts what it runs: the judge."""
+    """An endpoint that records the calls it runs."""
 
     def __init__(self):
         self.ran = []
@@ -111,7 +111,7 @@
 
 
 class GatedEndpoints:
-    """The endpoint as one entry reaches it."""
+    """One entry's client of the endpoint, with points to stop at."""
 
     def __init__(self, endpoint, gate, clock):
         self._endpoint = endpoint
@@ -134,7 +134,7 @@
 
 
 class Permits:
-    """Grants places, or refuses them."""
+    """A permit client that grants or refuses every request."""
 
     def __init__(self):
         self.failure = None
@@ -154,7 +154,7 @@
 
 
 class Entry:
-    """An entry's claims and caller of plain services."""
+    """An entry with claims and a caller of plain services."""
 
     def __init__(self, world, name, incarnation):
         self.name = name
@@ -184,7 +184,7 @@
 
 
 class Owners:
-    """Asks the other entries of the world."""
+    """Asks the other entries directly."""
 
     def __init__(self, world):
         self._world = world
@@ -201,14 +201,14 @@
 
 
 class Answer:
-    """A caller's request and what it was told."""
+    """The response to a caller's request."""
 
     def __init__(self):
         self.text = None
         self.scope = anyio.CancelScope()
 
     async def send(self, message):
-        """Takes ASGI messages."""
+        """Receives the ASGI messages of the response."""
         if message["type"] == "http.response.start":
             names = dict(message["headers"])
             again = b"idempotency-replayed" in names
@@ -218,7 +218,7 @@
 
 
 class World(contextlib.AbstractAsyncContextManager):
-    """A store, an endpoint and entries under one clock."""
+    """A store, an endpoint and entries with a common manual clock."""
 
     def __init__(self, entries=2):
         self.clock = ManualClock()
@@ -257,7 +257,7 @@
         return await self._tasks.__aexit__(*error)
 
     def key(self, number=0, age_ms=0):
-        """Returns an idempotency key of the present time."""
+        """Returns an idempotency key with the current time."""
         return uuid7(self.clock.wall() - age_ms, number)
 
     def start(self, entry, key=None, path="/services/booking/book", body=b"{}"):
@@ -276,29 +276,30 @@
                     failure = refused.failure
                     answer.text = f"{failure.verdict} {failure.reason}"
                 except StoreUnavailable:
-                    # Only an entry that is dead at the test's end lets it out.
+                    # Raised only by entries that `Gate.end` stops at the end
+                    # of a test.
                     answer.text = "nothing"
 
         self._tasks.start_soon(run)
         return answer
 
     async def settle(self, *answers, limit_ms=10_000):
-        """Moves the clock until all answers are there."""
+        """Advances the clock until all responses have arrived."""
         await anyio.wait_all_tasks_blocked()
         for _ in range(limit_ms // STEP_MS):
             if all(answer.text is not None for answer in answers):
                 return
             await self.clock.advance(STEP_MS)
-        raise AssertionError("no answer in time")
+        raise AssertionError("no response in time")
 
     async def call(self, entry, key=None, **fields):
-        """Makes a call and returns what its caller is told."""
+        """Makes a call and returns the text of its response."""
         answer = self.start(entry, key, **fields)
         await self.settle(answer)
         return answer.text
 
     async def stop(self, entry, point, key, **fields):
-        """Starts a call and stops its entry at a point."""
+        """Starts a call and waits until its entry stops at a point."""
         self.entries[entry].gate.stop_at = point
         answer = self.start(entry, key, **fields)
         for _ in range(20):
@@ -309,11 +310,15 @@
         raise AssertionError(f"{point!r} was not reached")
 
     def note(self, text):
-        """Adds a line to the session."""
+        """Appends a line to the golden text."""
         self.lines.append(text)
 
     async def judge(self):
-        """Adds what the endpoint ran and what the store has."""
+        """Appends the endpoint's runs, the stored claims and the audit.
+
+        Raises:
+            AssertionError: The audit contradicts the endpoint's runs.
+        """
         self.note(f"endpoint ran {len(self.desk.ran)}")
         self.store.faults.down = False
         states = []
@@ -327,10 +332,10 @@
         sure = sum(call.ran == "yes" for call in calls)
         self.note(f"audit lists {sure} that ran, {len(calls) - sure} unknown")
         if not sure <= len(self.desk.ran) <= len(calls):
-            raise AssertionError("the audit and the endpoint's log differ")
+            raise AssertionError("the audit contradicts the endpoint's runs")
 
     def text(self):
-        """Returns the session."""
+        """Returns the golden text."""
         return "\n".join(self.lines) + "\n"
 
 
@@ -344,5 +349,5 @@
 
 
 def number_of(text):
-    """Returns the call's number at the endpoint in an answer's text."""
+    """Returns the call's number at the endpoint from a response's text."""
     return orjson.loads(text.split(" ", 1)[1])["number"]
