--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -67,7 +67,7 @@
             )
             self.admission.report_load(report)
 
-    def pass_time(self, ms):
+    def advance(self, ms):
         """Advances the clock with load reports; returns all decisions."""
         decisions = []
         for _ in range(ms // 100):
@@ -101,17 +101,17 @@
     return [d.reply.failure for d in decisions if d.reply.failure]
 
 
-class PaceTest(unittest.TestCase):
+class TokenGapTest(unittest.TestCase):
     """Engines that are predicted to miss the token gap target."""
 
     def test_each_slow_engine_serves(self):
         for step_ms in (40.0, 90.0):
             pool = Pool(capacity=100_000, step_ms=step_ms)
-            pool.pass_time(5000)
+            pool.advance(5000)
             count = sum(len(granted(pool.submit())) for _ in range(4))
             self.assertGreaterEqual(count, 2, step_ms)
 
-    def test_an_idle_engine_takes_a_stream_whatever_is_predicted(self):
+    def test_an_idle_engine_gets_a_stream_despite_the_prediction(self):
         pool = Pool(capacity=100_000)
         for tokens in range(0, 4000, 100):
             report = LoadReport(
@@ -126,14 +126,14 @@
 class LimitsTest(unittest.TestCase):
     """Limits of accounts."""
 
-    def test_requests_in_flight_are_held_exactly(self):
+    def test_the_limit_of_requests_in_flight_is_exact(self):
         pool = Pool(acme={"room": Room(requests=3)})
         started = [i for _ in range(6) for i in granted(pool.submit())]
         self.assertEqual(len(started), 3)
         self.assertEqual(len(granted(pool.end(started[0]))), 1)
-        self.assertEqual(granted(pool.pass_time(500)), [])
+        self.assertEqual(granted(pool.advance(500)), [])
 
-    def test_tokens_in_flight_are_held_exactly_and_given_back(self):
+    def test_the_limit_of_tokens_in_flight_is_exact(self):
         # Each request has 100 prompt tokens and 200 expected output tokens.
         pool = Pool(acme={"room": Room(tokens=700)})
         started = [i for _ in range(4) for i in granted(pool.submit())]
@@ -142,19 +142,19 @@
             pool.end(request_id, StreamEnd.CANCELLED)
         self.assertEqual(pool.admission.queued, 0)
 
-    def test_what_is_larger_than_the_room_is_refused_at_once(self):
+    def test_a_request_over_the_token_limit_is_refused_immediately(self):
         pool = Pool(acme={"room": Room(tokens=200)})
         (failure,) = failures(pool.submit())
         self.assertIs(failure.reason, Reason.RATE_LIMITED)
         self.assertIs(failure.verdict, Verdict.NOT_RUN)
 
-    def test_an_account_at_its_limit_does_not_hold_up_others(self):
+    def test_an_account_at_its_limit_does_not_block_others(self):
         pool = Pool(acme={"room": Room(requests=1)})
         pool.submit()
         pool.submit()
         self.assertEqual(granted(pool.submit(account="other")), ["r3"])
 
-    def test_a_rate_is_held_and_the_refusal_says_when_to_come_back(self):
+    def test_a_request_over_the_rate_is_refused_with_a_retry_delay(self):
         pool = Pool(acme={"requests_per_second": 2.0})
         decisions = [d for _ in range(3) for d in pool.submit()]
         self.assertEqual(len(granted(decisions)), 2)
@@ -172,7 +172,7 @@
 class PlacementTest(unittest.TestCase):
     """KV cache limits, headroom and endpoints that must not be used."""
 
-    def test_memory_is_not_promised_twice_once_lengths_are_known(self):
+    def test_kv_cache_is_not_overcommitted_once_lengths_are_known(self):
         pool = Pool(capacity=3000)
         for _ in range(60):
             decisions = pool.submit(wait_ms=0)
@@ -190,14 +190,14 @@
         answer = pool.submit(interactive=True, max_tokens=20, prompt_tokens=50)
         self.assertEqual(len(granted(answer)), 1)
 
-    def test_a_leaving_endpoint_gets_nothing(self):
+    def test_a_leaving_endpoint_gets_no_requests(self):
         pool = Pool()
         pool.admission.set_leaving({"e0"})
         decisions = [d for _ in range(6) for d in pool.submit()]
         endpoints = {d.reply.grant.endpoint for d in decisions}
         self.assertEqual(endpoints, {"e1"})
 
-    def test_a_silent_endpoint_gets_nothing(self):
+    def test_an_endpoint_without_load_reports_gets_no_requests(self):
         pool = Pool()
         pool.clock.set(5000)
         pool.admission.report_load(
@@ -207,17 +207,17 @@
         endpoints = {d.reply.grant.endpoint for d in decisions}
         self.assertEqual(endpoints, {"e1"})
 
-    def test_an_endpoint_that_lost_a_request_waits_for_its_next_report(self):
+    def test_an_endpoint_that_lost_a_request_is_unused_until_it_reports(self):
         pool = Pool()
         endpoint = pool.submit()[0].reply.grant.endpoint
         pool.end("r1", StreamEnd.ENDPOINT_LOST)
         others = [pool.submit()[0].reply.grant.endpoint for _ in range(4)]
         self.assertNotIn(endpoint, others)
-        pool.pass_time(100)
+        pool.advance(100)
         later = [pool.submit()[0].reply.grant.endpoint for _ in range(4)]
         self.assertIn(endpoint, later)
 
-    def test_a_long_stream_yields_when_memory_is_about_to_run_out(self):
+    def test_a_background_stream_is_lowered_when_kv_cache_runs_out(self):
         pool = Pool(capacity=3000)
         streams = [
             StreamProgress(
@@ -234,7 +234,7 @@
         ]
         report = ProgressReport("entry-1", POOL, streams)
         pool.admission.report_progress(report)
-        pool.pass_time(1000)
+        pool.advance(1000)
         (change,) = pool.admission.take_priority_changes()
         self.assertEqual(change.entry, "entry-1")
         self.assertEqual(change.message.request_id, "long")
@@ -243,29 +243,29 @@
 class RefusalTest(unittest.TestCase):
     """Refusals of requests that can't or did not start in time."""
 
-    def test_without_a_chance_to_start_the_refusal_is_immediate(self):
+    def test_a_request_that_cannot_start_in_time_is_refused_immediately(self):
         pool = Pool(max_running=2)
         for _ in range(12):
             pool.submit(wait_ms=600_000)
-        pool.pass_time(1000)
+        pool.advance(1000)
         (failure,) = failures(pool.submit(wait_ms=100))
         self.assertIs(failure.reason, Reason.DEADLINE)
         self.assertIs(failure.verdict, Verdict.NOT_RUN)
         self.assertGreaterEqual(failure.retry_after_ms, 1000)
 
-    def test_a_wait_ends_at_its_deadline(self):
+    def test_a_queued_request_is_refused_at_its_deadline(self):
         pool = Pool(max_running=1, options=Options(refuses_early=False))
         for _ in range(3):
             pool.submit(wait_ms=500)
-        (failure,) = failures(pool.pass_time(600))
+        (failure,) = failures(pool.advance(600))
         self.assertIs(failure.reason, Reason.DEADLINE)
         self.assertEqual(pool.admission.queued, 0)
 
-    def test_work_that_waited_long_goes_before_interactive_work(self):
+    def test_an_overdue_background_request_precedes_interactive_ones(self):
         pool = Pool(max_running=1)
         started = [granted(pool.submit(interactive=True))[0] for _ in "ab"]
         pool.submit(wait_ms=10_000)
-        pool.pass_time(6000)
+        pool.advance(6000)
         pool.submit(interactive=True, wait_ms=10_000)
         self.assertEqual(granted(pool.end(started[0])), ["r3"])
 
@@ -273,7 +273,7 @@
 class ReportTest(unittest.TestCase):
     """Reports of open streams by entries."""
 
-    def test_a_new_owner_holds_limits_after_the_first_reports(self):
+    def test_a_new_owner_enforces_limits_after_the_first_reports(self):
         pool = Pool(acme={"room": Room(requests=3)})
         streams = [
             StreamProgress(
@@ -285,18 +285,18 @@
         self.assertEqual(granted(pool.submit()), [])
         self.assertEqual(granted(pool.end("old-0")), ["r1"])
 
-    def test_a_stream_that_its_entry_no_longer_reports_is_given_up(self):
+    def test_a_stream_that_its_entry_no_longer_reports_is_dropped(self):
         pool = Pool(acme={"room": Room(requests=1)})
         pool.submit()
         pool.submit(wait_ms=100_000)
         empty = ProgressReport("entry-1", POOL, [])
         pool.admission.report_progress(empty)
-        self.assertEqual(granted(pool.pass_time(100)), [])
-        pool.pass_time(2500)
+        self.assertEqual(granted(pool.advance(100)), [])
+        pool.advance(2500)
         pool.admission.report_progress(empty)
-        self.assertEqual(granted(pool.pass_time(100)), ["r2"])
+        self.assertEqual(granted(pool.advance(100)), ["r2"])
 
-    def test_a_late_report_does_not_bring_back_a_released_stream(self):
+    def test_a_late_report_does_not_restore_a_released_stream(self):
         pool = Pool(acme={"room": Room(requests=1)})
         pool.submit()
         pool.end("r1")
@@ -306,19 +306,19 @@
         )
         self.assertEqual(granted(pool.submit()), ["r2"])
 
-    def test_the_streams_of_an_entry_without_reports_are_given_up(self):
+    def test_the_streams_of_an_entry_without_reports_are_dropped(self):
         pool = Pool(acme={"room": Room(requests=1)})
         pool.submit()
         pool.submit(wait_ms=100_000)
         almost = ENTRY_TIMEOUT_MS - 1000
-        self.assertEqual(granted(pool.pass_time(almost)), [])
-        self.assertEqual(granted(pool.pass_time(3000)), ["r2"])
+        self.assertEqual(granted(pool.advance(almost)), [])
+        self.assertEqual(granted(pool.advance(3000)), ["r2"])
 
 
 class PolicyTest(unittest.TestCase):
     """The placement policies that use no forecast."""
 
-    def test_each_policy_spreads_requests_and_keeps_to_the_count(self):
+    def test_each_policy_keeps_to_the_limit_of_running_requests(self):
         for name in ("round-robin", "least-outstanding", "least-load"):
             pool = Pool(max_running=3, options=Options(placement=name))
             count = sum(len(granted(pool.submit())) for _ in range(9))
--- a/tests/admission/test_digests.py
+++ b/tests/admission/test_digests.py
@@ -17,7 +17,7 @@
     return StreamProgress(request, "engine-1", tokens)
 
 
-class ReportsTest(unittest.TestCase):
+class DigestTest(unittest.TestCase):
     """An entry's digests compared with an owner's view."""
 
     def setUp(self):
@@ -28,22 +28,22 @@
         report = self.reporter.digest("p", streams)
         return self.checker.needs_full_report(report, known)
 
-    def test_an_equal_view_needs_no_announcement_in_whatever_order(self):
+    def test_an_equal_view_in_any_order_needs_no_full_report(self):
         streams = [_stream("a"), _stream("b")]
         for _ in range(3):
             self.assertFalse(self._wants_all(streams, ["b", "a"]))
 
-    def test_a_lasting_difference_asks_for_all_but_a_passing_one_does_not(self):
+    def test_a_second_mismatch_in_a_row_requests_a_full_report(self):
         self.assertFalse(self._wants_all([_stream("a")], ["a", "on-its-way"]))
         self.assertFalse(self._wants_all([_stream("a")], ["a"]))
         self.assertFalse(self._wants_all([_stream("a")], []))
         self.assertTrue(self._wants_all([_stream("a")], []))
 
-    def test_a_swap_of_one_stream_for_another_is_noticed(self):
+    def test_a_replaced_stream_is_detected(self):
         self.assertFalse(self._wants_all([_stream("a")], ["b"]))
         self.assertTrue(self._wants_all([_stream("a")], ["b"]))
 
-    def test_growth_is_told_once_for_each_step(self):
+    def test_growth_is_reported_once_per_threshold(self):
         def grown(tokens):
             report = self.reporter.digest("p", [_stream("a", tokens)])
             return report.grown
@@ -54,7 +54,7 @@
         self.assertEqual(growth.tokens, GROWTH_TOKENS)
         self.assertEqual(grown(GROWTH_TOKENS + 1), [])
 
-    def test_an_announcement_counts_as_told(self):
+    def test_a_full_report_includes_the_growth(self):
         streams = [_stream("a", GROWTH_TOKENS)]
         self.reporter.build_full_report("p", streams)
         self.assertEqual(self.reporter.digest("p", streams).grown, [])
--- a/tests/admission/test_fairness.py
+++ b/tests/admission/test_fairness.py
@@ -39,12 +39,12 @@
         served = _serve(queue, 100)
         self.assertAlmostEqual(served["large"], 75, delta=2)
 
-    def test_a_correction_makes_up_for_tokens_that_were_not_expected(self):
+    def test_charged_tokens_delay_the_requests_of_an_account(self):
         queue = _queue({"large": 200, "small": 200})
         queue.charge("large", 3000)
         self.assertEqual(_serve(queue, 10)["small"], 10)
 
-    def test_an_account_that_was_away_has_saved_up_nothing(self):
+    def test_an_idle_account_accumulates_no_credit(self):
         queue = _queue({"large": 400})
         _serve(queue, 300)
         for _ in range(50):
@@ -52,12 +52,12 @@
             queue.push("small", QueuedRequest(request, 100, 0, 1000))
         self.assertAlmostEqual(_serve(queue, 40)["small"], 10, delta=2)
 
-    def test_a_flood_is_not_ahead_of_another_account(self):
+    def test_the_backlog_of_one_account_does_not_delay_another(self):
         queue = _queue({"large": 500})
         self.assertLess(queue.tokens_ahead("small"), 1000)
         self.assertEqual(queue.tokens_ahead("large"), 50_000)
 
-    def test_an_account_that_must_wait_lets_the_next_one_pass(self):
+    def test_an_account_that_cannot_start_does_not_block_the_next(self):
         queue = _queue({"large": 2, "small": 1})
         accounts = [item.request.account for item in queue.heads(8)]
         self.assertEqual(accounts, ["large", "small"])
--- a/tests/admission/test_lengths.py
+++ b/tests/admission/test_lengths.py
@@ -36,14 +36,14 @@
         self.assertAlmostEqual(curve.survival_at(500), 0.5, delta=0.08)
         self.assertLess(naive.survival_at(500), 0.35)
 
-    def test_a_stream_that_outlived_the_short_ones_is_expected_to_go_on(self):
+    def test_a_stream_longer_than_most_is_expected_to_be_much_longer(self):
         curve = SurvivalCurve()
         for length in [20] * 90 + [2000] * 10:
             curve.add(length, is_complete=True)
         self.assertLess(curve.outlook(0, 8192).mean_tokens, 400)
         self.assertGreater(curve.outlook(100, 8192).mean_tokens, 1500)
 
-    def test_nothing_is_expected_past_the_callers_bound(self):
+    def test_no_output_is_expected_beyond_max_tokens(self):
         curve = SurvivalCurve()
         for _ in range(100):
             curve.add(5000, is_complete=True)
@@ -52,7 +52,7 @@
             if horizon > 2 * 256:
                 self.assertEqual(survival, 0)
 
-    def test_old_observations_fade(self):
+    def test_the_weight_of_old_observations_decays(self):
         curve = SurvivalCurve()
         for _ in range(2000):
             curve.add(10, is_complete=True)
@@ -64,7 +64,7 @@
 class LearnedLengthsTest(unittest.TestCase):
     """Cells and their fallback to coarser cells."""
 
-    def test_a_new_account_is_judged_by_the_service_until_it_is_known(self):
+    def test_a_new_account_uses_the_curve_of_the_service_at_first(self):
         lengths = LearnedLengths()
         old = builders.permit_request(account="old", max_tokens=4096)
         new = builders.permit_request(account="new", max_tokens=4096)
@@ -76,7 +76,7 @@
         self.assertGreater(lengths.outlook(new, 0).mean_tokens, 1500)
         self.assertLess(lengths.outlook(old, 0).mean_tokens, 100)
 
-    def test_without_observations_each_length_up_to_the_bound_is_as_likely(
+    def test_without_observations_lengths_are_uniform(
         self,
     ):
         request = builders.permit_request(max_tokens=1000)
--- a/tests/admission/test_limits.py
+++ b/tests/admission/test_limits.py
@@ -10,7 +10,7 @@
 class TokenBucketTest(unittest.TestCase):
     """Limits of requests per second."""
 
-    def test_the_rate_is_held_and_the_wait_that_is_told_suffices(self):
+    def test_the_rate_is_limited_and_the_returned_wait_suffices(self):
         clock = ManualClock()
         bucket = TokenBucket(clock, 5)
         self.assertEqual([bucket.try_acquire() for _ in range(5)], [0] * 5)
@@ -24,7 +24,7 @@
 class RetryBudgetTest(unittest.TestCase):
     """Limits of retries."""
 
-    def test_retries_stay_a_share_of_first_attempts(self):
+    def test_retries_are_limited_to_a_ratio_of_first_attempts(self):
         budget = RetryBudget(ratio=0.1, reserve=10)
         allowed = 0
         for _ in range(1000):
--- a/tests/admission/test_prefixes.py
+++ b/tests/admission/test_prefixes.py
@@ -20,18 +20,18 @@
         self.assertEqual(one[:2], two[:2])
         self.assertNotEqual(one[2], two[2])
 
-    def test_an_equal_block_after_another_beginning_has_another_hash(self):
+    def test_equal_blocks_after_different_prefixes_differ_in_hash(self):
         block = b"a" * BLOCK_BYTES
         one = prefix_hashes(b"b" * BLOCK_BYTES + block)
         two = prefix_hashes(b"c" * BLOCK_BYTES + block)
         self.assertNotEqual(one[1], two[1])
 
-    def test_a_part_of_a_block_has_none_and_long_prompts_are_bounded(self):
+    def test_partial_blocks_are_skipped_and_long_prompts_are_bounded(self):
         self.assertEqual(prefix_hashes(b"a" * (BLOCK_BYTES - 1)), [])
         long = b"a" * (2 * MAX_BLOCKS * BLOCK_BYTES)
         self.assertEqual(len(prefix_hashes(long)), MAX_BLOCKS)
 
-    def test_prompts_and_messages_count_but_not_the_other_fields(self):
+    def test_only_prompts_and_messages_are_hashed(self):
         asked = {"prompt": "x", "max_tokens": 5}
         self.assertEqual(prompt_bytes(asked), prompt_bytes({"prompt": "x"}))
         chat = {"messages": [{"role": "user", "content": "x"}]}
--- a/tests/admission/test_steptime.py
+++ b/tests/admission/test_steptime.py
@@ -9,7 +9,7 @@
 class StepTimeTest(unittest.TestCase):
     """The linear model and the quantile of its residuals."""
 
-    def test_the_slopes_are_found_and_prompts_come_on_top(self):
+    def test_coefficients_are_fitted_and_prefills_are_added(self):
         rng = random.Random(1)
         step_time = StepTime()
         for _ in range(3000):
--- a/tests/admission/test_streamindex.py
+++ b/tests/admission/test_streamindex.py
@@ -11,7 +11,7 @@
 from tests import builders
 
 
-class DigestsAtAnOwnerTest(unittest.TestCase):
+class DigestCheckTest(unittest.TestCase):
     """A pool's owner that receives the digests of two entries."""
 
     def setUp(self):
@@ -29,13 +29,13 @@
         report = self.reporter.digest("vintner.dc-a", list(streams))
         return self.pool.check_digest(report)
 
-    def test_an_owner_that_knows_all_asks_for_nothing(self):
+    def test_an_owner_with_a_correct_view_requests_no_full_report(self):
         mine = self._grant("r1")
         self._grant("r2", entry="entry-2")
         for _ in range(3):
             self.assertFalse(self._wants_all(mine))
 
-    def test_a_lost_release_is_made_good_by_an_announcement(self):
+    def test_a_lost_release_is_repaired_by_a_full_report(self):
         kept, _ = self._grant("r1"), self._grant("r2")
         self._grant("r3", entry="entry-2")
         self.clock.set(REPORT_GRACE_MS)
@@ -65,7 +65,7 @@
         self.assertFalse(self._wants_all())
         self.assertFalse(self._wants_all())
 
-    def test_growth_reaches_the_stream(self):
+    def test_reported_growth_updates_the_stream(self):
         stream = self._grant("r1")
         grown = StreamProgress(
             stream.request, stream.endpoint, 2 * GROWTH_TOKENS
--- a/tests/claims/test_audit.py
+++ b/tests/claims/test_audit.py
@@ -38,9 +38,9 @@
 
     def resume(self, entry, position, tokens):
         """Resumes a stream at another entry."""
-        there = Position(position.generation, tokens)
-        self.meters[entry].start(there, "acme", "chat")
-        return there
+        resumed = Position(position.generation, tokens)
+        self.meters[entry].start(resumed, "acme", "chat")
+        return resumed
 
     async def show(self, title, hours=1, first=0):
         """Appends a line with the totals that the audit lists."""
@@ -86,8 +86,8 @@
 
         moved = ledger.stream(0, 4, 4)
         first.end(moved.generation, finished=False)
-        there = ledger.resume(1, moved, 9)
-        second.end(there.generation, finished=True)
+        resumed = ledger.resume(1, moved, 9)
+        second.end(resumed.generation, finished=True)
         await first.flush()
         await second.flush()
         await ledger.show("moved at 4, ended elsewhere at 9")
@@ -121,7 +121,7 @@
         await ledger.show("both hours", hours=2)
         self.assert_gold("audit-tokens", "\n".join(ledger.lines) + "\n")
 
-    def test_a_period_is_whole_hours(self):
+    def test_a_period_must_be_whole_hours(self):
         found = audit.parse_period("2026-12-03T14", "2026-12-03T16:00+00:00")
         self.assertEqual(found.end_ms - found.start_ms, 2 * PERIOD_MS)
         for end in ("2026-12-03T14", "2026-12-03T14:30", "soon"):
--- a/tests/claims/test_claimrouting.py
+++ b/tests/claims/test_claimrouting.py
@@ -51,7 +51,7 @@
     """An entry whose pages are changed through another entry."""
 
     @asynchronous
-    async def test_a_writer_that_fails_is_done_without(self):
+    async def test_changes_are_made_directly_if_the_writer_fails(self):
         clock, link, gate = ManualClock(), Link(), Gate()
         store = MemoryStore(clock)
         ours = ClaimPages(store, clock, 1000)
--- a/tests/claims/test_claims.py
+++ b/tests/claims/test_claims.py
@@ -9,7 +9,7 @@
     """Calls that are not repeatable, under injected failures."""
 
     @asynchronous
-    async def test_two_entries_with_the_same_key_at_once_run_it_once(self):
+    async def test_concurrent_calls_with_the_same_key_run_once(self):
         async with World() as world:
             key = world.key()
             world.desk.delay_ms = 1_000
@@ -53,7 +53,7 @@
         self.assert_gold("claims-killed", text + world.text())
 
     @asynchronous
-    async def test_a_paused_owner_that_wakes_runs_it_at_most_once(self):
+    async def test_a_paused_owner_that_resumes_runs_a_call_at_most_once(self):
         text = ""
         for point in ("before write", "after write", "before send"):
             async with World() as world:
@@ -74,7 +74,7 @@
         self.assert_gold("claims-paused", text)
 
     @asynchronous
-    async def test_a_lost_answer_of_the_store_changes_nothing(self):
+    async def test_a_lost_reply_of_the_store_never_runs_a_call_twice(self):
         text = ""
         for lost in (1, 2):
             async with World() as world:
@@ -102,7 +102,9 @@
         self.assert_gold("claims-lost-answer", text + world.text())
 
     @asynchronous
-    async def test_a_store_outage_refuses_at_once_and_records_afterwards(self):
+    async def test_an_outage_refuses_calls_and_delays_records_of_sent_ones(
+        self,
+    ):
         async with World() as world:
             key = world.key()
             world.store.faults.down = True
@@ -139,7 +141,9 @@
         self.assert_gold("claims-taken-over", world.text())
 
     @asynchronous
-    async def test_an_endpoint_that_dies_in_the_call_leaves_it_unknown(self):
+    async def test_an_endpoint_crash_during_a_call_leaves_the_outcome_unknown(
+        self,
+    ):
         async with World() as world:
             key = world.key()
             world.desk.dies = True
@@ -184,7 +188,7 @@
         self.assert_gold("claims-keys", world.text())
 
     @asynchronous
-    async def test_every_refusal_that_says_not_run_is_true(self):
+    async def test_each_refusal_with_the_verdict_not_run_is_correct(self):
         async with World(1) as world:
             entry = world.entries[0]
             reasons = (
--- a/tests/claims/test_quarantine.py
+++ b/tests/claims/test_quarantine.py
@@ -154,7 +154,7 @@
     """Strikes, trials and quarantine, also of harmless requests."""
 
     @asynchronous
-    async def test_a_poisonous_request_costs_two_endpoints_at_most(self):
+    async def test_a_crashing_request_kills_at_most_two_endpoints(self):
         cluster = Cluster()
         await cluster.load()
         for number in range(6):
@@ -170,7 +170,7 @@
         self.assert_gold("quarantine", "\n".join(cluster.lines) + "\n")
 
     @asynchronous
-    async def test_copies_sent_at_once_after_a_strike_share_one_trial(self):
+    async def test_concurrent_copies_after_a_strike_share_one_trial(self):
         cluster = Cluster()
         await cluster.load()
         quarantine = cluster.members[0].quarantine
@@ -208,7 +208,7 @@
         self.assert_gold("quarantine-copies", "\n".join(cluster.lines) + "\n")
 
     @asynchronous
-    async def test_innocent_requests_clear_themselves_by_finishing(self):
+    async def test_harmless_requests_are_cleared_by_finishing(self):
         cluster = Cluster(engines=5)
         await cluster.load()
         answers = {}
@@ -241,7 +241,7 @@
         self.assert_gold("quarantine-innocent", "\n".join(cluster.lines) + "\n")
 
     @asynchronous
-    async def test_an_innocent_request_sent_again_in_its_trial_waits(self):
+    async def test_a_harmless_request_repeated_during_its_trial_waits(self):
         cluster = Cluster()
         await cluster.load()
         await cluster.members[0].quarantine.strike("good", "a-0-t~engine-0")
@@ -262,7 +262,7 @@
         self.assert_gold("quarantine-again", "\n".join(cluster.lines) + "\n")
 
     @asynchronous
-    async def test_a_caller_that_hangs_up_does_not_hide_a_death(self):
+    async def test_a_caller_that_disconnects_does_not_hide_a_crash(self):
         cluster = Cluster()
         await cluster.load()
         for _ in range(4):
@@ -283,7 +283,7 @@
         cluster.note("the end")
         self.assert_gold("quarantine-hang-up", "\n".join(cluster.lines) + "\n")
 
-    def test_processes_lose_two_engines_at_most(self):
+    def test_processes_lose_at_most_two_engines(self):
         with Fleet(entries=3, engines=5) as fleet:
             body = {"model": "chat", "prompt": "poison"}
             status = []
--- a/tests/claimworld.py
+++ b/tests/claimworld.py
@@ -211,8 +211,8 @@
         """Receives the ASGI messages of the response."""
         if message["type"] == "http.response.start":
             names = dict(message["headers"])
-            again = b"idempotency-replayed" in names
-            self._head = f"{message['status']}{' recorded' * again}"
+            is_replay = b"idempotency-replayed" in names
+            self._head = f"{message['status']}{' recorded' * is_replay}"
         else:
             self.text = f"{self._head} {message['body'].decode()}"
 
@@ -329,9 +329,11 @@
         start = self.clock.wall() // hour * hour
         period = Period(start - 25 * hour, start + 2 * hour)
         calls = await list_calls(self.store, period)
-        sure = sum(call.ran == "yes" for call in calls)
-        self.note(f"audit lists {sure} that ran, {len(calls) - sure} unknown")
-        if not sure <= len(self.desk.ran) <= len(calls):
+        certain = sum(call.ran == "yes" for call in calls)
+        self.note(
+            f"audit lists {certain} that ran, {len(calls) - certain} unknown"
+        )
+        if not certain <= len(self.desk.ran) <= len(calls):
             raise AssertionError("the audit contradicts the endpoint's runs")
 
     def text(self):
