--- a/rhubarbwinch/admission/admission.py
+++ b/rhubarbwinch/admission/admission.py
@@ -47,7 +47,7 @@
 # keeps each call short.
 MAX_REFRESHES = 2
 # An entry may send a report before it receives a recent grant. A stream that
-# is missing from a report is dropped only if it is at least this old.
+# is missing from a report is dropped only if it was granted this long ago.
 REPORT_GRACE_MS = 2000
 # Three times the longest report period. The streams of an entry that sends no
 # report for this long are dropped.
--- a/rhubarbwinch/admission/waits.py
+++ b/rhubarbwinch/admission/waits.py
@@ -53,10 +53,10 @@
 class ServiceRate:
     """The rate, in tokens per ms, at which a class's requests are served.
 
-    In the long run tokens start at the rate at which they are served. While
+    In the long run requests start at the rate at which they are served. While
     engines fill up they start more slowly, so the lower of the two rates is
     used. A generation is served one token per step. Requests without steps
-    are assumed to be served over the mean run time.
+    are assumed to be served evenly over the mean run time.
 
     Args:
         clock: The source of time.
--- a/rhubarbwinch/claims/claimfloor.py
+++ b/rhubarbwinch/claims/claimfloor.py
@@ -107,7 +107,7 @@
         if now - floor.at_ms < PASS_INTERVAL_MS:
             return
         new_window = max(floor.window, (now - self._keep_ms) // WINDOW_MS)
-        # The first pass starts at the oldest window that can hold claims.
+        # The first pass starts at the oldest window whose keys are accepted.
         cleaned = floor.cleaned or new_window
         count = 0
         for window in range(cleaned, floor.window):
