--- a/rhubarbwinch/admission/admission.py
+++ b/rhubarbwinch/admission/admission.py
@@ -114,7 +114,7 @@
         )
         self._leaving: set[str] = set()
         self._priority_changes: list[EntryChange] = []
-        self._housekeeping_ms = clock.now()
+        self._last_housekeeping_ms = clock.now()
 
     @property
     def streams(self) -> StreamIndex:
@@ -208,7 +208,7 @@
         engine = self._engines.get(report.endpoint)
         if engine is None:
             return
-        engine.apply_load_report(report, self._clock.now())
+        engine.update_load(report, self._clock.now())
         if report.running:
             self._step_time.observe(
                 report.running, report.used_tokens, report.step_ms
@@ -218,7 +218,7 @@
         """Applies an engine's cache events."""
         engine = self._engines.get(report.endpoint)
         if engine is not None:
-            engine.apply_cache_report(report)
+            engine.update_cache(report)
 
     def take_priority_changes(self) -> list[EntryChange]:
         """Returns and clears the priority changes to send to entries."""
@@ -394,8 +394,8 @@
                 self._lower_priority(engine)
         if refreshed:
             self._unblock_queues()
-        if now - self._housekeeping_ms >= FORECAST_REFRESH_MS:
-            self._housekeeping_ms = now
+        if now - self._last_housekeeping_ms >= FORECAST_REFRESH_MS:
+            self._last_housekeeping_ms = now
             self._remove_silent_entries(now)
             self._update_step_time(now)
 
--- a/rhubarbwinch/admission/enginestate.py
+++ b/rhubarbwinch/admission/enginestate.py
@@ -226,7 +226,7 @@
         """Returns the KV cache use predicted at the first future horizon."""
         return self._mean[1] + self.excess_tokens
 
-    def apply_load_report(self, report: LoadReport, now_ms: int) -> None:
+    def update_load(self, report: LoadReport, now_ms: int) -> None:
         """Applies a load report unless it is older than the last one."""
         if self.load is None or report.at_ms >= self.load.at_ms:
             self.load = report
@@ -260,7 +260,7 @@
             or silence_ms > LOAD_REPORT_TIMEOUT_MS
         )
 
-    def apply_cache_report(self, report: CacheReport) -> None:
+    def update_cache(self, report: CacheReport) -> None:
         """Applies cache events; lost events invalidate the earlier hints."""
         if not report.is_complete:
             self._cached_blocks.clear()
--- a/rhubarbwinch/admission/fairness.py
+++ b/rhubarbwinch/admission/fairness.py
@@ -45,7 +45,7 @@
     account: str
     weight: float
     virtual_time: float
-    queued: int = 0
+    length: int = 0
     tokens: float = 0.0
     is_in_heap: bool = False
     items: deque[QueuedRequest] = attrs.field(factory=deque)
@@ -84,12 +84,12 @@
     def push(self, account: str, item: QueuedRequest) -> None:
         """Adds a request at the end of its account's queue."""
         queue = self._get_queue(account)
-        if queue.queued == 0:
+        if queue.length == 0:
             queue.virtual_time = max(queue.virtual_time, self._virtual_time)
             self._active_weight += queue.weight
             self._push_to_heap(queue)
         queue.items.append(item)
-        queue.queued += 1
+        queue.length += 1
         queue.tokens += item.tokens
         self._tokens += item.tokens
         self._length += 1
@@ -98,11 +98,11 @@
         """Removes a request that was granted or refused."""
         item.is_removed = True
         queue = self._queues[account]
-        queue.queued -= 1
+        queue.length -= 1
         queue.tokens -= item.tokens
         self._tokens -= item.tokens
         self._length -= 1
-        if queue.queued == 0:
+        if queue.length == 0:
             self._active_weight -= queue.weight
             queue.items.clear()
 
@@ -128,7 +128,7 @@
         queue = self._queues.get(account)
         weight = queue.weight if queue else self._weight_of(account)
         lead, active = 0.0, self._active_weight
-        if queue is None or queue.queued == 0:
+        if queue is None or queue.length == 0:
             active += weight
         if queue is not None:
             lead = (
--- a/tests/claims/test_claimfloor.py
+++ b/tests/claims/test_claimfloor.py
@@ -26,8 +26,8 @@
                 world.note(f"{title}: {len(listing.entries)} pages")
 
             async def call(title, entry, key):
-                told = await world.call(entry, key, path=LEDGER)
-                world.note(f"{title}: {told}")
+                response = await world.call(entry, key, path=LEDGER)
+                world.note(f"{title}: {response}")
 
             await cleaner.run_pass()
             key, late = world.key(1), world.key(2)
--- a/tests/claims/test_claims.py
+++ b/tests/claims/test_claims.py
@@ -203,8 +203,10 @@
                 entry.permits.failure = not_run(reason, "-")
                 for key in (None, world.key(number)):
                     path = "/services/booking/" + ("book" if key else "slots")
-                    told = await world.call(0, key, path=path)
-                    world.note(f"{path[18:]} {told}; ran {len(world.desk.ran)}")
+                    response = await world.call(0, key, path=path)
+                    world.note(
+                        f"{path[18:]} {response}; ran {len(world.desk.ran)}"
+                    )
                 entry.permits.failure = None
             others = {
                 "no such service": ("/services/none/x", None),
@@ -213,17 +215,17 @@
                 "key expired": ("/services/booking/book", world.key(1, 9**10)),
             }
             for name, (path, key) in others.items():
-                told = await world.call(0, key, path=path)
-                world.note(f"{name}: {told}; ran {len(world.desk.ran)}")
+                response = await world.call(0, key, path=path)
+                world.note(f"{name}: {response}; ran {len(world.desk.ran)}")
             world.desk.refuses = 3
-            told = await world.call(0, None, path="/services/booking/slots")
-            world.note(f"no connection: {told}; ran {len(world.desk.ran)}")
+            response = await world.call(0, None, path="/services/booking/slots")
+            world.note(f"no connection: {response}; ran {len(world.desk.ran)}")
             world.store.faults.down = True
-            told = await world.call(0, world.key(50))
-            world.note(f"store down: {told}; ran {len(world.desk.ran)}")
+            response = await world.call(0, world.key(50))
+            world.note(f"store down: {response}; ran {len(world.desk.ran)}")
             world.store.faults.down = False
             world.desk.dies = True
-            told = await world.call(0, world.key(60))
-            world.note(f"broken after a byte: {told}; ran 1")
+            response = await world.call(0, world.key(60))
+            world.note(f"broken after a byte: {response}; ran 1")
             world.note(f"permits held {entry.permits.held}")
         self.assert_gold("refusals", world.text())
--- a/tests/claims/test_quarantine.py
+++ b/tests/claims/test_quarantine.py
@@ -286,15 +286,18 @@
     def test_processes_lose_at_most_two_engines(self):
         with Fleet(entries=3, engines=5) as fleet:
             body = {"model": "chat", "prompt": "poison"}
-            status = []
+            verdicts = []
             alive = _count(fleet)
             for number in range(6):
                 url = f"http://{fleet.entries[number % 3]}/v1/completions"
                 answer = httpx.post(
                     url, json=body, headers=AUTHORIZATION, timeout=20
                 )
-                status.append(answer.headers["x-verdict"])
-            lines = [f"told {status}", f"engines lost {alive - _count(fleet)}"]
+                verdicts.append(answer.headers["x-verdict"])
+            lines = [
+                f"told {verdicts}",
+                f"engines lost {alive - _count(fleet)}",
+            ]
             address = fleet.add_entry("entry-late")
             answer = httpx.post(
                 f"http://{address}/v1/completions",
