--- a/rhubarbwinch/admission/permits.py
+++ b/rhubarbwinch/admission/permits.py
@@ -1,4 +1,4 @@
-"""The entry's side of permits: finds a pool's owner and asks it."""
+"""Acquires and releases an entry's permits at the owners of pools."""
 
 from collections.abc import Callable
 
@@ -23,12 +23,12 @@
 
 @attrs.define(eq=False)
 class Permit:
-    """A granted place, to be given back when its request has ended.
+    """A granted request; the permit must be released when it has ended.
 
     Attributes:
-        request: What was asked for.
-        grant: The place.
-        tokens: The tokens passed on so far, for the reports.
+        request: The permit request.
+        grant: The endpoint and priority granted.
+        tokens: The tokens relayed to the caller so far, for stream reports.
     """
 
     request: PermitRequest
@@ -36,22 +36,30 @@
     tokens: int = 0
 
 
-def pool_owner(pool: str, members: Members, avoid: str = "") -> Member | None:
-    """Returns the broker that owns a pool, or would without `avoid`."""
+def pool_owner(
+    pool: str, members: Members, excluded: str = ""
+) -> Member | None:
+    """Returns the serving broker that owns a pool.
+
+    Args:
+        pool: The pool's name.
+        members: The known members.
+        excluded: The name of a broker to leave out, or empty for none.
+    """
     serving = members.serving(Role.BROKER)
-    brokers = {m.name: m for m in serving if m.name != avoid}
+    brokers = {m.name: m for m in serving if m.name != excluded}
     name = rendezvous.owner(pool, brokers)
     return brokers[name] if name else None
 
 
 class PermitClient:
-    """Asks the owners of pools for permits.
+    """Requests permits from the owners of pools.
 
     Args:
         links: The links to the brokers.
         members: The known members.
-        timeout_ms: The longest wait for an answer, beyond the queue's.
-        counters: Where late answers are counted.
+        timeout_ms: The timeout of a reply, in addition to the queue wait.
+        counters: Where late replies are counted.
     """
 
     def __init__(
@@ -65,32 +73,32 @@
         self._links = links
         self._members = members
         self._timeout_ms = timeout_ms
-        self._open: dict[str, Permit] = {}
-        links.on_late(PermitReply, self._hand_back)
+        self._permits: dict[str, Permit] = {}
+        links.on_late(PermitReply, self._release_late)
 
     @property
     def open_permits(self) -> list[Permit]:
-        """The permits that are held."""
-        return list(self._open.values())
+        """The permits that this entry holds."""
+        return list(self._permits.values())
 
     def adopt(self, permit: Permit) -> None:
-        """Takes over a permit that another entry asked for."""
-        self._open[permit.request.request_id] = permit
+        """Registers a permit that another entry acquired."""
+        self._permits[permit.request.request_id] = permit
 
     def drop(self, permit: Permit) -> None:
-        """Forgets a permit that another entry has taken over."""
-        self._open.pop(permit.request.request_id, None)
+        """Removes a permit that was released or moved to another entry."""
+        self._permits.pop(permit.request.request_id, None)
 
     async def ask(
-        self, request: PermitRequest, avoid: str = ""
+        self, request: PermitRequest, excluded: str = ""
     ) -> Result[Permit, Failure]:
-        """Asks for a place and returns it or why there is none.
+        """Requests a permit from the owner of the request's pool.
 
         Args:
-            request: What is asked for.
-            avoid: A broker that did not answer.
+            request: The permit request.
+            excluded: The name of a broker that did not reply; empty for none.
         """
-        broker = pool_owner(request.pool, self._members, avoid)
+        broker = pool_owner(request.pool, self._members, excluded)
         if broker is None:
             return Err(
                 not_run(
@@ -112,10 +120,10 @@
                 not_run(Reason.BROKER_UNAVAILABLE, detail, RETRY_AFTER_MS)
             )
         if reply.grant is None:
-            missing = not_run(Reason.INTERNAL, "an empty answer")
-            return Err(reply.failure or missing)
+            empty_reply = not_run(Reason.INTERNAL, "an empty answer")
+            return Err(reply.failure or empty_reply)
         permit = Permit(request, reply.grant)
-        self._open[request.request_id] = permit
+        self._permits[request.request_id] = permit
         return Ok(permit)
 
     async def ask_any(
@@ -124,12 +132,12 @@
         pools: list[str],
         new_id: Callable[[], str],
     ) -> Result[Permit, Failure]:
-        """Asks the pools in turn until one has a place.
+        """Requests a permit from each pool in order until one grants it.
 
-        Each asking has an id of its own, so that a late grant can be handed
-        back without touching the permit that was taken instead.
+        Each attempt has its own request id, so that a late grant can be
+        released without affecting the permit that was acquired instead.
         """
-        answer: Result[Permit, Failure] = Err(
+        outcome: Result[Permit, Failure] = Err(
             not_run(
                 Reason.NO_ENDPOINT,
                 f"no pool of {request.service}",
@@ -138,49 +146,53 @@
         )
         for pool in pools:
             owner = pool_owner(pool, self._members)
-            asked = attrs.evolve(request, pool=pool, request_id=new_id())
+            attempt = attrs.evolve(request, pool=pool, request_id=new_id())
             with tracing.span("permit", pool=pool):
-                asked = attrs.evolve(asked, traceparent=tracing.current())
-                answer = await self.ask(asked)
-                if _is_silent(answer) and owner is not None:
-                    # Its broker has ended; the pool's next owner can answer.
-                    asked = attrs.evolve(asked, request_id=new_id())
-                    answer = await self.ask(asked, owner.name)
-            if answer.is_ok():
+                attempt = attrs.evolve(attempt, traceparent=tracing.current())
+                outcome = await self.ask(attempt)
+                if _is_broker_unavailable(outcome) and owner is not None:
+                    # The broker is down; the pool's next owner can reply.
+                    attempt = attrs.evolve(attempt, request_id=new_id())
+                    outcome = await self.ask(attempt, owner.name)
+            if outcome.is_ok():
                 break
-        return answer
+        return outcome
 
     async def give_back(
         self, permit: Permit, end: StreamEnd, tokens: int = 0
     ) -> None:
-        """Returns a permit; a lost message is made good by the reports."""
+        """Releases a permit; stream reports make up for a lost message."""
         self.drop(permit)
         request = permit.request
-        release = PermitRelease(request.request_id, request.pool, end, tokens)
+        message = PermitRelease(request.request_id, request.pool, end, tokens)
         broker = pool_owner(request.pool, self._members)
         if broker is not None:
-            await self._send(broker.link, release)
+            await self._send(broker.link, message)
+
+    async def _release_late(self, reply: PermitReply) -> None:
+        """Releases a permit that was granted after its request timed out.
 
-    async def _hand_back(self, reply: PermitReply) -> None:
-        """Returns a permit whose request has been given up."""
+        The reply doesn't name the pool, so all brokers are told.
+        """
         if self._metrics is not None:
             self._metrics.count(metrics.LATE_ANSWERS)
         if reply.grant is None:
             return
-        release = PermitRelease(reply.grant.request_id, "", StreamEnd.UNUSED)
+        message = PermitRelease(reply.grant.request_id, "", StreamEnd.UNUSED)
         for broker in self._members.serving(Role.BROKER):
-            await self._send(broker.link, release)
+            await self._send(broker.link, message)
 
-    async def _send(self, address: str, release: PermitRelease) -> None:
+    async def _send(self, address: str, message: PermitRelease) -> None:
         try:
-            await self._links.send(address, release)
+            await self._links.send(address, message)
         except LinkError:
-            # The broker is gone; the next owner learns from the reports.
+            # The broker is down. The pool's next owner learns the open
+            # streams from the reports.
             return
 
 
-def _is_silent(answer: Result[Permit, Failure]) -> bool:
+def _is_broker_unavailable(outcome: Result[Permit, Failure]) -> bool:
     return (
-        isinstance(answer, Err)
-        and answer.err_value.reason is Reason.BROKER_UNAVAILABLE
+        isinstance(outcome, Err)
+        and outcome.err_value.reason is Reason.BROKER_UNAVAILABLE
     )
--- a/rhubarbwinch/claims/claimpages.py
+++ b/rhubarbwinch/claims/claimpages.py
@@ -1,8 +1,9 @@
-"""Pages of claims: many claims in each write, one write in flight a page.
+"""Reads and writes pages of claims, batching the changes of each page.
 
-Every change is idempotent: it looks for its own token in the page first. So a
-page can be read again and the change made again after a lost answer or a lost
-race, without knowing which of the two it was.
+A page has at most one write in flight, which carries many changes. Each
+change is idempotent: it first looks for its own token in the page. So after a
+lost reply or a compare-and-swap conflict, the page is read again and the
+change applied again without knowing which of the two happened.
 """
 
 import collections
@@ -25,18 +26,18 @@
 )
 from rhubarbwinch.stores.store import Entry, Store, Swap
 
-# A page takes no new claims beyond this; the room up to the store's limit is
-# for the outcomes of those that it holds.
-CROWDED_PAGE_BYTES = 450_000
+# A page above this size accepts no new claims. The rest, up to the store's
+# value limit, is reserved for the outcomes of the claims in the page.
+FULL_PAGE_BYTES = 450_000
 MAX_BATCH = 256
 MAX_ATTEMPTS = 20
-MAX_LOST_ANSWERS = 2
+MAX_LOST_REPLIES = 2
 MAX_CACHED_PAGES = 32
 BURST_WRITES = 8
 
 
 class ClaimState(enum.StrEnum):
-    """How far a claim has come."""
+    """The state of a claim."""
 
     CLAIMED = "claimed"
     COMPLETED = "completed"
@@ -46,14 +47,14 @@
 
 @attrs.frozen
 class Outcome:
-    """What the endpoint answered.
+    """The recorded response of the endpoint.
 
     Attributes:
         status: The HTTP status.
-        content_type: Of the answer.
-        body: The answer; empty if it was too long to be kept.
-        digest: SHA-256 of the whole answer.
-        kept: Whether `body` is the whole answer.
+        content_type: The content type of the response.
+        body: The response body; empty if it was too long to be kept.
+        digest: SHA-256 of the whole response body.
+        kept: Whether `body` is the whole response body.
     """
 
     status: int
@@ -65,17 +66,17 @@
 
 @attrs.frozen
 class ClaimRecord:
-    """A claim as it stands in its page.
+    """A claim as stored in its page.
 
     Attributes:
-        token: Random, new with each try to claim.
-        owner: The member that made it.
+        token: A random token, new for each attempt to claim.
+        owner: The member that made the claim.
         incarnation: The owner's incarnation.
-        state: How far it has come.
+        state: The claim's state.
         request: Digest of the request's content.
         at_ms: Unix time of the claim.
-        endpoint: Where it was sent.
-        outcome: The answer, once completed.
+        endpoint: The endpoint that the call was sent to; empty for none.
+        outcome: The endpoint's response, once the call has completed.
     """
 
     token: str
@@ -104,20 +105,20 @@
         ...
 
     def apply(
-        self, current: ClaimRecord | None, crowded: bool
+        self, current: ClaimRecord | None, is_page_full: bool
     ) -> ClaimRecord | None:
-        """Returns the record to be written; `current` itself for no change.
+        """Returns the record to write, or `current` itself for no change.
 
         Args:
-            current: The claim as the page has it.
-            crowded: Whether the page has no room for more claims.
+            current: The claim in the page, or None if there is none.
+            is_page_full: Whether the page accepts no more claims.
         """
         ...
 
 
 @attrs.define
-class _Pending:
-    """A change that waits for its write, or a read without change."""
+class _PendingOperation:
+    """A queued change of a claim, or a queued read."""
 
     name: str
     change: PageChange | None
@@ -130,8 +131,8 @@
 
 
 @attrs.frozen
-class _Known:
-    """A page as it was last seen, with its encoded size in bytes."""
+class _PageVersion:
+    """A page as last read or written, with its encoded size in bytes."""
 
     page: Page
     revision: int
@@ -140,7 +141,7 @@
 
 @attrs.define
 class PageCounters:
-    """What the pages cost; for metrics and measurements."""
+    """Counts the store operations on pages, for measurements."""
 
     reads: int = 0
     writes: int = 0
@@ -149,13 +150,13 @@
 
 
 class ClaimPages:
-    """Reads and changes pages; `run` must be running.
+    """Reads and changes pages while its `run` is running.
 
     Args:
         store: The platform's store.
         clock: The source of time.
-        writes_per_s: The most writes that this process makes in a second.
-        batched: Whether a write carries more than one change.
+        writes_per_s: The most writes that this process makes per second.
+        batched: Whether one write may carry several changes.
     """
 
     def __init__(
@@ -169,16 +170,16 @@
         self._store = store
         self._clock = clock
         self._interval_ms = 1000 / writes_per_s
-        self._batch = MAX_BATCH if batched else 1
-        self._next_write = float("-inf")
-        self._queues: dict[str, collections.deque[_Pending]] = {}
-        self._cache: collections.OrderedDict[str, _Known] = (
+        self._max_batch = MAX_BATCH if batched else 1
+        self._next_write_ms = float("-inf")
+        self._queues: dict[str, collections.deque[_PendingOperation]] = {}
+        self._cache: collections.OrderedDict[str, _PageVersion] = (
             collections.OrderedDict()
         )
         self._tasks: anyio.abc.TaskGroup | None = None
 
     async def run(self) -> None:
-        """Keeps the pages' tasks until cancelled."""
+        """Runs the tasks that read and write pages, until cancelled."""
         try:
             async with anyio.create_task_group() as tasks:
                 self._tasks = tasks
@@ -186,23 +187,23 @@
         finally:
             self._tasks = None
             for queue in self._queues.values():
-                _fail(queue, StoreUncertain("the pages' task ended"))
+                _fail_batch(queue, StoreUncertain("the pages' task ended"))
             self._queues.clear()
 
     async def read(
         self, page: str, name: str
     ) -> Result[ClaimRecord | None, StoreError]:
-        """Returns a claim as the store holds it now."""
-        return await self._submit(page, _Pending(name, None))
+        """Returns a claim as currently stored, or None."""
+        return await self._submit(page, _PendingOperation(name, None))
 
     async def change(
         self, page: str, change: PageChange
     ) -> Result[ClaimRecord | None, StoreError]:
-        """Makes a change; returns the claim as it then stands."""
-        return await self._submit(page, _Pending(change.name, change))
+        """Applies a change; returns the claim as stored afterwards."""
+        return await self._submit(page, _PendingOperation(change.name, change))
 
     async def _submit(
-        self, page: str, pending: _Pending
+        self, page: str, pending: _PendingOperation
     ) -> Result[ClaimRecord | None, StoreError]:
         if self._tasks is None:
             return Err(StoreUnavailable("claims are not running"))
@@ -210,129 +211,141 @@
             self._queues[page].append(pending)
         else:
             self._queues[page] = collections.deque([pending])
-            self._tasks.start_soon(self._work, page)
+            self._tasks.start_soon(self._process_queue, page)
         await pending.done.wait()
         if pending.result is None:
-            raise AssertionError("a change was woken without a result")
+            raise AssertionError("a change finished without a result")
         return pending.result
 
-    async def _work(self, page: str) -> None:
-        """Writes batches of a page until none is left."""
+    async def _process_queue(self, page: str) -> None:
+        """Processes the queue of a page in batches until it is empty."""
         queue = self._queues[page]
         while queue:
             if any(pending.change for pending in queue):
-                # More may come while this write waits for its turn.
-                await self._pace()
-            count = min(len(queue), self._batch)
+                # More changes can be queued during this delay; the batch is
+                # taken afterwards to include them.
+                await self._wait_for_rate()
+            count = min(len(queue), self._max_batch)
             batch = [queue.popleft() for _ in range(count)]
             try:
                 await self._write(page, batch)
             except (StoreError, CodecError) as error:
                 self._cache.pop(page, None)
-                _fail(batch, error)
+                _fail_batch(batch, error)
             except BaseException:
-                _fail(batch, StoreUncertain("the write was cancelled"))
+                _fail_batch(batch, StoreUncertain("the write was cancelled"))
                 raise
         del self._queues[page]
 
-    async def _pace(self) -> None:
-        """Waits for this write's turn."""
+    async def _wait_for_rate(self) -> None:
+        """Delays a write to keep to the process's write rate."""
         now = self._clock.now()
         earliest = now - BURST_WRITES * self._interval_ms
-        self._next_write = max(self._next_write, earliest) + self._interval_ms
-        if self._next_write > now:
-            await self._clock.sleep(int(self._next_write - now) + 1)
-
-    async def _write(self, page: str, batch: list[_Pending]) -> None:
-        known = self._cache.get(page)
-        is_fresh = known is None or any(p.change is None for p in batch)
-        if known is None or is_fresh:
-            known = await self._fetch(page)
-        lost_answers = 0
+        self._next_write_ms = (
+            max(self._next_write_ms, earliest) + self._interval_ms
+        )
+        if self._next_write_ms > now:
+            await self._clock.sleep(int(self._next_write_ms - now) + 1)
+
+    async def _write(self, page: str, batch: list[_PendingOperation]) -> None:
+        version = self._cache.get(page)
+        is_fresh = version is None or any(p.change is None for p in batch)
+        if version is None or is_fresh:
+            version = await self._fetch(page)
+        lost_replies = 0
         for _ in range(MAX_ATTEMPTS):
-            wanted = _apply(known, batch)
-            if wanted is known.page and not is_fresh:
-                # Another entry may have written since; only the store knows
-                # that there is nothing to do.
-                known = await self._fetch(page)
+            updated = _apply_changes(version, batch)
+            if updated is version.page and not is_fresh:
+                # Another entry may have written the page since it was cached.
+                # Only a fresh read shows that no change is needed.
+                version = await self._fetch(page)
                 is_fresh = True
                 continue
-            if wanted is known.page:
-                self._settle(page, known, batch)
+            if updated is version.page:
+                self._finish_batch(page, version, batch)
                 return
-            data = codec.encode(wanted)
+            data = codec.encode(updated)
             try:
-                swap = await self._swap(page, known.revision, data)
+                swap = await self._swap(page, version.revision, data)
             except StoreUncertain:
-                # The page tells whether the write took effect: our tokens
-                # stand in it or do not.
-                lost_answers += 1
-                if lost_answers > MAX_LOST_ANSWERS:
+                # The write took effect if the page contains the tokens of the
+                # batch, so the page is read again.
+                lost_replies += 1
+                if lost_replies > MAX_LOST_REPLIES:
                     raise
-                known = await self._fetch_uncertain(page)
+                version = await self._fetch_after_lost_reply(page)
                 is_fresh = True
                 continue
             if swap.won:
                 self.counters.changes += len(batch)
-                known = _Known(wanted, swap.revision, len(data))
-                self._settle(page, known, batch)
+                version = _PageVersion(updated, swap.revision, len(data))
+                self._finish_batch(page, version, batch)
                 return
             self.counters.lost_races += 1
-            known = _known(swap.current)
+            version = _decode_page(swap.current)
             is_fresh = True
-            # A lost write counts against the store's rate as well.
-            await self._pace()
+            # A write that failed on a conflict counts towards the rate too.
+            await self._wait_for_rate()
         raise StoreUncertain(f"{page}: lost {MAX_ATTEMPTS} races")
 
     async def _swap(self, page: str, expected: int, data: bytes) -> Swap:
         self.counters.writes += 1
         return await self._store.swap(page, expected, data)
 
-    async def _fetch(self, page: str) -> _Known:
+    async def _fetch(self, page: str) -> _PageVersion:
         self.counters.reads += 1
-        return _known(await self._store.get(page))
+        return _decode_page(await self._store.get(page))
+
+    async def _fetch_after_lost_reply(self, page: str) -> _PageVersion:
+        """Reads a page after a lost reply.
 
-    async def _fetch_uncertain(self, page: str) -> _Known:
-        """Reads a page after a lost answer; a failure leaves it uncertain."""
+        Raises:
+            StoreUncertain: The read failed too, so it stays unknown whether
+                the write took effect.
+        """
         try:
             return await self._fetch(page)
         except StoreUnavailable as error:
             raise StoreUncertain(str(error)) from error
 
-    def _settle(self, page: str, known: _Known, batch: list[_Pending]) -> None:
-        self._cache[page] = known
+    def _finish_batch(
+        self, page: str, version: _PageVersion, batch: list[_PendingOperation]
+    ) -> None:
+        self._cache[page] = version
         self._cache.move_to_end(page)
         if len(self._cache) > MAX_CACHED_PAGES:
             self._cache.popitem(last=False)
         for pending in batch:
-            pending.finish(Ok(known.page.claims.get(pending.name)))
+            pending.finish(Ok(version.page.claims.get(pending.name)))
 
 
-def _known(entry: Entry | None) -> _Known:
+def _decode_page(entry: Entry | None) -> _PageVersion:
     if entry is None:
-        return _Known(Page(), 0, 0)
+        return _PageVersion(Page(), 0, 0)
     page = codec.decode(entry.value, Page)
-    return _Known(page, entry.revision, len(entry.value))
+    return _PageVersion(page, entry.revision, len(entry.value))
 
 
-def _apply(known: _Known, batch: list[_Pending]) -> Page:
-    """Returns the page with all changes; the same object if none changed."""
-    crowded = known.size > CROWDED_PAGE_BYTES
-    claims = dict(known.page.claims)
+def _apply_changes(
+    version: _PageVersion, batch: list[_PendingOperation]
+) -> Page:
+    """Returns the page with all changes, or the same object if unchanged."""
+    is_page_full = version.size > FULL_PAGE_BYTES
+    claims = dict(version.page.claims)
     changed = False
     for pending in batch:
         if pending.change is None:
             continue
         current = claims.get(pending.name)
-        wanted = pending.change.apply(current, crowded)
-        if wanted is None or wanted is current:
+        updated = pending.change.apply(current, is_page_full)
+        if updated is None or updated is current:
             continue
-        claims[pending.name] = wanted
+        claims[pending.name] = updated
         changed = True
-    return Page(claims) if changed else known.page
+    return Page(claims) if changed else version.page
 
 
-def _fail(batch: Iterable[_Pending], error: Exception) -> None:
+def _fail_batch(batch: Iterable[_PendingOperation], error: Exception) -> None:
     failure = error
     if not isinstance(failure, StoreError):
         events.CLAIM_PAGE_BAD.log(error=str(error))
--- a/tests/admission/test_limits.py
+++ b/tests/admission/test_limits.py
@@ -1,4 +1,4 @@
-"""Rates, retry budgets and backoff."""
+"""Tests token buckets, retry budgets and backoff."""
 
 import random
 import unittest
@@ -8,34 +8,34 @@
 
 
 class TokenBucketTest(unittest.TestCase):
-    """Requests a second."""
+    """Limits of requests per second."""
 
-    def test_the_rate_is_held_and_the_wait_that_is_told_suffices(self):
+    def test_the_rate_is_limited_and_the_returned_wait_suffices(self):
         clock = ManualClock()
         bucket = TokenBucket(clock, 5)
-        self.assertEqual([bucket.take() for _ in range(5)], [0] * 5)
-        wait_ms = bucket.take()
+        self.assertEqual([bucket.try_acquire() for _ in range(5)], [0] * 5)
+        wait_ms = bucket.try_acquire()
         self.assertEqual(wait_ms, 201)
         clock.set(wait_ms)
-        self.assertEqual(bucket.take(), 0)
-        self.assertGreater(bucket.take(), 0)
+        self.assertEqual(bucket.try_acquire(), 0)
+        self.assertGreater(bucket.try_acquire(), 0)
 
 
 class RetryBudgetTest(unittest.TestCase):
-    """Retries."""
+    """Limits of retries."""
 
-    def test_retries_stay_a_share_of_first_attempts(self):
-        budget = RetryBudget(share=0.1, reserve=10)
+    def test_retries_are_limited_to_a_ratio_of_first_attempts(self):
+        budget = RetryBudget(ratio=0.1, reserve=10)
         allowed = 0
         for _ in range(1000):
-            budget.add_attempt()
-            allowed += budget.take()
+            budget.record_attempt()
+            allowed += budget.try_acquire()
         self.assertLessEqual(allowed, 110)
         self.assertGreaterEqual(allowed, 100)
 
 
 class BackoffTest(unittest.TestCase):
-    """Waits before retries."""
+    """Delays before retries."""
 
     def test_the_bound_doubles_up_to_the_limit(self):
         rng = random.Random(1)
--- a/tests/admission/test_steptime.py
+++ b/tests/admission/test_steptime.py
@@ -1,4 +1,4 @@
-"""Step times learned from load reports."""
+"""Tests the step times learned from load reports."""
 
 import random
 import unittest
@@ -7,9 +7,9 @@
 
 
 class StepTimeTest(unittest.TestCase):
-    """The line and the part above it."""
+    """The linear model and the quantile of its residuals."""
 
-    def test_the_slopes_are_found_and_prompts_come_on_top(self):
+    def test_coefficients_are_fitted_and_prefills_are_added(self):
         rng = random.Random(1)
         step_time = StepTime()
         for _ in range(3000):
--- a/tests/claims/test_audit.py
+++ b/tests/claims/test_audit.py
@@ -1,4 +1,4 @@
-"""The audit: tokens counted once from the store, after any failure."""
+"""Tests that the audit counts each token once, whatever fails."""
 
 import attrs
 
@@ -15,7 +15,7 @@
 
 @attrs.define
 class Ledger:
-    """Meters of some entries over one store, and what they should count."""
+    """Meters of several entries over one store, and the listed totals."""
 
     clock: ManualClock
     store: object
@@ -30,20 +30,20 @@
         return meter
 
     def stream(self, entry, number, tokens, account="acme"):
-        """Starts a stream of an entry and passes tokens on."""
+        """Starts a stream at an entry and relays tokens."""
         generation = f"{0xA0 + entry:x}-{number:x}-tag~engine-0"
         position = Position(generation, tokens)
         self.meters[entry].start(position, account, "chat")
         return position
 
     def resume(self, entry, position, tokens):
-        """Goes on with a stream at another entry."""
-        there = Position(position.generation, tokens)
-        self.meters[entry].start(there, "acme", "chat")
-        return there
+        """Resumes a stream at another entry."""
+        resumed = Position(position.generation, tokens)
+        self.meters[entry].start(resumed, "acme", "chat")
+        return resumed
 
     async def show(self, title, hours=1, first=0):
-        """Adds what the audit lists."""
+        """Appends a line with the totals that the audit lists."""
         start = 1_700_000_000_000 // PERIOD_MS * PERIOD_MS
         start += first * PERIOD_MS
         period = audit.Period(start, start + hours * PERIOD_MS)
@@ -86,8 +86,8 @@
 
         moved = ledger.stream(0, 4, 4)
         first.end(moved.generation, finished=False)
-        there = ledger.resume(1, moved, 9)
-        second.end(there.generation, finished=True)
+        resumed = ledger.resume(1, moved, 9)
+        second.end(resumed.generation, finished=True)
         await first.flush()
         await second.flush()
         await ledger.show("moved at 4, ended elsewhere at 9")
@@ -121,7 +121,7 @@
         await ledger.show("both hours", hours=2)
         self.assert_gold("audit-tokens", "\n".join(ledger.lines) + "\n")
 
-    def test_a_period_is_whole_hours(self):
+    def test_a_period_must_be_whole_hours(self):
         found = audit.parse_period("2026-12-03T14", "2026-12-03T16:00+00:00")
         self.assertEqual(found.end_ms - found.start_ms, 2 * PERIOD_MS)
         for end in ("2026-12-03T14", "2026-12-03T14:30", "soon"):
--- a/tests/claims/test_claims.py
+++ b/tests/claims/test_claims.py
@@ -1,4 +1,4 @@
-"""At most once: whole sessions with the endpoint's own count as the judge."""
+"""Tests at-most-once execution against the endpoint's own count of runs."""
 
 from rhubarbwinch.shared.verdict import Reason, not_run
 from tests.claimworld import World
@@ -6,10 +6,10 @@
 
 
 class ClaimsTest(GoldTestCase):
-    """Calls that are not repeatable, under failures."""
+    """Calls that are not repeatable, under injected failures."""
 
     @asynchronous
-    async def test_two_entries_with_the_same_key_at_once_run_it_once(self):
+    async def test_concurrent_calls_with_the_same_key_run_once(self):
         async with World() as world:
             key = world.key()
             world.desk.delay_ms = 1_000
@@ -53,7 +53,7 @@
         self.assert_gold("claims-killed", text + world.text())
 
     @asynchronous
-    async def test_a_paused_owner_that_wakes_runs_it_at_most_once(self):
+    async def test_a_paused_owner_that_resumes_runs_a_call_at_most_once(self):
         text = ""
         for point in ("before write", "after write", "before send"):
             async with World() as world:
@@ -74,7 +74,7 @@
         self.assert_gold("claims-paused", text)
 
     @asynchronous
-    async def test_a_lost_answer_of_the_store_changes_nothing(self):
+    async def test_a_lost_reply_of_the_store_never_runs_a_call_twice(self):
         text = ""
         for lost in (1, 2):
             async with World() as world:
@@ -102,7 +102,9 @@
         self.assert_gold("claims-lost-answer", text + world.text())
 
     @asynchronous
-    async def test_a_store_outage_refuses_at_once_and_records_afterwards(self):
+    async def test_an_outage_refuses_calls_and_delays_records_of_sent_ones(
+        self,
+    ):
         async with World() as world:
             key = world.key()
             world.store.faults.down = True
@@ -127,7 +129,7 @@
         async with World() as world:
             key = world.key()
             first = await world.stop(0, "after write", key)
-            # The caller hangs up, and the release can't reach the store.
+            # The caller disconnects, and the release can't reach the store.
             first.scope.cancel()
             world.entries[0].gate.cut = "both ways"
             world.entries[0].gate.wake()
@@ -139,7 +141,9 @@
         self.assert_gold("claims-taken-over", world.text())
 
     @asynchronous
-    async def test_an_endpoint_that_dies_in_the_call_leaves_it_unknown(self):
+    async def test_an_endpoint_crash_during_a_call_leaves_the_outcome_unknown(
+        self,
+    ):
         async with World() as world:
             key = world.key()
             world.desk.dies = True
@@ -184,7 +188,7 @@
         self.assert_gold("claims-keys", world.text())
 
     @asynchronous
-    async def test_every_refusal_that_says_not_run_is_true(self):
+    async def test_each_refusal_with_the_verdict_not_run_is_correct(self):
         async with World(1) as world:
             entry = world.entries[0]
             reasons = (
@@ -199,8 +203,10 @@
                 entry.permits.failure = not_run(reason, "-")
                 for key in (None, world.key(number)):
                     path = "/services/booking/" + ("book" if key else "slots")
-                    told = await world.call(0, key, path=path)
-                    world.note(f"{path[18:]} {told}; ran {len(world.desk.ran)}")
+                    response = await world.call(0, key, path=path)
+                    world.note(
+                        f"{path[18:]} {response}; ran {len(world.desk.ran)}"
+                    )
                 entry.permits.failure = None
             others = {
                 "no such service": ("/services/none/x", None),
@@ -209,17 +215,17 @@
                 "key expired": ("/services/booking/book", world.key(1, 9**10)),
             }
             for name, (path, key) in others.items():
-                told = await world.call(0, key, path=path)
-                world.note(f"{name}: {told}; ran {len(world.desk.ran)}")
+                response = await world.call(0, key, path=path)
+                world.note(f"{name}: {response}; ran {len(world.desk.ran)}")
             world.desk.refuses = 3
-            told = await world.call(0, None, path="/services/booking/slots")
-            world.note(f"no connection: {told}; ran {len(world.desk.ran)}")
+            response = await world.call(0, None, path="/services/booking/slots")
+            world.note(f"no connection: {response}; ran {len(world.desk.ran)}")
             world.store.faults.down = True
-            told = await world.call(0, world.key(50))
-            world.note(f"store down: {told}; ran {len(world.desk.ran)}")
+            response = await world.call(0, world.key(50))
+            world.note(f"store down: {response}; ran {len(world.desk.ran)}")
             world.store.faults.down = False
             world.desk.dies = True
-            told = await world.call(0, world.key(60))
-            world.note(f"broken after a byte: {told}; ran 1")
+            response = await world.call(0, world.key(60))
+            world.note(f"broken after a byte: {response}; ran 1")
             world.note(f"permits held {entry.permits.held}")
         self.assert_gold("refusals", world.text())
