--- a/rhubarbwinch/callers/__init__.py
+++ b/rhubarbwinch/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Requests of callers, from the API key to the last byte of the answer."""
+"""Serves the requests of callers, up to the last byte of the response."""
--- a/rhubarbwinch/callers/apicatalogue.py
+++ b/rhubarbwinch/callers/apicatalogue.py
@@ -1,4 +1,4 @@
-"""The HTTP interface as a catalogue; docs/http.md is made from it."""
+"""Catalogue of the HTTP interface, from which docs/http.md is generated."""
 
 import attrs
 
@@ -7,12 +7,12 @@
 
 @attrs.frozen
 class Operation:
-    """A request that an entry answers.
+    """A request that an entry serves.
 
     Attributes:
-        method: The HTTP method; `ANY` for all.
-        path: The path.
-        meaning: One sentence.
+        method: The HTTP method; `ANY` stands for all methods.
+        path: The path, with parameters in angle brackets.
+        meaning: What the operation does, in one sentence.
     """
 
     method: str
@@ -22,12 +22,12 @@
 
 @attrs.frozen
 class Header:
-    """A header with a meaning of its own here.
+    """A request or response header that the interface defines or uses.
 
     Attributes:
         name: The header's name.
-        sender: `caller` or `entry`.
-        meaning: One sentence.
+        sender: Who sends the header: `caller` or `entry`.
+        meaning: What the header says, in one sentence.
     """
 
     name: str
@@ -39,33 +39,38 @@
     Operation(
         "POST",
         "/v1/completions",
-        "Generates text in OpenAI's form, whole or as server-sent events.",
+        "Generates text by OpenAI's completions API, as one JSON response or "
+        "as server-sent events.",
     ),
     Operation(
         "POST",
         "/v1/chat/completions",
-        "Generates a chat answer, whole or as server-sent events.",
-    ),
-    Operation(
-        "GET", "/v1/models", "Lists the account's services that generate."
+        "Generates a chat message by OpenAI's chat API, as one JSON response "
+        "or as server-sent events.",
     ),
+    Operation("GET", "/v1/models", "Lists the account's generation services."),
     Operation(
         "GET",
         "/v1/entries",
-        "Lists the entries to use, best first, with a time to live in ms.",
+        "Lists the entries to use, preferred first, and for how many ms the "
+        "list is valid.",
     ),
     Operation(
         "ANY",
         "/services/<service>/<path>",
-        "Calls a plain service; method, path, query and body are passed on.",
+        "Calls a plain service; method, path, query and body are forwarded to "
+        "its endpoint.",
     ),
     Operation(
-        "GET", "/healthz", "Liveness: 200 while the program runs. No key."
+        "GET",
+        "/healthz",
+        "Liveness: 200 while the program runs. Needs no API key.",
     ),
     Operation(
         "GET",
         "/readyz",
-        "Readiness: 200 with a configuration, else 503; 503 when draining.",
+        "Readiness: 200 once a configuration is active; 503 before that and "
+        "while the program is draining.",
     ),
 )
 
@@ -76,50 +81,57 @@
     Header(
         "Idempotency-Key",
         "caller",
-        "A UUID of version 7 that is new for each action; required where the "
-        "service's record says that a call is not repeatable.",
+        "A version 7 UUID, new for each action; required for the calls that "
+        "the service's record lists as not repeatable.",
     ),
     Header(
         "Last-Event-ID",
         "caller",
-        "The last `id:` that came; the stream goes on after it, at any entry.",
+        "The last `id:` that the caller received; any entry resumes the stream "
+        "after that event.",
     ),
     Header(
         "traceparent",
         "caller",
-        "The W3C trace context; passed on to the endpoint.",
+        "The W3C trace context; propagated to the endpoint.",
     ),
     Header(
         "X-Verdict",
         "entry",
-        "With each failure: `not-run`, `ran` or `may-have-run`.",
+        "Sent with each failure: `not-run`, `ran` or `may-have-run`.",
     ),
-    Header("Retry-After", "entry", "Seconds after which to try again."),
+    Header("Retry-After", "entry", "Seconds to wait before a retry."),
 )
 
 PROBLEMS = {
-    Reason.BAD_REQUEST: "The request is malformed; the detail says where.",
+    Reason.BAD_REQUEST: "The request is malformed; `detail` says where.",
     Reason.UNAUTHENTICATED: "The API key is missing or unknown.",
-    Reason.FORBIDDEN: "The account may not use this.",
+    Reason.FORBIDDEN: "The account may not use this service or stream.",
     Reason.NOT_FOUND: "There is no such path, model or service.",
-    Reason.TOO_LARGE: "The body is over the limit.",
+    Reason.TOO_LARGE: "The body exceeds the size limit.",
     Reason.TOO_SLOW: "The body took too long to arrive.",
-    Reason.RATE_LIMITED: "The account is over its rate or room.",
-    Reason.QUEUE_FULL: "Too many requests wait.",
-    Reason.DEADLINE: "No place came free within the service's wait.",
-    Reason.NO_ENDPOINT: "No endpoint can take the request.",
-    Reason.DRAINING: "This entry is leaving; the detail names others.",
+    Reason.RATE_LIMITED: (
+        "The account exceeds its request rate or the limits of its `room`."
+    ),
+    Reason.QUEUE_FULL: "The queue of waiting requests is full.",
+    Reason.DEADLINE: "No capacity became free within the service's wait time.",
+    Reason.NO_ENDPOINT: "No endpoint is available for the request.",
+    Reason.DRAINING: "This entry is shutting down; `detail` names others.",
     Reason.QUARANTINED: "The request has crashed endpoints; don't repeat it.",
-    Reason.STORE_UNAVAILABLE: "The key could not be claimed: the store fails.",
-    Reason.BROKER_UNAVAILABLE: "No broker answered.",
+    Reason.STORE_UNAVAILABLE: (
+        "The key could not be claimed: the store is unavailable."
+    ),
+    Reason.BROKER_UNAVAILABLE: "No broker replied.",
     Reason.KEY_REQUIRED: "This call needs an Idempotency-Key.",
     Reason.KEY_EXPIRED: "The key is older than the service's retention.",
     Reason.KEY_MISMATCH: "The key was used for another request.",
     Reason.IN_PROGRESS: "The call with this key is still running.",
     Reason.OUTCOME_UNKNOWN: "The call with this key may have run.",
-    Reason.OUTCOME_NOT_KEPT: "The call ran; its answer was too large to keep.",
+    Reason.OUTCOME_NOT_KEPT: (
+        "The call ran; its response was too large to store."
+    ),
     Reason.ENDPOINT_FAILED: "The endpoint failed the call.",
-    Reason.STREAM_BROKEN: "The stream can't be had to its end.",
-    Reason.CANCELLED: "The caller went away.",
-    Reason.INTERNAL: "A fault of the program.",
+    Reason.STREAM_BROKEN: "The stream can't be completed.",
+    Reason.CANCELLED: "The caller closed its connection.",
+    Reason.INTERNAL: "An internal error of the program.",
 }
--- a/rhubarbwinch/callers/callparams.py
+++ b/rhubarbwinch/callers/callparams.py
@@ -1,4 +1,4 @@
-"""Checks the parameters of a generation request that are numbers."""
+"""Checks the numeric parameters of a generation request."""
 
 from typing import Any
 
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class _Range:
-    """The values of a parameter, both ends included."""
+    """The allowed values of a parameter, both ends included."""
 
     name: str
     low: float
@@ -18,7 +18,7 @@
 
 
 _RANGES = (
-    # One generation answers one request, so there is one choice.
+    # A request starts one generation, so there is one choice.
     _Range("n", 1, 1),
     _Range("temperature", 0, 2),
     _Range("top_p", 0, 1),
@@ -28,10 +28,10 @@
 
 
 def check_parameters(data: dict[str, Any]) -> None:
-    """Checks the parameters that are there.
+    """Checks the parameters that are present.
 
     Raises:
-        Refused: One is not a number in its range.
+        Refused: A parameter is not a number in its range.
     """
     for known in _RANGES:
         value = data.get(known.name)
--- a/rhubarbwinch/callers/calls.py
+++ b/rhubarbwinch/callers/calls.py
@@ -1,4 +1,4 @@
-"""Generation requests as callers make them, and whole answers to them."""
+"""Parses generation requests and sends responses that are not streamed."""
 
 import hashlib
 from typing import Any
@@ -25,20 +25,20 @@
 
 @attrs.frozen
 class Call:
-    """A generation request that has been checked.
+    """A validated generation request.
 
     Attributes:
         account: The client account.
-        service_name: What the caller named as the model.
-        service: Its record.
+        service_name: The service, which the caller names as the model.
+        service: The service's record.
         path: `/v1/completions` or `/v1/chat/completions`.
-        body: The body for the engine.
-        stream: Whether the caller wants events.
-        prompt_tokens: The estimated prompt length.
-        max_tokens: The bound on the output.
+        body: The request body for the engine.
+        stream: Whether the caller asked for server-sent events.
+        prompt_tokens: The estimated length of the prompt.
+        max_tokens: The limit of the output length.
         prefix: Hashes of the prompt's leading blocks.
-        claim_key: The key under which it runs at most once; None if it is
-            repeatable.
+        claim_key: The key under which the request runs at most once; None
+            for a repeatable request.
     """
 
     account: str
@@ -54,13 +54,13 @@
 
     @property
     def fingerprint(self) -> str:
-        """Digest of the account and the content."""
+        """A digest of the account and the request body."""
         text = self.account.encode() + b"\0" + self.body
         return hashlib.sha256(text).hexdigest()[:32]
 
 
 def parse_call(account: str, request: Request, snapshot: Snapshot) -> Call:
-    """Returns the checked call in a request.
+    """Parses and validates a generation request.
 
     Raises:
         Refused: The request is not valid; it did not run.
@@ -115,7 +115,7 @@
     generation: str,
     responder: Responder,
 ) -> None:
-    """Answers a call that wants no events.
+    """Collects a generation's events and sends them as one JSON response.
 
     Raises:
         EndpointError: The stream broke; nothing has been sent to the caller.
--- a/rhubarbwinch/callers/drainlimit.py
+++ b/rhubarbwinch/callers/drainlimit.py
@@ -1,4 +1,4 @@
-"""Ends a caller's answer at the drain limit in a way that it can go on from."""
+"""Ends open responses at the drain limit so that callers can resume them."""
 
 from collections.abc import Awaitable, Callable
 
@@ -17,16 +17,19 @@
     responder: Responder,
     entries: Callable[[], list[str]],
 ) -> None:
-    """Runs a handler; at the limit its caller is told where to go on.
+    """Runs a handler and cancels it at the drain limit.
+
+    A response whose head has been sent ends with a `resume` event that lists
+    other entries.
 
     Args:
-        limit: Set when the program must end.
-        work: The handler's work; cancelled at the limit.
-        responder: Sends the answer.
-        entries: Returns the addresses of other entries.
+        limit: Set when the program must stop.
+        work: The handler; cancelled at the limit.
+        responder: Sends the response.
+        entries: Returns the addresses of the other entries.
 
     Raises:
-        Refused: The limit came before the head of the answer was sent.
+        Refused: The limit passed before the response's head was sent.
     """
     failed: list[Exception] = []
     done = False
@@ -41,7 +44,7 @@
             await work()
             done = True
         except Exception as error:
-            # The task group would wrap it.
+            # The task group would wrap the exception in an exception group.
             failed.append(error)
         tasks.cancel_scope.cancel()
     if failed:
--- a/rhubarbwinch/callers/generate.py
+++ b/rhubarbwinch/callers/generate.py
@@ -1,4 +1,4 @@
-"""Generation requests: permit, stream, retries and the caller's answer."""
+"""Serves generation requests: permits, streaming, retries and resumes."""
 
 import random
 from collections.abc import Awaitable
@@ -31,19 +31,19 @@
 
 
 class Generator:
-    """Runs generation requests.
+    """Runs generation requests and streams their output to callers.
 
     Args:
-        permits: Where places come from.
+        permits: Requests permits from brokers.
         endpoints: Calls engines.
-        streams: Looks after the open generations.
-        ids: Makes generation ids.
+        streams: Tracks the open generations.
+        ids: Generates request ids.
         clock: The source of time.
-        counters: Where metrics go.
-        budget: Bounds the retries of each account.
-        rng: Draws the jitter of waits.
+        counters: Receives the metrics.
+        budget: Limits the retries of each account.
+        rng: The source of the backoff's jitter.
         entry: This member's name.
-        data_center: Pools here are asked first.
+        data_center: This entry's data centre, whose pools are asked first.
     """
 
     def __init__(
@@ -77,16 +77,16 @@
         responder: Responder,
         guard: RunGuard | None = None,
     ) -> None:
-        """Answers a call.
+        """Serves a call, with retries at other engines.
 
         Args:
-            call: The checked request.
-            snapshot: The configuration in force.
-            responder: Sends the answer.
-            guard: Watches over each run.
+            call: The validated request.
+            snapshot: The active configuration.
+            responder: Sends the response.
+            guard: Guards each run; None for no guard.
 
         Raises:
-            Refused: It failed, with its verdict.
+            Refused: The call failed, with its verdict.
         """
         guard = guard or NoGuard()
         avoid: list[str] = []
@@ -98,7 +98,8 @@
             except Refused as refused:
                 if failed is None or not failed.sent:
                     raise
-                # The first engine may have run what the broker refuses now.
+                # An earlier attempt may have run the request that the broker
+                # refuses now.
                 raise Refused(_failure(failed)) from refused
             try:
                 async with guard.run(permit):
@@ -131,17 +132,17 @@
         responder: Responder,
         permit: Permit | None,
     ) -> None:
-        """Continues a stream after the event that its caller saw last.
+        """Resumes a stream after the last event that the caller received.
 
         Args:
             account: The caller's account.
-            after: The last event that it saw.
-            snapshot: The configuration in force.
-            responder: Sends the answer.
-            permit: The stream's permit if its former holder gave it up.
+            after: The last event that the caller received.
+            snapshot: The active configuration.
+            responder: Sends the response.
+            permit: The stream's permit if its former holder handed it over.
 
         Raises:
-            Refused: The stream is not the account's or is gone.
+            Refused: The stream belongs to another account or no longer exists.
         """
         generation = after.generation
         self.check_owner(account, generation)
@@ -158,24 +159,28 @@
                 stream, self._send_events(relay, responder, permit)
             )
         except EndpointError as error:
-            # Its caller has seen tokens, so the generation certainly ran.
+            # The caller has received tokens, so the generation certainly ran.
             error.sent = True
             raise Refused(_failure(error)) from error
 
     def check_owner(self, account: str, generation: str) -> None:
-        """Raises `Refused` unless the account started the generation."""
+        """Checks that the account started the generation.
+
+        Raises:
+            Refused: Another account started it.
+        """
         if not self._ids.is_of(generation, account):
             raise Refused(not_run(Reason.FORBIDDEN, "not your stream"))
 
     def _presumed_permit(
         self, account: str, generation: str, snapshot: Snapshot
     ) -> Permit:
-        """Returns a permit for a stream whose former holder is gone.
+        """Returns a permit for a stream whose former holder did not reply.
 
-        The pool's owner learns of it from this entry's reports.
+        The pool's owner learns of the new holder from this entry's reports.
 
         Raises:
-            Refused: The configuration no longer has the engine.
+            Refused: The active configuration no longer has the engine.
         """
         name = identity.endpoint_of(generation)
         request_id = generation.partition("~")[0]
@@ -252,10 +257,10 @@
     async def _follow(
         self, stream: OpenStream, answer: Awaitable[None], keep: bool = True
     ) -> None:
-        """Sends an answer; then the stream is closed, or kept for a resume.
+        """Awaits a response, then closes its stream or keeps it for a resume.
 
         Raises:
-            EndpointError: The stream broke for good.
+            EndpointError: The stream broke and can't be resumed.
         """
         end = StreamEnd.CANCELLED
         try:
--- a/rhubarbwinch/callers/guarded.py
+++ b/rhubarbwinch/callers/guarded.py
@@ -1,4 +1,4 @@
-"""Generation requests under the guards of quarantine and claims."""
+"""Serves generation requests under quarantine and at-most-once guards."""
 
 from rhubarbwinch.admission.permits import PermitClient
 from rhubarbwinch.callers.calls import Call
@@ -13,13 +13,13 @@
 
 
 class GuardedGenerator:
-    """Runs generation requests that the guards let through.
+    """Runs the generation requests that quarantine and claims allow.
 
     Args:
-        generator: Runs them.
-        quarantine: What is known of suspects.
+        generator: Runs the requests.
+        quarantine: Knows the requests that are suspected to crash endpoints.
         claims: Keeps requests that are not repeatable from running twice.
-        permits: Where places come from.
+        permits: Requests permits from brokers.
         endpoints: Calls engines.
     """
 
@@ -40,10 +40,10 @@
     async def serve(
         self, call: Call, snapshot: Snapshot, responder: Responder
     ) -> None:
-        """Answers a call.
+        """Serves a call, from its recorded outcome if there is one.
 
         Raises:
-            Refused: It failed, with its verdict.
+            Refused: The call failed, with its verdict.
         """
         guard = QuarantineGuard(
             self._quarantine,
--- a/rhubarbwinch/callers/models.py
+++ b/rhubarbwinch/callers/models.py
@@ -1,4 +1,4 @@
-"""The list of models that an account may use."""
+"""Lists the models that an account may use."""
 
 import orjson
 
@@ -8,7 +8,7 @@
 
 
 def listing(account: str, snapshot: Snapshot) -> bytes:
-    """Returns an account's services that generate, as OpenAI lists models."""
+    """Returns an account's generation services as OpenAI's model list."""
     found = [
         {"id": name, "object": "model", "created": 0, "owned_by": OWNER}
         for name in sorted(snapshot.accounts[account].services)
--- a/rhubarbwinch/callers/plain.py
+++ b/rhubarbwinch/callers/plain.py
@@ -1,4 +1,4 @@
-"""Calls of plain services, routed by permits like generations."""
+"""Forwards calls of plain services to endpoints that permits select."""
 
 from functools import partial
 
@@ -27,15 +27,16 @@
 
 @attrs.frozen
 class PlainCall:
-    """A call of a plain service that has been checked.
+    """A validated call of a plain service.
 
     Attributes:
         account: The client account.
         name: The service's name.
-        service: Its record.
-        request: What the caller sent.
+        service: The service's record.
+        request: The caller's request.
         path: The path at the endpoint.
-        key: The key under which it runs at most once; None if repeatable.
+        key: The key under which the call runs at most once; None for a
+            repeatable call.
     """
 
     account: str
@@ -47,10 +48,10 @@
 
 
 def parse_call(account: str, request: Request, snapshot: Snapshot) -> PlainCall:
-    """Returns the checked call of `/services/<service>/<path>`.
+    """Parses and validates a request for `/services/<service>/<path>`.
 
     Raises:
-        Refused: It is not valid; it did not run.
+        Refused: The request is not valid; it did not run.
     """
     name, _, rest = request.path.removeprefix(PREFIX).partition("/")
     service = snapshot.services.get(name)
@@ -64,15 +65,15 @@
 
 
 class PlainCaller:
-    """Runs calls of plain services.
+    """Forwards calls of plain services to their endpoints.
 
     Args:
-        permits: Where places come from.
+        permits: Requests permits from brokers.
         endpoints: Calls endpoints.
         claims: Keeps calls that are not repeatable from running twice.
-        ids: Makes request ids.
+        ids: Generates request ids.
         entry: This member's name.
-        data_center: Pools here are asked first.
+        data_center: This entry's data centre, whose pools are asked first.
     """
 
     def __init__(
@@ -98,10 +99,10 @@
         snapshot: Snapshot,
         responder: Responder,
     ) -> None:
-        """Answers a call of `/services/<service>/<path>`.
+        """Serves a request for `/services/<service>/<path>`.
 
         Raises:
-            Refused: It failed, with its verdict.
+            Refused: The call failed, with its verdict.
         """
         call = parse_call(account, request, snapshot)
         if call.key is not None:
@@ -113,11 +114,11 @@
     async def _run_repeatable(
         self, call: PlainCall, snapshot: Snapshot
     ) -> httpx.Response:
-        """Sends a call, again at another endpoint if one fails.
+        """Sends a call and retries it at other endpoints.
 
         Raises:
-            Refused: It failed. Once a byte was sent, it may have run, whatever
-                became of later tries.
+            Refused: The call failed. If any attempt sent a byte, the verdict
+                is that the call may have run, whatever later attempts did.
         """
         avoid: list[str] = []
         failed: EndpointError | None = None
@@ -144,7 +145,7 @@
         snapshot: Snapshot,
         responder: Responder,
     ) -> None:
-        """Answers with the recorded outcome, or runs the call."""
+        """Replays the recorded outcome of a call, or claims and runs it."""
         while True:
             found = await self._claims.find(key)
             if isinstance(found, Err):
@@ -152,8 +153,8 @@
             if found.ok_value is not None:
                 await replay(found.ok_value, responder)
                 return
-            # The permit comes first: a call that is refused a place costs
-            # the store no write, and a claim is sent as soon as it is held.
+            # The permit is acquired before the claim: a call without a permit
+            # costs the store no write, and a claimed call is sent at once.
             permit = await self._permit(call, snapshot, [])
             claim = await self._take(permit, key)
             if claim is not None:
@@ -162,7 +163,7 @@
         await _pass_on(response, responder)
 
     async def _take(self, permit: Permit, key: ClaimKey) -> Claim | None:
-        """Claims a key; None if another request was first."""
+        """Claims a key; returns None if another request holds the claim."""
         claim = None
         try:
             taken = await self._claims.take(key)
@@ -180,7 +181,7 @@
     async def _run_claimed(
         self, claim: Claim, permit: Permit, call: PlainCall, snapshot: Snapshot
     ) -> httpx.Response:
-        """Sends a claimed call; again only if no byte went out."""
+        """Sends a claimed call; retries it only if no byte was sent."""
         avoid: list[str] = []
         try:
             while True:
@@ -199,8 +200,8 @@
     async def _send(
         self, claim: Claim, permit: Permit, call: PlainCall
     ) -> httpx.Response:
-        # A caller that goes away does not cut a call that has been sent:
-        # its outcome is recorded for the caller's next try.
+        # A caller's disconnect does not cancel a call that has been sent. The
+        # call's outcome is recorded and replayed if the caller retries.
         with anyio.CancelScope(shield=True):
             if not self._claims.begin_send(claim, permit.grant.endpoint):
                 await self._permits.give_back(permit, StreamEnd.UNUSED)
--- a/rhubarbwinch/callers/runguard.py
+++ b/rhubarbwinch/callers/runguard.py
@@ -1,4 +1,4 @@
-"""What watches over each run of a generation request at an engine."""
+"""Guards that decide whether a generation request may run at an engine."""
 
 from collections.abc import AsyncIterator
 from contextlib import AbstractAsyncContextManager, asynccontextmanager
@@ -29,24 +29,24 @@
 
 
 class RunGuard(Protocol):
-    """Watches over the runs of one request."""
+    """Guards the runs of one request."""
 
     def run(self, permit: Permit) -> AbstractAsyncContextManager[None]:
-        """Returns a context to run in.
+        """Returns a context manager that encloses a run.
 
         Raises:
-            Refused: The run must not start, or must not be repeated.
+            Refused: The run must not start, or must not be retried.
             EndpointError: The run can't start at this endpoint.
         """
         ...
 
 
 class NoGuard:
-    """Lets every run go ahead."""
+    """Allows every run."""
 
     @asynccontextmanager
     async def run(self, permit: Permit) -> AsyncIterator[None]:
-        """Returns a context that does nothing."""
+        """Returns a context manager that does nothing."""
         yield
 
 
@@ -54,11 +54,11 @@
     """Keeps a request that crashes endpoints from crashing more than two.
 
     Args:
-        quarantine: What is known of suspects.
-        endpoints: Tells whether an endpoint is dead.
-        permits: Where permits go back.
-        fingerprint: Of the request.
-        repeatable: Whether it may run more than once.
+        quarantine: Knows the requests that are suspected to crash endpoints.
+        endpoints: Probes whether an endpoint is dead.
+        permits: Releases permits.
+        fingerprint: The request's fingerprint.
+        repeatable: Whether the request may run more than once.
     """
 
     def __init__(
@@ -77,7 +77,12 @@
         self._sent = False
 
     async def check(self) -> None:
-        """Raises `Refused` for a request in quarantine."""
+        """Checks that the request is not in quarantine.
+
+        Raises:
+            Refused: The request is in quarantine, or it is a suspect that is
+                not repeatable.
+        """
         await self._quarantine.wait_loaded(LOAD_WAIT_MS)
         suspect = self._quarantine.get(self._fingerprint)
         if suspect is None:
@@ -93,7 +98,11 @@
 
     @asynccontextmanager
     async def run(self, permit: Permit) -> AsyncIterator[None]:
-        """Runs a suspect alone among suspects; counts a death."""
+        """Encloses a run; a suspect is the only suspect at its endpoint.
+
+        An endpoint that dies during the run counts as a strike against the
+        request.
+        """
         run = identity.generation_id(
             permit.grant.request_id, permit.grant.endpoint
         )
@@ -110,7 +119,8 @@
         except Refused:
             raise
         except Exception as error:
-            # A transport's own error also may hide a death.
+            # An endpoint's death may also surface as an error of the HTTP
+            # client that is no EndpointError.
             sent = not isinstance(error, EndpointError) or error.sent
             self._sent = self._sent or sent
             struck = sent and await self._is_dead(permit, error)
@@ -118,8 +128,8 @@
                 await self._quarantine.strike(self._fingerprint, run)
             raise
         except anyio.get_cancelled_exc_class():
-            # A caller that gives up early must not hide that its request
-            # killed the endpoint.
+            # The endpoint is probed after a caller's disconnect too, or a
+            # request that killed it would get no strike.
             with anyio.CancelScope(shield=True):
                 struck = await self._is_dead(permit)
                 if struck:
@@ -131,7 +141,7 @@
                     await self._end(permit, run, struck)
 
     async def _begin(self, permit: Permit, run: str) -> Suspect | None:
-        """Returns the suspect that runs on trial, or None for no suspect."""
+        """Returns the suspect whose trial begins; None if it is no suspect."""
         await self.check()
         suspect = self._quarantine.get(self._fingerprint)
         if suspect is None:
@@ -166,7 +176,7 @@
     async def _is_dead(
         self, permit: Permit, error: Exception | None = None
     ) -> bool:
-        """Tells whether the endpoint died, rather than the link to it."""
+        """Returns whether the endpoint died, rather than the connection."""
         if isinstance(error, GenerationLostError):
             return True
         url = f"http://{permit.grant.address}/load"
@@ -177,8 +187,8 @@
             except EndpointError as found:
                 if not found.sent:
                     return True
-                # A pooled connection to the dead process breaks like this;
-                # the next probe makes a new one.
+                # A pooled connection to a dead process also fails after the
+                # request was sent; the next probe opens a new connection.
         return True
 
     def _failure(
@@ -192,10 +202,10 @@
     """Runs a generation request at most once.
 
     Args:
-        claims: Where the key is claimed.
-        permits: Where permits go back.
-        key: What is claimed.
-        inner: Watches over the run as well.
+        claims: Claims the key.
+        permits: Releases permits.
+        key: The key to claim.
+        inner: A guard that also encloses each run.
     """
 
     def __init__(
@@ -215,7 +225,7 @@
         """Returns the recorded outcome, or None if the request may run.
 
         Raises:
-            Refused: It may not.
+            Refused: The request may not run.
         """
         found = await self._claims.find(self._key)
         if isinstance(found, Err):
@@ -224,7 +234,7 @@
 
     @asynccontextmanager
     async def run(self, permit: Permit) -> AsyncIterator[None]:
-        """Claims the key before the run and records how it ended."""
+        """Encloses a run: claims the key before it and records its outcome."""
         async with self._inner.run(permit):
             claim = await self._begin(permit)
             unsent = False
@@ -235,7 +245,8 @@
             except EndpointError as error:
                 unsent = not error.sent
                 if error.sent:
-                    # Not to be tried at another endpoint.
+                    # The request may have run, so it must not be retried at
+                    # another endpoint.
                     raise Refused(_lost(error)) from error
                 raise
             finally:
@@ -243,7 +254,7 @@
                     await self._finish(claim, permit, done, unsent)
 
     async def release(self) -> None:
-        """Gives an unsent claim up; call it when the request has ended."""
+        """Releases an unsent claim; call it when the request has ended."""
         if self._claim is not None and not self._claim.sent:
             with anyio.CancelScope(shield=True):
                 await self._claims.release(self._claim)
--- a/rhubarbwinch/callers/streams.py
+++ b/rhubarbwinch/callers/streams.py
@@ -1,8 +1,9 @@
-"""The generations that an entry looks after, and those left by their callers.
+"""Tracks an entry's open generations and ends those that callers abandon.
 
-A caller that loses its connection may come back with `Last-Event-ID`, here or
-at another entry. So its generation is kept for a while, and its permit with
-it; then the engine is told to end it, and the room is free.
+A caller that lost its connection may resume its stream with `Last-Event-ID`,
+here or at another entry. The entry therefore keeps the generation and its
+permit for a grace period. After the grace period it cancels the generation at
+the engine and releases the permit.
 """
 
 import anyio
@@ -27,13 +28,13 @@
 
 @attrs.define(eq=False)
 class OpenStream:
-    """A generation under this entry's care.
+    """A generation that this entry holds.
 
     Attributes:
-        permit: Its place at the engine.
-        position: How far it has been passed on.
-        until: When a generation that its caller left is ended, on the
-            entry's clock in ms; None while the caller is there.
+        permit: The permit for the generation's engine.
+        position: How far the generation has been relayed to the caller.
+        until: When the generation is ended after its caller disconnected, in
+            ms of the entry's clock; None while the caller is connected.
     """
 
     permit: Permit
@@ -43,21 +44,21 @@
 
 @attrs.frozen
 class _Cancel:
-    """A generation that an engine is to end."""
+    """A generation to be cancelled at its engine."""
 
     address: str
     generation: str
 
 
 class OpenStreams:
-    """Keeps, hands over and ends generations.
+    """Keeps open generations, hands them to other entries and ends them.
 
     Args:
-        permits: Where places are given back.
+        permits: Releases permits.
         endpoints: Calls engines.
         clock: The source of time.
-        grace_ms: How long a generation is kept for a caller that left it.
-        meter: Counts the tokens passed on.
+        grace_ms: How long a generation is kept after its caller disconnected.
+        meter: Counts the tokens relayed to callers.
     """
 
     def __init__(
@@ -80,11 +81,11 @@
 
     @property
     def waiting(self) -> int:
-        """The number of generations whose caller left."""
+        """The number of generations whose caller has disconnected."""
         return sum(s.until is not None for s in self._streams.values())
 
     def add(self, permit: Permit, position: Position) -> OpenStream:
-        """Takes a generation under care."""
+        """Adds a generation that this entry holds from now on."""
         stream = OpenStream(permit, position)
         self._streams[position.generation] = stream
         if self._meter is not None:
@@ -93,23 +94,28 @@
         return stream
 
     def take(self, generation: str) -> Permit | None:
-        """Gives a generation out of care, for whoever resumes it."""
+        """Removes a generation, for the entry or task that resumes it.
+
+        Returns:
+            The generation's permit; None if this entry does not hold it.
+        """
         stream = self._streams.pop(generation, None)
         if stream is not None and self._meter is not None:
             self._meter.end(generation, finished=False)
         return stream.permit if stream else None
 
     async def take_for_peer(self, message: StreamTake) -> StreamTaken:
-        """Hands a generation to the entry that its caller went to."""
+        """Hands a generation over to the entry where its caller resumes it."""
         permit = self.take(message.generation)
         if permit is None:
             return StreamTaken()
-        # The pool's owner learns of the new holder from that one's reports.
+        # The pool's owner learns of the new holder from the new holder's
+        # reports.
         self._permits.drop(permit)
         return StreamTaken(permit.request, permit.grant.endpoint)
 
     async def change_priority(self, change: PriorityChange) -> None:
-        """Passes a broker's priority for a stream on to its engine."""
+        """Forwards a broker's priority for a stream to the stream's engine."""
         for stream in self._streams.values():
             grant = stream.permit.grant
             if grant.request_id == change.request_id:
@@ -119,10 +125,11 @@
                 return
 
     async def close(self, stream: OpenStream, end: StreamEnd) -> None:
-        """Gives the permit of a stream back that ended here.
+        """Removes a stream that ended here and releases its permit.
 
-        A generation that did not finish is ended at its engine. One that
-        another connection has taken in the meantime is left alone.
+        A generation that did not finish is cancelled at its engine. A
+        generation that another connection has resumed meanwhile is not
+        touched.
         """
         position = stream.position
         if self._streams.get(position.generation) is not stream:
@@ -136,16 +143,19 @@
             self._cancel(stream)
 
     async def leave(self, stream: OpenStream) -> None:
-        """Keeps a generation for a while whose caller went away."""
+        """Keeps the generation of a disconnected caller for the grace period.
+
+        A generation of which the caller received no event is ended at once.
+        """
         position = stream.position
         if position.passed == 0:
-            # Without an event's id the caller can't ask for it.
+            # Without an event's id the caller can't resume the stream.
             await self.close(stream, StreamEnd.CANCELLED)
             return
         stream.until = self._clock.now() + self._grace_ms
 
     async def run(self) -> None:
-        """Ends generations that nobody reads any more, until cancelled."""
+        """Ends the generations past their grace period, until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._expire)
             async for call in self._cancels:
@@ -169,12 +179,12 @@
                 await self.close(stream, StreamEnd.CANCELLED)
 
     def _cancel(self, stream: OpenStream) -> None:
-        """Has the engine told, without a wait for an engine that hangs."""
+        """Queues the cancellation, so as not to wait for a hanging engine."""
         address = stream.permit.grant.address
         try:
             self._new_cancels.send_nowait(
                 _Cancel(address, stream.position.generation)
             )
         except anyio.WouldBlock:
-            # The engine finishes what it was not told to end.
+            # The queue is full; the engine then runs the generation to its end.
             return
--- a/rhubarbwinch/callers/takeover.py
+++ b/rhubarbwinch/callers/takeover.py
@@ -1,4 +1,4 @@
-"""Takes a stream over from the entry that its caller lost."""
+"""Takes over a stream from the entry to which its caller was connected."""
 
 import attrs
 
@@ -13,13 +13,13 @@
 
 
 class Takeover:
-    """Finds the holder of a stream and has it handed over.
+    """Finds the entry that holds a stream and takes the stream over.
 
     Args:
         streams: The streams that this entry holds.
         links: The links to the other entries.
         members: The known members.
-        timeout_ms: The longest wait for the other entry.
+        timeout_ms: The timeout of the call to the other entry.
     """
 
     def __init__(
@@ -35,10 +35,11 @@
         self._timeout_ms = timeout_ms
 
     async def take(self, generation: str, snapshot: Snapshot) -> Permit | None:
-        """Returns a stream's permit, or None if its holder does not answer.
+        """Returns a stream's permit, or None if its holder does not reply.
 
-        The other entry must know before the stream goes on here, or it would
-        end the generation when its own caller stays away.
+        The other entry hands the stream over before it resumes here. If the
+        other entry kept the stream, it would end the generation when its grace
+        period passes without a caller.
         """
         permit = self._streams.take(generation)
         if permit is not None:
@@ -54,7 +55,7 @@
                 self._timeout_ms,
             )
         except (LinkError, CodecError):
-            # An entry that is gone ends nothing.
+            # An entry that has ended can't end the generation.
             return None
         return self._adopt(taken, snapshot)
 
--- a/tests/callers/test_drainlimit.py
+++ b/tests/callers/test_drainlimit.py
@@ -1,4 +1,4 @@
-"""Answers while a program ends."""
+"""Tests of responses while a program drains."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 
 
 class DrainTest(unittest.TestCase):
-    """The limit, and connections that end with their answer."""
+    """The drain limit, and connections that close after their response."""
 
     def setUp(self):
         self.sent = []
@@ -20,7 +20,7 @@
         self.sent.append(message)
 
     async def _head(self, version):
-        """Returns the headers of an answer of a program that is draining."""
+        """Returns the response headers of a program that is draining."""
         app = App(1024)
         app.is_closing = lambda: True
         app.route("GET", "/", lambda _, responder: responder.json(b"{}"))
--- a/tests/callers/test_generate.py
+++ b/tests/callers/test_generate.py
@@ -1,4 +1,4 @@
-"""Streams through separate processes, with real kills and pauses."""
+"""Tests of streams through separate processes that are killed or paused."""
 
 import json
 import signal
@@ -14,12 +14,12 @@
 
 
 class Reading:
-    """A caller's reading of one stream, over several connections.
+    """A caller that reads one stream, over several connections.
 
     Args:
         fleet: The deployment.
-        entry: The index of the entry to ask first.
-        length: The tokens to ask for.
+        entry: The index of the entry to connect to first.
+        length: The number of tokens to request.
     """
 
     def __init__(self, fleet, entry=0, length=LENGTH):
@@ -35,7 +35,7 @@
         self._context = None
 
     def open(self):
-        """Connects, to resume if something has been read."""
+        """Connects; resumes the stream if an event has been read."""
         headers = dict(AUTHORIZATION)
         body = {"model": "chat", "prompt": self._prompt, "stream": True}
         if self.last_id:
@@ -57,7 +57,7 @@
         return self.open()
 
     def read(self, count=None):
-        """Reads a number of events, or all."""
+        """Reads up to `count` events, or to the end of the stream."""
         try:
             for event in self._events:
                 self._take(event)
@@ -89,7 +89,7 @@
         return self.last_id.rpartition(":")[0].partition("~")[2]
 
     def describe(self, title, length=LENGTH):
-        """Returns the reading as text that is the same in each run."""
+        """Returns what was read as text that is the same in each run."""
         expected = list(range(len(self.tokens)))
         in_order = self.tokens == expected and self.indexes == expected
         count = "all" if len(self.tokens) == length else "some"
@@ -111,7 +111,7 @@
 
 
 class GenerateTest(GoldTestCase):
-    """Callers' whole sessions against a deployment that loses parts."""
+    """Streams while connections, engines, entries and brokers fail."""
 
     def test_streams_that_lose_their_link_or_engine_match_the_gold(self):
         text = ""
@@ -135,7 +135,7 @@
         self.assert_gold("streams_engines", text)
 
     def _lose_engines(self, fleet):
-        """Kills the engine of a stream, then asks while one is gone."""
+        """Kills a stream's engine, then sends requests while it is down."""
         reading = Reading(fleet, length=4000).open().read(SOME)
         fleet.kill(reading.engine)
         reading.read()
@@ -172,7 +172,7 @@
 
 
 def _describe_many(title, fleet):
-    """Returns how many of some requests were answered whole."""
+    """Sends `MANY` requests and returns how many streams were complete."""
     whole = 0
     for _ in range(MANY):
         whole += Reading(fleet).open().read().end == "done"
@@ -180,7 +180,7 @@
 
 
 def _describe_logs(fleet):
-    """Returns how many generations of a fault session the engines ran."""
+    """Returns how many generations the engines ran in the fault session."""
 
     def count():
         logs = [httpx.get(f"http://{a}/log").json() for a in fleet.engines]
@@ -189,6 +189,7 @@
         ]
         return len(wanted)
 
-    # Six faults and the requests that an engine refused at first.
+    # One generation for each of the six faults, and one for each of the
+    # `MANY` requests, some of which an engine first refused.
     wait_until(lambda: count() >= 6 + MANY, "the engines' logs")
     return f"# the engines' logs\ngenerations started {count()}\n"
--- a/tests/callers/test_plain.py
+++ b/tests/callers/test_plain.py
@@ -1,4 +1,4 @@
-"""Calls of plain services through separate processes with real signals."""
+"""Tests of plain service calls through processes that get real signals."""
 
 import datetime
 import json
@@ -22,7 +22,7 @@
 
 
 class Desks(Fleet):
-    """A deployment whose bookings are not repeatable."""
+    """A deployment whose booking calls are not repeatable."""
 
     def records(self):
         return [
@@ -35,7 +35,11 @@
         ]
 
     def book(self, entry, key, delay_ms=0):
-        """Makes a call; returns its status and verdict, or None if cut."""
+        """Makes a booking call.
+
+        Returns:
+            The status and the verdict; None if the connection broke.
+        """
         url = f"http://{self.entries[entry]}/services/booking/book"
         headers = AUTHORIZATION | {"idempotency-key": key}
         try:
@@ -51,12 +55,12 @@
         return f"{answer.status_code} {verdict}"
 
     def ran(self, key):
-        """Returns how often the endpoint ran a key."""
+        """Returns how often the endpoint ran the call with a key."""
         log = httpx.get(f"http://{self.service}/log").json()
         return [call["key"] for call in log].count(key)
 
     def audit(self, listed):
-        """Returns what the command line lists for the hours around now."""
+        """Returns the audit's rows for the hours around the current time."""
         now = datetime.datetime.now(datetime.UTC).replace(
             minute=0, second=0, microsecond=0
         )
@@ -71,12 +75,12 @@
         return json.loads(done.stdout)
 
     def faults(self, **fields):
-        """Sets what goes wrong with the store."""
+        """Sets the faults that the store stand-in injects."""
         httpx.post(f"http://{self.store}/faults", json=fields)
 
 
 class PlainTest(GoldTestCase):
-    """At most once with real processes, kills and pauses."""
+    """At-most-once calls through processes that are killed or paused."""
 
     def test_a_booking_runs_at_most_once_through_real_failures(self):
         now = int(time.time() * 1000)
@@ -145,7 +149,7 @@
         self.assert_gold("claims-generation", "\n".join(lines) + "\n")
 
     def _start(self, fleet, key, entry=0):
-        """Starts a slow call and waits until the endpoint has it."""
+        """Starts a slow call and waits until the endpoint runs it."""
         call = threading.Thread(target=fleet.book, args=(entry, key, SLOW_MS))
         call.start()
         wait_until(lambda: fleet.ran(key), "the call")
@@ -153,16 +157,23 @@
 
 
 def _drafts(fleet):
-    """Returns the tokens of drafts in the audit."""
+    """Returns the number of tokens that the audit lists for drafts."""
     rows = fleet.audit("tokens")
     return sum(row["tokens"] for row in rows if row["service"] == "draft")
 
 
 class RetriedCallTest(unittest.TestCase):
-    """A repeatable call whose first send broke."""
+    """A repeatable call whose first attempt broke after it was sent."""
 
     async def _told(self, second):
-        """Returns what the caller is told if the second try meets `second`."""
+        """Returns the response to a call whose endpoint dies at first.
+
+        Args:
+            second: Called before the second attempt, to make it fail.
+
+        Returns:
+            The response's verdict and reason, and how often the call ran.
+        """
         async with World() as world:
             entry = world.entries[0]
             world.desk.dies = True
--- a/tests/callers/test_streams.py
+++ b/tests/callers/test_streams.py
@@ -1,4 +1,7 @@
-"""Generations whose caller went away; clock, engine and links are fakes."""
+"""Tests of generations whose caller disconnects, over fakes.
+
+The clock, the engine and the links are fakes.
+"""
 
 from contextlib import asynccontextmanager
 
@@ -20,7 +23,7 @@
 
 
 class Journal:
-    """Stands for the engines and the brokers; notes what they are told."""
+    """A fake of engines and permit clients that records the calls to them."""
 
     def __init__(self, name):
         self.lines = []
@@ -43,7 +46,7 @@
 
 
 class FakeLinks:
-    """Calls the entry whose streams are given; None does not answer."""
+    """Fake links that call the given entry's streams; None does not reply."""
 
     def __init__(self, holder):
         self._holder = holder
@@ -55,7 +58,7 @@
 
 
 class Side:
-    """One entry's streams."""
+    """One entry with its open streams."""
 
     def __init__(self, name, clock, incarnation):
         self.journal = Journal(name)
@@ -65,14 +68,14 @@
         )
 
     def open(self, passed=5):
-        """Returns a stream that has passed some tokens on."""
+        """Opens a stream that has relayed `passed` tokens to its caller."""
         grant = PermitGrant("1-1-tag", "engine-0", "127.0.0.1:2")
         permit = Permit(builders.permit_request("1-1-tag"), grant)
         position = Position(GENERATION, next_index=passed, passed=passed)
         return self.streams.add(permit, position)
 
     def takeover(self, other, answers=True):
-        """Returns what takes streams over from the other entry."""
+        """Returns an object that takes over streams from the other entry."""
         members = Members(self.member)
         members.merge(MemberNews(other.member))
         links = FakeLinks(other.streams if answers else None)
@@ -97,7 +100,7 @@
 
 
 class StreamsTest(GoldTestCase):
-    """What becomes of a generation, in several sessions."""
+    """How generations end, for each way a caller can disconnect."""
 
     @asynchronous
     async def test_each_way_a_caller_can_go_ends_as_in_the_gold(self):
