--- a/rhubarbwinch/callers/callparams.py
+++ b/rhubarbwinch/callers/callparams.py
@@ -9,7 +9,7 @@
 
 
 @attrs.frozen
-class _Range:
+class _ParameterRange:
     """The allowed values of a parameter, both ends included."""
 
     name: str
@@ -17,13 +17,13 @@
     high: float
 
 
-_RANGES = (
+_PARAMETER_RANGES = (
     # A request starts one generation, so there is one choice.
-    _Range("n", 1, 1),
-    _Range("temperature", 0, 2),
-    _Range("top_p", 0, 1),
-    _Range("frequency_penalty", -2, 2),
-    _Range("presence_penalty", -2, 2),
+    _ParameterRange("n", 1, 1),
+    _ParameterRange("temperature", 0, 2),
+    _ParameterRange("top_p", 0, 1),
+    _ParameterRange("frequency_penalty", -2, 2),
+    _ParameterRange("presence_penalty", -2, 2),
 )
 
 
@@ -33,12 +33,17 @@
     Raises:
         Refused: A parameter is not a number in its range.
     """
-    for known in _RANGES:
-        value = data.get(known.name)
+    for allowed_range in _PARAMETER_RANGES:
+        value = data.get(allowed_range.name)
         if value is None:
             continue
-        number = type(value) in (int, float)
-        if not number or not known.low <= value <= known.high:
-            allowed = f"a number from {known.low} to {known.high}"
-            detail = f"{known.name}: {value!r}; allowed: {allowed}"
+        is_number = type(value) in (int, float)
+        if (
+            not is_number
+            or not allowed_range.low <= value <= allowed_range.high
+        ):
+            allowed = (
+                f"a number from {allowed_range.low} to {allowed_range.high}"
+            )
+            detail = f"{allowed_range.name}: {value!r}; allowed: {allowed}"
             raise Refused(not_run(Reason.BAD_REQUEST, detail))
--- a/rhubarbwinch/callers/calls.py
+++ b/rhubarbwinch/callers/calls.py
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen
-class Call:
+class GenerationCall:
     """A validated generation request.
 
     Attributes:
@@ -55,11 +55,13 @@
     @property
     def fingerprint(self) -> str:
         """A digest of the account and the request body."""
-        text = self.account.encode() + b"\0" + self.body
-        return hashlib.sha256(text).hexdigest()[:32]
+        content = self.account.encode() + b"\0" + self.body
+        return hashlib.sha256(content).hexdigest()[:32]
 
 
-def parse_call(account: str, request: Request, snapshot: Snapshot) -> Call:
+def parse_call(
+    account: str, request: Request, snapshot: Snapshot
+) -> GenerationCall:
     """Parses and validates a generation request.
 
     Raises:
@@ -85,7 +87,7 @@
     stream = data.get("stream", False) is True
     data |= {"model": service.target, "max_tokens": max_tokens, "stream": True}
     body = orjson.dumps(data)
-    return Call(
+    return GenerationCall(
         account=account,
         service_name=name,
         service=service,
@@ -109,9 +111,9 @@
     return value
 
 
-async def send_whole(
+async def send_json_response(
     relay: Relay,
-    call: Call,
+    call: GenerationCall,
     generation: str,
     responder: Responder,
 ) -> None:
@@ -121,21 +123,21 @@
         EndpointError: The stream broke; nothing has been sent to the caller.
     """
     chat = "chat" in call.path
-    text, finish = [], None
-    async for found in relay.events():
-        for event in found:
+    parts, finish_reason = [], None
+    async for batch in relay.events():
+        for event in batch:
             if event.is_done:
                 break
             for choice in orjson.loads(event.data)["choices"]:
-                text.append(_text_of(choice, chat))
-                finish = choice["finish_reason"] or finish
-    content = "".join(text)
-    choice = {"index": 0, "finish_reason": finish}
+                parts.append(_text_of(choice, chat))
+                finish_reason = choice["finish_reason"] or finish_reason
+    content = "".join(parts)
+    choice = {"index": 0, "finish_reason": finish_reason}
     if chat:
         choice["message"] = {"role": "assistant", "content": content}
     else:
         choice["text"] = content
-    answer = {
+    response = {
         "id": generation,
         "object": "chat.completion" if chat else "text_completion",
         "created": 0,
@@ -143,11 +145,11 @@
         "choices": [choice],
         "usage": {
             "prompt_tokens": call.prompt_tokens,
-            "completion_tokens": len(text),
-            "total_tokens": call.prompt_tokens + len(text),
+            "completion_tokens": len(parts),
+            "total_tokens": call.prompt_tokens + len(parts),
         },
     }
-    await responder.json(orjson.dumps(answer))
+    await responder.json(orjson.dumps(response))
 
 
 def _text_of(choice: dict[str, Any], chat: bool) -> str:
--- a/rhubarbwinch/callers/drainlimit.py
+++ b/rhubarbwinch/callers/drainlimit.py
@@ -13,7 +13,7 @@
 
 async def run_until_limit(
     limit: anyio.Event,
-    work: Callable[[], Awaitable[None]],
+    handle: Callable[[], Awaitable[None]],
     responder: Responder,
     entries: Callable[[], list[str]],
 ) -> None:
@@ -24,32 +24,32 @@
 
     Args:
         limit: Set when the program must stop.
-        work: The handler; cancelled at the limit.
+        handle: Runs the handler; cancelled at the limit.
         responder: Sends the response.
         entries: Returns the addresses of the other entries.
 
     Raises:
         Refused: The limit passed before the response's head was sent.
     """
-    failed: list[Exception] = []
-    done = False
+    errors: list[Exception] = []
+    is_done = False
     async with anyio.create_task_group() as tasks:
 
-        async def end() -> None:
+        async def cancel_at_limit() -> None:
             await limit.wait()
             tasks.cancel_scope.cancel()
 
-        tasks.start_soon(end)
+        tasks.start_soon(cancel_at_limit)
         try:
-            await work()
-            done = True
+            await handle()
+            is_done = True
         except Exception as error:
             # The task group would wrap the exception in an exception group.
-            failed.append(error)
+            errors.append(error)
         tasks.cancel_scope.cancel()
-    if failed:
-        raise failed[0]
-    if done or not limit.is_set():
+    if errors:
+        raise errors[0]
+    if is_done or not limit.is_set():
         return
     if not responder.started:
         detail = "this entry ended before the answer was complete"
--- a/rhubarbwinch/callers/generate.py
+++ b/rhubarbwinch/callers/generate.py
@@ -8,7 +8,7 @@
 from result import Err
 
 from rhubarbwinch.admission.permits import Permit, PermitClient
-from rhubarbwinch.callers.calls import Call, send_whole
+from rhubarbwinch.callers.calls import GenerationCall, send_json_response
 from rhubarbwinch.callers.runguard import NoGuard, RunGuard
 from rhubarbwinch.callers.streams import OpenStream, OpenStreams
 from rhubarbwinch.endpoints.endpoints import EndpointClient
@@ -30,7 +30,7 @@
 ]
 
 
-class Generator:
+class GenerationRunner:
     """Runs generation requests and streams their output to callers.
 
     Args:
@@ -72,7 +72,7 @@
 
     async def serve(
         self,
-        call: Call,
+        call: GenerationCall,
         snapshot: Snapshot,
         responder: Responder,
         guard: RunGuard | None = None,
@@ -90,32 +90,34 @@
         """
         guard = guard or NoGuard()
         avoid: list[str] = []
-        failed: EndpointError | None = None
+        earlier_error: EndpointError | None = None
         self._budget.add_request(call.account)
         while True:
             try:
-                permit = await self._permit(call, snapshot, avoid)
+                permit = await self._acquire_permit(call, snapshot, avoid)
             except Refused as refused:
-                if failed is None or not failed.sent:
+                if earlier_error is None or not earlier_error.sent:
                     raise
                 # An earlier attempt may have run the request that the broker
                 # refuses now.
-                raise Refused(_failure(failed)) from refused
+                raise Refused(_to_failure(earlier_error)) from refused
             try:
                 async with guard.run(permit):
                     await self._run(call, permit, responder)
                 return
             except EndpointError as error:
                 avoid.append(permit.grant.endpoint)
-                error.follow(failed)
-                failed = error
-                if not self._may_retry(call, len(avoid), responder):
-                    raise Refused(_failure(error)) from error
-            events.REQUEST_RETRIED.log(endpoint=avoid[-1], error=str(failed))
+                error.follow(earlier_error)
+                earlier_error = error
+                if not self._claim_retry(call, len(avoid), responder):
+                    raise Refused(_to_failure(error)) from error
+            events.REQUEST_RETRIED.log(
+                endpoint=avoid[-1], error=str(earlier_error)
+            )
             await self._clock.sleep(self._backoff.wait_ms(len(avoid)))
 
-    def _may_retry(
-        self, call: Call, attempts: int, responder: Responder
+    def _claim_retry(
+        self, call: GenerationCall, attempts: int, responder: Responder
     ) -> bool:
         if responder.started or attempts >= MAX_ATTEMPTS:
             return False
@@ -147,7 +149,9 @@
         generation = after.generation
         self.check_owner(account, generation)
         position = Position(generation, after.index + 1)
-        permit = permit or self._presumed_permit(account, generation, snapshot)
+        permit = permit or self._reconstruct_permit(
+            account, generation, snapshot
+        )
         self._permits.adopt(permit)
         address = permit.grant.address
         reopen = partial(self._endpoints.resume, address, generation)
@@ -155,13 +159,13 @@
         stream = self._streams.add(permit, position)
         events.STREAM_TAKEN.log(generation=generation, index=after.index + 1)
         try:
-            await self._follow(
+            await self._finish_stream(
                 stream, self._send_events(relay, responder, permit)
             )
         except EndpointError as error:
             # The caller has received tokens, so the generation certainly ran.
             error.sent = True
-            raise Refused(_failure(error)) from error
+            raise Refused(_to_failure(error)) from error
 
     def check_owner(self, account: str, generation: str) -> None:
         """Checks that the account started the generation.
@@ -172,7 +176,7 @@
         if not self._ids.is_of(generation, account):
             raise Refused(not_run(Reason.FORBIDDEN, "not your stream"))
 
-    def _presumed_permit(
+    def _reconstruct_permit(
         self, account: str, generation: str, snapshot: Snapshot
     ) -> Permit:
         """Returns a permit for a stream whose former holder did not reply.
@@ -199,8 +203,8 @@
             Failure(Verdict.MAY_HAVE_RUN, Reason.STREAM_BROKEN, detail)
         )
 
-    async def _permit(
-        self, call: Call, snapshot: Snapshot, avoid: list[str]
+    async def _acquire_permit(
+        self, call: GenerationCall, snapshot: Snapshot, avoid: list[str]
     ) -> Permit:
         request = PermitRequest(
             request_id="",
@@ -217,19 +221,19 @@
             wait_ms=call.service.wait_ms,
             avoid=avoid,
         )
-        answer = await self._permits.ask_any(
+        reply = await self._permits.ask_any(
             request,
             snapshot.pools_near(
                 call.service.target, self._data_center, call.fingerprint
             ),
             partial(self._ids.request_id, call.account),
         )
-        if isinstance(answer, Err):
-            raise Refused(answer.err_value)
-        return answer.ok_value
+        if isinstance(reply, Err):
+            raise Refused(reply.err_value)
+        return reply.ok_value
 
     async def _run(
-        self, call: Call, permit: Permit, responder: Responder
+        self, call: GenerationCall, permit: Permit, responder: Responder
     ) -> None:
         grant = permit.grant
         generation = identity.generation_id(grant.request_id, grant.endpoint)
@@ -249,13 +253,16 @@
         )
         stream = self._streams.add(permit, position)
         if call.stream:
-            answer = self._send_events(relay, responder, permit)
+            response = self._send_events(relay, responder, permit)
         else:
-            answer = send_whole(relay, call, generation, responder)
-        await self._follow(stream, answer, keep=call.stream)
+            response = send_json_response(relay, call, generation, responder)
+        await self._finish_stream(stream, response, is_resumable=call.stream)
 
-    async def _follow(
-        self, stream: OpenStream, answer: Awaitable[None], keep: bool = True
+    async def _finish_stream(
+        self,
+        stream: OpenStream,
+        response: Awaitable[None],
+        is_resumable: bool = True,
     ) -> None:
         """Awaits a response, then closes its stream or keeps it for a resume.
 
@@ -264,7 +271,7 @@
         """
         end = StreamEnd.CANCELLED
         try:
-            await answer
+            await response
             end = StreamEnd.FINISHED
         except EndpointError as error:
             end = StreamEnd.ENDPOINT_LOST if error.sent else StreamEnd.FAILED
@@ -274,27 +281,27 @@
         finally:
             self._metrics.count(metrics.RESUMES, stream.position.resumes)
             with anyio.CancelScope(shield=True):
-                if end is StreamEnd.CANCELLED and keep:
-                    await self._streams.leave(stream)
+                if end is StreamEnd.CANCELLED and is_resumable:
+                    await self._streams.keep_for_resume(stream)
                 else:
                     await self._streams.close(stream, end)
 
     async def _send_events(
         self, relay: Relay, responder: Responder, permit: Permit
     ) -> None:
-        began = self._clock.now()
+        started_ms = self._clock.now()
         position = relay.position
-        async for found in relay.events():
+        async for batch in relay.events():
             if not responder.started:
                 await responder.start(200, SSE_HEADERS)
-                elapsed = self._clock.now() - began
+                elapsed = self._clock.now() - started_ms
                 self._metrics.timing(metrics.FIRST_TOKEN, elapsed)
             permit.tokens = position.next_index
-            await responder.write(join(found))
+            await responder.write(join(batch))
         await responder.write(b"", more=False)
 
 
-def _failure(error: EndpointError) -> Failure:
+def _to_failure(error: EndpointError) -> Failure:
     if error.sent:
         return Failure(Verdict.MAY_HAVE_RUN, Reason.STREAM_BROKEN, str(error))
     return not_run(Reason.ENDPOINT_FAILED, str(error), 1000)
--- a/rhubarbwinch/callers/guarded.py
+++ b/rhubarbwinch/callers/guarded.py
@@ -1,8 +1,8 @@
 """Serves generation requests under quarantine and at-most-once guards."""
 
 from rhubarbwinch.admission.permits import PermitClient
-from rhubarbwinch.callers.calls import Call
-from rhubarbwinch.callers.generate import Generator
+from rhubarbwinch.callers.calls import GenerationCall
+from rhubarbwinch.callers.generate import GenerationRunner
 from rhubarbwinch.callers.runguard import ClaimGuard, QuarantineGuard
 from rhubarbwinch.claims.claims import Claims
 from rhubarbwinch.claims.quarantine import Quarantine
@@ -12,7 +12,7 @@
 from rhubarbwinch.records.accepted import Snapshot
 
 
-class GuardedGenerator:
+class GuardedGenerationRunner:
     """Runs the generation requests that quarantine and claims allow.
 
     Args:
@@ -25,20 +25,20 @@
 
     def __init__(
         self,
-        generator: Generator,
+        runner: GenerationRunner,
         quarantine: Quarantine,
         claims: Claims,
         permits: PermitClient,
         endpoints: EndpointClient,
     ) -> None:
-        self._generator = generator
+        self._runner = runner
         self._quarantine = quarantine
         self._claims = claims
         self._permits = permits
         self._endpoints = endpoints
 
     async def serve(
-        self, call: Call, snapshot: Snapshot, responder: Responder
+        self, call: GenerationCall, snapshot: Snapshot, responder: Responder
     ) -> None:
         """Serves a call, from its recorded outcome if there is one.
 
@@ -54,15 +54,17 @@
         )
         if call.claim_key is None:
             await guard.check()
-            await self._generator.serve(call, snapshot, responder, guard)
+            await self._runner.serve(call, snapshot, responder, guard)
             return
-        once = ClaimGuard(self._claims, self._permits, call.claim_key, guard)
-        outcome = await once.find()
+        claim_guard = ClaimGuard(
+            self._claims, self._permits, call.claim_key, guard
+        )
+        outcome = await claim_guard.find()
         if outcome is not None:
             await replay(outcome, responder)
             return
         await guard.check()
         try:
-            await self._generator.serve(call, snapshot, responder, once)
+            await self._runner.serve(call, snapshot, responder, claim_guard)
         finally:
-            await once.release()
+            await claim_guard.release()
--- a/rhubarbwinch/callers/models.py
+++ b/rhubarbwinch/callers/models.py
@@ -7,12 +7,12 @@
 OWNER = "rhubarbwinch"
 
 
-def listing(account: str, snapshot: Snapshot) -> bytes:
+def model_list(account: str, snapshot: Snapshot) -> bytes:
     """Returns an account's generation services as OpenAI's model list."""
-    found = [
+    models = [
         {"id": name, "object": "model", "created": 0, "owned_by": OWNER}
         for name in sorted(snapshot.accounts[account].services)
         if name in snapshot.services
         and snapshot.services[name].kind == "generate"
     ]
-    return orjson.dumps({"object": "list", "data": found})
+    return orjson.dumps({"object": "list", "data": models})
--- a/rhubarbwinch/callers/plain.py
+++ b/rhubarbwinch/callers/plain.py
@@ -22,7 +22,12 @@
 
 PREFIX = "/services/"
 MAX_ATTEMPTS = 3
-_PASSED_ON = ("content-type", "accept", "traceparent", "idempotency-key")
+_FORWARDED_HEADERS = (
+    "content-type",
+    "accept",
+    "traceparent",
+    "idempotency-key",
+)
 
 
 @attrs.frozen
@@ -53,13 +58,13 @@
     Raises:
         Refused: The request is not valid; it did not run.
     """
-    name, _, rest = request.path.removeprefix(PREFIX).partition("/")
+    name, _, subpath = request.path.removeprefix(PREFIX).partition("/")
     service = snapshot.services.get(name)
     if service is None or service.kind != "plain":
         raise Refused(not_run(Reason.NOT_FOUND, f"no service {name!r}"))
     if name not in snapshot.accounts[account].services:
         raise Refused(not_run(Reason.FORBIDDEN, f"{name!r} not allowed"))
-    path = f"/{rest}"
+    path = f"/{subpath}"
     key = claim_key(account, name, service, request, path)
     return PlainCall(account, name, service, request, path, key)
 
@@ -109,7 +114,7 @@
             await self._serve_once(call, call.key, snapshot, responder)
             return
         response = await self._run_repeatable(call, snapshot)
-        await _pass_on(response, responder)
+        await _send_response(response, responder)
 
     async def _run_repeatable(
         self, call: PlainCall, snapshot: Snapshot
@@ -121,22 +126,22 @@
                 is that the call may have run, whatever later attempts did.
         """
         avoid: list[str] = []
-        failed: EndpointError | None = None
+        earlier_error: EndpointError | None = None
         while True:
             try:
-                permit = await self._permit(call, snapshot, avoid)
+                permit = await self._acquire_permit(call, snapshot, avoid)
             except Refused as refused:
-                if failed is None or not failed.sent:
+                if earlier_error is None or not earlier_error.sent:
                     raise
-                raise Refused(_failure(failed)) from refused
+                raise Refused(_to_failure(earlier_error)) from refused
             try:
-                return await self._exchange(permit, call)
+                return await self._call_endpoint(permit, call)
             except EndpointError as error:
                 avoid.append(permit.grant.endpoint)
-                error.follow(failed)
-                failed = error
+                error.follow(earlier_error)
+                earlier_error = error
                 if len(avoid) >= MAX_ATTEMPTS:
-                    raise Refused(_failure(error)) from error
+                    raise Refused(_to_failure(error)) from error
 
     async def _serve_once(
         self,
@@ -147,31 +152,33 @@
     ) -> None:
         """Replays the recorded outcome of a call, or claims and runs it."""
         while True:
-            found = await self._claims.find(key)
-            if isinstance(found, Err):
-                raise Refused(found.err_value)
-            if found.ok_value is not None:
-                await replay(found.ok_value, responder)
+            recorded = await self._claims.find(key)
+            if isinstance(recorded, Err):
+                raise Refused(recorded.err_value)
+            if recorded.ok_value is not None:
+                await replay(recorded.ok_value, responder)
                 return
             # The permit is acquired before the claim: a call without a permit
             # costs the store no write, and a claimed call is sent at once.
-            permit = await self._permit(call, snapshot, [])
-            claim = await self._take(permit, key)
+            permit = await self._acquire_permit(call, snapshot, [])
+            claim = await self._acquire_claim(permit, key)
             if claim is not None:
                 break
         response = await self._run_claimed(claim, permit, call, snapshot)
-        await _pass_on(response, responder)
+        await _send_response(response, responder)
 
-    async def _take(self, permit: Permit, key: ClaimKey) -> Claim | None:
+    async def _acquire_claim(
+        self, permit: Permit, key: ClaimKey
+    ) -> Claim | None:
         """Claims a key; returns None if another request holds the claim."""
         claim = None
         try:
-            taken = await self._claims.take(key)
-            if isinstance(taken, Err):
-                if taken.err_value.reason is Reason.IN_PROGRESS:
+            claimed = await self._claims.take(key)
+            if isinstance(claimed, Err):
+                if claimed.err_value.reason is Reason.IN_PROGRESS:
                     return None
-                raise Refused(taken.err_value)
-            claim = taken.ok_value
+                raise Refused(claimed.err_value)
+            claim = claimed.ok_value
             return claim
         finally:
             if claim is None:
@@ -186,18 +193,18 @@
         try:
             while True:
                 try:
-                    return await self._send(claim, permit, call)
+                    return await self._send_claimed(claim, permit, call)
                 except EndpointError as error:
                     avoid.append(permit.grant.endpoint)
                     if error.sent or len(avoid) >= MAX_ATTEMPTS:
-                        raise Refused(_failure(error)) from error
-                permit = await self._permit(call, snapshot, avoid)
+                        raise Refused(_to_failure(error)) from error
+                permit = await self._acquire_permit(call, snapshot, avoid)
         finally:
             if not claim.sent:
                 with anyio.CancelScope(shield=True):
                     await self._claims.release(claim)
 
-    async def _send(
+    async def _send_claimed(
         self, claim: Claim, permit: Permit, call: PlainCall
     ) -> httpx.Response:
         # A caller's disconnect does not cancel a call that has been sent. The
@@ -208,7 +215,7 @@
                 detail = "the claim was held for too long before the send"
                 raise Refused(not_run(Reason.DEADLINE, detail, 1000))
             try:
-                response = await self._exchange(permit, call)
+                response = await self._call_endpoint(permit, call)
             except EndpointError as error:
                 if error.sent:
                     await self._claims.lose(claim)
@@ -224,7 +231,7 @@
             await self._claims.complete(claim, outcome)
         return response
 
-    async def _permit(
+    async def _acquire_permit(
         self, call: PlainCall, snapshot: Snapshot, avoid: list[str]
     ) -> Permit:
         request = PermitRequest(
@@ -238,18 +245,18 @@
             wait_ms=call.service.wait_ms,
             avoid=avoid,
         )
-        answer = await self._permits.ask_any(
+        reply = await self._permits.ask_any(
             request,
             snapshot.pools_near(
                 call.service.target, self._data_center, call.account
             ),
             partial(self._ids.request_id, call.account),
         )
-        if isinstance(answer, Err):
-            raise Refused(answer.err_value)
-        return answer.ok_value
+        if isinstance(reply, Err):
+            raise Refused(reply.err_value)
+        return reply.ok_value
 
-    async def _exchange(
+    async def _call_endpoint(
         self, permit: Permit, call: PlainCall
     ) -> httpx.Response:
         request = call.request
@@ -257,7 +264,7 @@
         url = f"http://{permit.grant.address}{call.path}{query}"
         headers = {
             name: request.headers[name]
-            for name in _PASSED_ON
+            for name in _FORWARDED_HEADERS
             if name in request.headers
         }
         end = StreamEnd.CANCELLED
@@ -281,7 +288,9 @@
     return response.headers.get("content-type", "text/plain")
 
 
-async def _pass_on(response: httpx.Response, responder: Responder) -> None:
+async def _send_response(
+    response: httpx.Response, responder: Responder
+) -> None:
     await responder.whole(
         response.status_code,
         [(b"content-type", _content_type(response).encode())],
@@ -289,7 +298,7 @@
     )
 
 
-def _failure(error: EndpointError) -> Failure:
+def _to_failure(error: EndpointError) -> Failure:
     if error.sent:
         return Failure(Verdict.MAY_HAVE_RUN, Reason.ENDPOINT_FAILED, str(error))
     return not_run(Reason.ENDPOINT_FAILED, str(error), 1000)
--- a/rhubarbwinch/callers/runguard.py
+++ b/rhubarbwinch/callers/runguard.py
@@ -24,8 +24,8 @@
 from rhubarbwinch.shared.verdict import Failure, Reason, Verdict, not_run
 
 RETRY_AFTER_MS = 1_000
-LOAD_WAIT_MS = 1_000
-PROBES = 3
+QUARANTINE_LOAD_TIMEOUT_MS = 1_000
+MAX_PROBES = 3
 
 
 class RunGuard(Protocol):
@@ -83,7 +83,7 @@
             Refused: The request is in quarantine, or it is a suspect that is
                 not repeatable.
         """
-        await self._quarantine.wait_loaded(LOAD_WAIT_MS)
+        await self._quarantine.wait_loaded(QUARANTINE_LOAD_TIMEOUT_MS)
         suspect = self._quarantine.get(self._fingerprint)
         if suspect is None:
             return
@@ -107,12 +107,12 @@
             permit.grant.request_id, permit.grant.endpoint
         )
         try:
-            suspect = await self._begin(permit, run)
+            suspect = await self._begin_run(permit, run)
         except BaseException:
             with anyio.CancelScope(shield=True):
                 await self._permits.give_back(permit, StreamEnd.UNUSED)
             raise
-        struck = False
+        has_struck = False
         try:
             yield
             await self._quarantine.clear(self._fingerprint)
@@ -123,24 +123,24 @@
             # client that is no EndpointError.
             sent = not isinstance(error, EndpointError) or error.sent
             self._sent = self._sent or sent
-            struck = sent and await self._is_dead(permit, error)
-            if struck:
+            has_struck = sent and await self._is_dead(permit, error)
+            if has_struck:
                 await self._quarantine.strike(self._fingerprint, run)
             raise
         except anyio.get_cancelled_exc_class():
             # The endpoint is probed after a caller's disconnect too, or a
             # request that killed it would get no strike.
             with anyio.CancelScope(shield=True):
-                struck = await self._is_dead(permit)
-                if struck:
+                has_struck = await self._is_dead(permit)
+                if has_struck:
                     await self._quarantine.strike(self._fingerprint, run)
             raise
         finally:
             if suspect is not None:
                 with anyio.CancelScope(shield=True):
-                    await self._end(permit, run, struck)
+                    await self._end_trial(permit, run, has_struck)
 
-    async def _begin(self, permit: Permit, run: str) -> Suspect | None:
+    async def _begin_run(self, permit: Permit, run_id: str) -> Suspect | None:
         """Returns the suspect whose trial begins; None if it is no suspect."""
         await self.check()
         suspect = self._quarantine.get(self._fingerprint)
@@ -148,30 +148,32 @@
             return None
         endpoint = permit.grant.endpoint
         try:
-            if not await self._quarantine.wait_lock(endpoint, run):
+            if not await self._quarantine.wait_lock(endpoint, run_id):
                 raise EndpointError(
                     f"{endpoint} runs another suspect", sent=False
                 )
-            began = False
+            has_begun = False
             try:
-                began = await self._quarantine.wait_trial(
-                    self._fingerprint, run
+                has_begun = await self._quarantine.wait_trial(
+                    self._fingerprint, run_id
                 )
             finally:
-                if not began:
-                    await self._quarantine.unlock(endpoint, run)
+                if not has_begun:
+                    await self._quarantine.unlock(endpoint, run_id)
         except StoreError as error:
             detail = f"a suspect can't run now: {error}"
             raise Refused(self._failure(detail, RETRY_AFTER_MS)) from error
-        if not began:
+        if not has_begun:
             detail = "an endpoint died under it; one run at a time"
             raise Refused(self._failure(detail, RETRY_AFTER_MS))
         return suspect
 
-    async def _end(self, permit: Permit, run: str, struck: bool) -> None:
-        await self._quarantine.unlock(permit.grant.endpoint, run)
-        if not struck:
-            await self._quarantine.end_trial(self._fingerprint, run)
+    async def _end_trial(
+        self, permit: Permit, run_id: str, has_struck: bool
+    ) -> None:
+        await self._quarantine.unlock(permit.grant.endpoint, run_id)
+        if not has_struck:
+            await self._quarantine.end_trial(self._fingerprint, run_id)
 
     async def _is_dead(
         self, permit: Permit, error: Exception | None = None
@@ -180,12 +182,12 @@
         if isinstance(error, GenerationLostError):
             return True
         url = f"http://{permit.grant.address}/load"
-        for _ in range(PROBES):
+        for _ in range(MAX_PROBES):
             try:
                 await self._endpoints.read_json(url)
                 return False
-            except EndpointError as found:
-                if not found.sent:
+            except EndpointError as probe_error:
+                if not probe_error.sent:
                     return True
                 # A pooled connection to a dead process also fails after the
                 # request was sent; the next probe opens a new connection.
@@ -227,31 +229,31 @@
         Raises:
             Refused: The request may not run.
         """
-        found = await self._claims.find(self._key)
-        if isinstance(found, Err):
-            raise Refused(found.err_value)
-        return found.ok_value
+        recorded = await self._claims.find(self._key)
+        if isinstance(recorded, Err):
+            raise Refused(recorded.err_value)
+        return recorded.ok_value
 
     @asynccontextmanager
     async def run(self, permit: Permit) -> AsyncIterator[None]:
         """Encloses a run: claims the key before it and records its outcome."""
         async with self._inner.run(permit):
-            claim = await self._begin(permit)
-            unsent = False
-            done = False
+            claim = await self._begin_run(permit)
+            is_unsent = False
+            is_done = False
             try:
                 yield
-                done = True
+                is_done = True
             except EndpointError as error:
-                unsent = not error.sent
+                is_unsent = not error.sent
                 if error.sent:
                     # The request may have run, so it must not be retried at
                     # another endpoint.
-                    raise Refused(_lost(error)) from error
+                    raise Refused(_may_have_run(error)) from error
                 raise
             finally:
                 with anyio.CancelScope(shield=True):
-                    await self._finish(claim, permit, done, unsent)
+                    await self._finish(claim, permit, is_done, is_unsent)
 
     async def release(self) -> None:
         """Releases an unsent claim; call it when the request has ended."""
@@ -259,15 +261,15 @@
             with anyio.CancelScope(shield=True):
                 await self._claims.release(self._claim)
 
-    async def _begin(self, permit: Permit) -> Claim:
+    async def _begin_run(self, permit: Permit) -> Claim:
         failure = None
         try:
             if self._claim is None:
-                taken = await self._claims.take(self._key)
-                if isinstance(taken, Err):
-                    failure = taken.err_value
+                claimed = await self._claims.take(self._key)
+                if isinstance(claimed, Err):
+                    failure = claimed.err_value
                 else:
-                    self._claim = taken.ok_value
+                    self._claim = claimed.ok_value
             if failure is None and self._claim is not None:
                 if self._claims.begin_send(self._claim, permit.grant.endpoint):
                     return self._claim
@@ -283,11 +285,11 @@
         raise Refused(failure)
 
     async def _finish(
-        self, claim: Claim, permit: Permit, done: bool, unsent: bool
+        self, claim: Claim, permit: Permit, is_done: bool, is_unsent: bool
     ) -> None:
-        if unsent:
+        if is_unsent:
             claim.mark_unsent()
-        elif done:
+        elif is_done:
             generation = identity.generation_id(
                 permit.grant.request_id, permit.grant.endpoint
             )
@@ -298,5 +300,5 @@
             await self._claims.lose(claim)
 
 
-def _lost(error: EndpointError) -> Failure:
+def _may_have_run(error: EndpointError) -> Failure:
     return Failure(Verdict.MAY_HAVE_RUN, Reason.STREAM_BROKEN, str(error))
--- a/rhubarbwinch/callers/streams.py
+++ b/rhubarbwinch/callers/streams.py
@@ -22,8 +22,8 @@
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.clock import Clock
 
-CHECK_MS = 100
-MAX_CANCELS = 10_000
+EXPIRY_CHECK_MS = 100
+MAX_QUEUED_CANCELS = 10_000
 
 
 @attrs.define(eq=False)
@@ -39,7 +39,7 @@
 
     permit: Permit
     position: Position
-    until: int | None = None
+    ends_at_ms: int | None = None
 
 
 @attrs.frozen
@@ -75,14 +75,14 @@
         self._clock = clock
         self._grace_ms = grace_ms
         self._streams: dict[str, OpenStream] = {}
-        self._new_cancels, self._cancels = anyio.create_memory_object_stream[
-            _Cancel
-        ](MAX_CANCELS)
+        self._cancel_sender, self._cancel_receiver = (
+            anyio.create_memory_object_stream[_Cancel](MAX_QUEUED_CANCELS)
+        )
 
     @property
-    def waiting(self) -> int:
+    def disconnected_count(self) -> int:
         """The number of generations whose caller has disconnected."""
-        return sum(s.until is not None for s in self._streams.values())
+        return sum(s.ends_at_ms is not None for s in self._streams.values())
 
     def add(self, permit: Permit, position: Position) -> OpenStream:
         """Adds a generation that this entry holds from now on."""
@@ -93,7 +93,7 @@
             self._meter.start(position, request.account, request.service)
         return stream
 
-    def take(self, generation: str) -> Permit | None:
+    def acquire_permit(self, generation: str) -> Permit | None:
         """Removes a generation, for the entry or task that resumes it.
 
         Returns:
@@ -104,9 +104,9 @@
             self._meter.end(generation, finished=False)
         return stream.permit if stream else None
 
-    async def take_for_peer(self, message: StreamTake) -> StreamTaken:
+    async def hand_over(self, message: StreamTake) -> StreamTaken:
         """Hands a generation over to the entry where its caller resumes it."""
-        permit = self.take(message.generation)
+        permit = self.acquire_permit(message.generation)
         if permit is None:
             return StreamTaken()
         # The pool's owner learns of the new holder from the new holder's
@@ -140,9 +140,9 @@
             self._meter.end(position.generation, is_finished)
         await self._permits.give_back(stream.permit, end, position.next_index)
         if end is not StreamEnd.FINISHED:
-            self._cancel(stream)
+            self._queue_cancel(stream)
 
-    async def leave(self, stream: OpenStream) -> None:
+    async def keep_for_resume(self, stream: OpenStream) -> None:
         """Keeps the generation of a disconnected caller for the grace period.
 
         A generation of which the caller received no event is ended at once.
@@ -152,37 +152,39 @@
             # Without an event's id the caller can't resume the stream.
             await self.close(stream, StreamEnd.CANCELLED)
             return
-        stream.until = self._clock.now() + self._grace_ms
+        stream.ends_at_ms = self._clock.now() + self._grace_ms
 
     async def run(self) -> None:
         """Ends the generations past their grace period, until cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._expire)
-            async for call in self._cancels:
+            tasks.start_soon(self._end_expired)
+            async for cancellation in self._cancel_receiver:
                 tasks.start_soon(
-                    self._endpoints.cancel, call.address, call.generation
+                    self._endpoints.cancel,
+                    cancellation.address,
+                    cancellation.generation,
                 )
 
-    async def _expire(self) -> None:
+    async def _end_expired(self) -> None:
         while True:
-            await self._clock.sleep(CHECK_MS)
+            await self._clock.sleep(EXPIRY_CHECK_MS)
             now = self._clock.now()
-            due = [
+            expired = [
                 s
                 for s in self._streams.values()
-                if s.until is not None and s.until <= now
+                if s.ends_at_ms is not None and s.ends_at_ms <= now
             ]
-            for stream in due:
+            for stream in expired:
                 events.STREAM_ABANDONED.log(
                     generation=stream.position.generation
                 )
                 await self.close(stream, StreamEnd.CANCELLED)
 
-    def _cancel(self, stream: OpenStream) -> None:
+    def _queue_cancel(self, stream: OpenStream) -> None:
         """Queues the cancellation, so as not to wait for a hanging engine."""
         address = stream.permit.grant.address
         try:
-            self._new_cancels.send_nowait(
+            self._cancel_sender.send_nowait(
                 _Cancel(address, stream.position.generation)
             )
         except anyio.WouldBlock:
--- a/rhubarbwinch/callers/takeover.py
+++ b/rhubarbwinch/callers/takeover.py
@@ -34,21 +34,23 @@
         self._members = members
         self._timeout_ms = timeout_ms
 
-    async def take(self, generation: str, snapshot: Snapshot) -> Permit | None:
+    async def acquire_permit(
+        self, generation: str, snapshot: Snapshot
+    ) -> Permit | None:
         """Returns a stream's permit, or None if its holder does not reply.
 
         The other entry hands the stream over before it resumes here. If the
         other entry kept the stream, it would end the generation when its grace
         period passes without a caller.
         """
-        permit = self._streams.take(generation)
+        permit = self._streams.acquire_permit(generation)
         if permit is not None:
             return permit
-        holder = self._holder(generation)
+        holder = self._find_holder(generation)
         if holder is None:
             return None
         try:
-            taken = await self._links.call(
+            reply = await self._links.call(
                 holder.link,
                 StreamTake(generation),
                 StreamTaken,
@@ -57,9 +59,9 @@
         except (LinkError, CodecError):
             # An entry that has ended can't end the generation.
             return None
-        return self._adopt(taken, snapshot)
+        return self._make_permit(reply, snapshot)
 
-    def _holder(self, generation: str) -> Member | None:
+    def _find_holder(self, generation: str) -> Member | None:
         incarnation = identity.incarnation_of(generation)
         for member in self._members.all():
             is_me = member.name == self._members.me.name
@@ -67,15 +69,17 @@
                 return member if member.role is Role.ENTRY else None
         return None
 
-    def _adopt(self, taken: StreamTaken, snapshot: Snapshot) -> Permit | None:
-        if taken.request is None:
+    def _make_permit(
+        self, reply: StreamTaken, snapshot: Snapshot
+    ) -> Permit | None:
+        if reply.request is None:
             return None
-        pool = snapshot.pools.get(taken.request.pool)
+        pool = snapshot.pools.get(reply.request.pool)
         endpoints = pool.endpoints if pool else []
         for endpoint in endpoints:
-            if endpoint.name == taken.endpoint:
+            if endpoint.name == reply.endpoint:
                 request = attrs.evolve(
-                    taken.request, entry=self._members.me.name
+                    reply.request, entry=self._members.me.name
                 )
                 grant = PermitGrant(
                     request.request_id, endpoint.name, endpoint.address
--- a/rhubarbwinch/programs/entry.py
+++ b/rhubarbwinch/programs/entry.py
@@ -10,8 +10,8 @@
 from rhubarbwinch.callers import models
 from rhubarbwinch.callers.calls import parse_call
 from rhubarbwinch.callers.drainlimit import run_until_limit
-from rhubarbwinch.callers.generate import Generator
-from rhubarbwinch.callers.guarded import GuardedGenerator
+from rhubarbwinch.callers.generate import GenerationRunner
+from rhubarbwinch.callers.guarded import GuardedGenerationRunner
 from rhubarbwinch.callers.plain import PREFIX, PlainCaller
 from rhubarbwinch.callers.streams import OpenStreams
 from rhubarbwinch.callers.takeover import Takeover
@@ -74,7 +74,7 @@
             daemon.members,
             settings.permit_timeout_ms,
         )
-        self._generator = Generator(
+        self._runner = GenerationRunner(
             self._permits,
             self._endpoints,
             self._streams,
@@ -86,8 +86,8 @@
             settings.name,
             settings.data_center,
         )
-        self._guarded = GuardedGenerator(
-            self._generator,
+        self._guarded = GuardedGenerationRunner(
+            self._runner,
             self._claims.quarantine,
             self._claims.claims,
             self._permits,
@@ -133,7 +133,7 @@
         self._app.route("GET", "/v1/entries", self._entries)
         self._app.route("GET", "/v1/models", self._list_models)
         self._app.route("*", PREFIX, self._observed(self._call_plain))
-        daemon.server.on(StreamTake, self._streams.take_for_peer)
+        daemon.server.on(StreamTake, self._streams.hand_over)
         daemon.server.on(PriorityChange, self._streams.change_priority)
         daemon.drain.open_count = lambda: self._open
         self._app.is_closing = lambda: daemon.drain.started
@@ -212,9 +212,11 @@
             after = identity.parse_event_id(last)
             if after is None:
                 raise Refused(not_run(Reason.BAD_REQUEST, "Last-Event-ID"))
-            self._generator.check_owner(account, after.generation)
-            permit = await self._takeover.take(after.generation, snapshot)
-            await self._generator.resume(
+            self._runner.check_owner(account, after.generation)
+            permit = await self._takeover.acquire_permit(
+                after.generation, snapshot
+            )
+            await self._runner.resume(
                 account, after, snapshot, responder, permit
             )
         finally:
@@ -260,4 +262,4 @@
         """Lists the account's services that generate, as OpenAI does."""
         account = self._account(request)
         snapshot = self._daemon.follower.snapshot
-        await responder.json(models.listing(account, snapshot))
+        await responder.json(models.model_list(account, snapshot))
--- a/tests/callers/test_drainlimit.py
+++ b/tests/callers/test_drainlimit.py
@@ -43,16 +43,16 @@
         return dict(self.sent[0]["headers"])
 
     @asynchronous
-    async def test_an_answer_while_draining_ends_its_connection(self):
+    async def test_a_response_while_draining_closes_its_connection(self):
         head = await self._head("1.1")
         self.assertEqual(head[b"connection"], b"close")
 
     @asynchronous
-    async def test_http_2_gets_no_header_that_it_forbids(self):
+    async def test_http_2_responses_have_no_connection_header(self):
         self.assertNotIn(b"connection", await self._head("2"))
 
     @asynchronous
-    async def test_a_whole_answer_cut_at_the_limit_may_have_run(self):
+    async def test_a_response_not_started_at_the_limit_may_have_run(self):
         limit = anyio.Event()
         limit.set()
         with self.assertRaises(Refused) as caught:
@@ -65,7 +65,7 @@
         self.assertEqual(self.sent, [])
 
     @asynchronous
-    async def test_an_open_stream_is_told_where_to_go_on(self):
+    async def test_an_open_stream_ends_with_a_resume_event(self):
         limit = anyio.Event()
         responder = Responder(self._send)
 
--- a/tests/callers/test_generate.py
+++ b/tests/callers/test_generate.py
@@ -9,11 +9,11 @@
 from tests.helpers import GoldTestCase, wait_until
 
 LENGTH = 60
-SOME = 10
-MANY = 8
+PARTIAL_TOKENS = 10
+REQUEST_COUNT = 8
 
 
-class Reading:
+class StreamReader:
     """A caller that reads one stream, over several connections.
 
     Args:
@@ -50,7 +50,7 @@
         self._events = _split(response)
         return self
 
-    def move(self, entry):
+    def resume_at(self, entry):
         """Resumes at another entry."""
         self._client.close()
         self._entry = entry
@@ -60,14 +60,14 @@
         """Reads up to `count` events, or to the end of the stream."""
         try:
             for event in self._events:
-                self._take(event)
+                self._record(event)
                 if len(self.indexes) == count:
                     break
         except httpx.TransportError:
             self.end = "cut"
         return self
 
-    def _take(self, event):
+    def _record(self, event):
         if event == "data: [DONE]":
             self.end = "done"
         elif event.startswith("event: error"):
@@ -124,44 +124,44 @@
                 "freeze_at",
                 "foreign_at",
             ):
-                _set_faults(fleet, {fault: SOME})
-                text += Reading(fleet).open().read().describe(fault)
+                _set_faults(fleet, {fault: PARTIAL_TOKENS})
+                text += StreamReader(fleet).open().read().describe(fault)
                 _set_faults(fleet, {fault: None})
             url = f"http://{fleet.engines[0]}/faults"
             httpx.post(url, json={"refuse": 3})
-            text += _describe_many("one engine refuses with 503", fleet)
+            text += _describe_requests("one engine refuses with 503", fleet)
             text += _describe_logs(fleet)
             text += self._lose_engines(fleet)
         self.assert_gold("streams_engines", text)
 
     def _lose_engines(self, fleet):
         """Kills a stream's engine, then sends requests while it is down."""
-        reading = Reading(fleet, length=4000).open().read(SOME)
-        fleet.kill(reading.engine)
-        reading.read()
-        text = reading.describe("engine killed after the first token", 4000)
-        return text + _describe_many("engine gone before the start", fleet)
+        reader = StreamReader(fleet, length=4000).open().read(PARTIAL_TOKENS)
+        fleet.kill(reader.engine)
+        reader.read()
+        text = reader.describe("engine killed after the first token", 4000)
+        return text + _describe_requests("engine gone before the start", fleet)
 
     def test_streams_that_lose_their_entry_or_broker_match_the_gold(self):
         length = 300
         with Fleet(entries=2, engines=2, speed=2) as fleet:
-            moved = Reading(fleet, 0, length).open().read(SOME)
-            moved.move(1).read()
+            moved = StreamReader(fleet, 0, length).open().read(PARTIAL_TOKENS)
+            moved.resume_at(1).read()
             text = moved.describe("the caller moves to another entry", length)
-            frozen = Reading(fleet, 1, length).open().read(SOME)
+            frozen = StreamReader(fleet, 1, length).open().read(PARTIAL_TOKENS)
             fleet.signal("broker-0", signal.SIGSTOP)
             frozen.read()
             fleet.signal("broker-0", signal.SIGCONT)
             text += frozen.describe("broker frozen", length)
             fleet.wait_ready(fleet.entries[0])
-            killed = Reading(fleet, 0, length).open().read(SOME)
-            lost = Reading(fleet, 1, length).open().read(SOME)
+            killed = StreamReader(fleet, 0, length).open().read(PARTIAL_TOKENS)
+            lost = StreamReader(fleet, 1, length).open().read(PARTIAL_TOKENS)
             fleet.kill("broker-0")
             killed.read()
             text += killed.describe("broker killed", length)
             fleet.kill("entry-1")
             lost.read()
-            lost.move(0).read()
+            lost.resume_at(0).read()
             text += lost.describe("broker and entry killed", length)
         self.assert_gold("streams_entries", text)
 
@@ -171,12 +171,12 @@
         httpx.post(f"http://{address}/faults", json=faults)
 
 
-def _describe_many(title, fleet):
-    """Sends `MANY` requests and returns how many streams were complete."""
+def _describe_requests(title, fleet):
+    """Returns how many of `REQUEST_COUNT` requests got a complete stream."""
     whole = 0
-    for _ in range(MANY):
-        whole += Reading(fleet).open().read().end == "done"
-    return f"# {title}\nwhole {whole} of {MANY}\n"
+    for _ in range(REQUEST_COUNT):
+        whole += StreamReader(fleet).open().read().end == "done"
+    return f"# {title}\nwhole {whole} of {REQUEST_COUNT}\n"
 
 
 def _describe_logs(fleet):
@@ -190,6 +190,6 @@
         return len(wanted)
 
     # One generation for each of the six faults, and one for each of the
-    # `MANY` requests, some of which an engine first refused.
-    wait_until(lambda: count() >= 6 + MANY, "the engines' logs")
+    # `REQUEST_COUNT` requests, some of which an engine first refused.
+    wait_until(lambda: count() >= 6 + REQUEST_COUNT, "the engines' logs")
     return f"# the engines' logs\ngenerations started {count()}\n"
--- a/tests/callers/test_plain.py
+++ b/tests/callers/test_plain.py
@@ -18,15 +18,15 @@
 from tests.helpers import ROOT, GoldTestCase, asynchronous, wait_until
 
 SLOW_MS = 1500
-REPLACED = ("service/booking", "account/acme")
+REPLACED_RECORDS = ("service/booking", "account/acme")
 
 
-class Desks(Fleet):
+class BookingFleet(Fleet):
     """A deployment whose booking calls are not repeatable."""
 
     def records(self):
         return [
-            *(r for r in super().records() if r.key not in REPLACED),
+            *(r for r in super().records() if r.key not in REPLACED_RECORDS),
             builders.plain_service(not_repeatable=["POST /book"]),
             builders.generate_service(
                 "draft", not_repeatable=["POST /v1/completions"]
@@ -43,7 +43,7 @@
         url = f"http://{self.entries[entry]}/services/booking/book"
         headers = AUTHORIZATION | {"idempotency-key": key}
         try:
-            answer = httpx.post(
+            response = httpx.post(
                 f"{url}?delay_ms={delay_ms}",
                 headers=headers,
                 json={},
@@ -51,8 +51,8 @@
             )
         except httpx.HTTPError:
             return None
-        verdict = answer.headers.get("x-verdict", "ran")
-        return f"{answer.status_code} {verdict}"
+        verdict = response.headers.get("x-verdict", "ran")
+        return f"{response.status_code} {verdict}"
 
     def ran(self, key):
         """Returns how often the endpoint ran the call with a key."""
@@ -86,7 +86,7 @@
         now = int(time.time() * 1000)
         keys = [uuid7(now, number) for number in range(5)]
         lines = []
-        with Desks(entries=3) as fleet:
+        with BookingFleet(entries=3) as fleet:
             lines.append(f"plain: {fleet.book(0, keys[0])}")
             lines.append(f"again at another: {fleet.book(1, keys[0])}")
 
@@ -125,27 +125,27 @@
     def test_a_generation_that_is_not_repeatable_runs_once(self):
         key = uuid7(int(time.time() * 1000), 1)
         lines = []
-        with Desks(entries=2) as fleet:
+        with BookingFleet(entries=2) as fleet:
             for entry, headers in (
                 (0, {}),
                 (0, {"idempotency-key": key}),
                 (1, {"idempotency-key": key}),
             ):
-                answer = httpx.post(
+                response = httpx.post(
                     f"http://{fleet.entries[entry]}/v1/completions",
                     json={"model": "draft", "prompt": "len=7"},
                     headers=AUTHORIZATION | headers,
                     timeout=20,
                 )
-                again = answer.headers.get("idempotency-replayed", "")
-                lines.append(f"{answer.status_code} recorded {again or 'no'}")
+                again = response.headers.get("idempotency-replayed", "")
+                lines.append(f"{response.status_code} recorded {again or 'no'}")
             log = httpx.get(f"http://{fleet.engines[0]}/log").json()
             runs = [row for row in log if row["tokens"] == 7]
             lines.append(f"engine ran {len(runs)}")
             rows = fleet.audit("calls")
             lines += [f"audit: {r['service']} ran {r['ran']}" for r in rows]
-            wait_until(lambda: _drafts(fleet), "the counters")
-            lines.append(f"audit: tokens {_drafts(fleet)}")
+            wait_until(lambda: _draft_tokens(fleet), "the counters")
+            lines.append(f"audit: tokens {_draft_tokens(fleet)}")
         self.assert_gold("claims-generation", "\n".join(lines) + "\n")
 
     def _start(self, fleet, key, entry=0):
@@ -156,7 +156,7 @@
         return call
 
 
-def _drafts(fleet):
+def _draft_tokens(fleet):
     """Returns the number of tokens that the audit lists for drafts."""
     rows = fleet.audit("tokens")
     return sum(row["tokens"] for row in rows if row["service"] == "draft")
@@ -165,11 +165,11 @@
 class RetriedCallTest(unittest.TestCase):
     """A repeatable call whose first attempt broke after it was sent."""
 
-    async def _told(self, second):
+    async def _response_to_retry(self, fail_retry):
         """Returns the response to a call whose endpoint dies at first.
 
         Args:
-            second: Called before the second attempt, to make it fail.
+            fail_retry: Called before the second attempt, to make it fail.
 
         Returns:
             The response's verdict and reason, and how often the call ran.
@@ -181,27 +181,27 @@
 
             async def ask(request, pools, new_id):
                 if request.avoid:
-                    second(world, entry)
+                    fail_retry(world, entry)
                 return await ask_any(request, pools, new_id)
 
             entry.permits.ask_any = ask
-            told = await world.call(0, path="/services/booking/slots")
-            return told, len(world.desk.ran)
+            response = await world.call(0, path="/services/booking/slots")
+            return response, len(world.desk.ran)
 
     @asynchronous
-    async def test_no_place_for_the_second_try_is_not_called_not_run(self):
+    async def test_a_retry_without_a_permit_still_may_have_run(self):
         def refuse(_, entry):
             entry.permits.failure = not_run(Reason.QUEUE_FULL, "full")
 
-        told, ran = await self._told(refuse)
+        response, ran = await self._response_to_retry(refuse)
         self.assertEqual(ran, 1)
-        self.assertEqual(told, "may-have-run endpoint-failed")
+        self.assertEqual(response, "may-have-run endpoint-failed")
 
     @asynchronous
-    async def test_later_tries_that_were_not_sent_do_not_undo_the_first(self):
+    async def test_unsent_retries_keep_the_first_attempts_verdict(self):
         def go_away(world, _):
             world.desk.refuses = 9
 
-        told, ran = await self._told(go_away)
+        response, ran = await self._response_to_retry(go_away)
         self.assertEqual(ran, 1)
-        self.assertEqual(told, "may-have-run endpoint-failed")
+        self.assertEqual(response, "may-have-run endpoint-failed")
--- a/tests/callers/test_streams.py
+++ b/tests/callers/test_streams.py
@@ -22,27 +22,27 @@
 GENERATION = "1-1-tag~engine-0"
 
 
-class Journal:
+class CallRecorder:
     """A fake of engines and permit clients that records the calls to them."""
 
     def __init__(self, name):
         self.lines = []
         self._name = name
 
-    def note(self, text):
+    def record(self, text):
         self.lines.append(f"{self._name}: {text}")
 
     async def cancel(self, address, generation):
-        self.note(f"engine ends {generation}")
+        self.record(f"engine ends {generation}")
 
     async def set_priority(self, address, generation, priority):
-        self.note(f"engine gives {generation} priority {priority}")
+        self.record(f"engine gives {generation} priority {priority}")
 
     async def give_back(self, permit, end, tokens):
-        self.note(f"permit back, {end}, {tokens} tokens")
+        self.record(f"permit back, {end}, {tokens} tokens")
 
     def drop(self, permit):
-        self.note("permit handed over")
+        self.record("permit handed over")
 
 
 class FakeLinks:
@@ -54,15 +54,17 @@
     async def call(self, address, message, answer, timeout_ms):
         if self._holder is None:
             raise LinkTimeout("silent")
-        return await self._holder.take_for_peer(message)
+        return await self._holder.hand_over(message)
 
 
-class Side:
+class EntrySide:
     """One entry with its open streams."""
 
     def __init__(self, name, clock, incarnation):
-        self.journal = Journal(name)
-        self.streams = OpenStreams(self.journal, self.journal, clock, GRACE_MS)
+        self.recorder = CallRecorder(name)
+        self.streams = OpenStreams(
+            self.recorder, self.recorder, clock, GRACE_MS
+        )
         self.member = Member(
             name, Role.ENTRY, "dc-a", "r", incarnation, "127.0.0.1:1", ""
         )
@@ -83,9 +85,12 @@
 
 
 @asynccontextmanager
-async def _two_sides():
+async def _two_entries():
     clock = ManualClock()
-    first, second = Side("entry-1", clock, 1), Side("entry-2", clock, 2)
+    first, second = (
+        EntrySide("entry-1", clock, 1),
+        EntrySide("entry-2", clock, 2),
+    )
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(first.streams.run)
         tasks.start_soon(second.streams.run)
@@ -103,25 +108,37 @@
     """How generations end, for each way a caller can disconnect."""
 
     @asynchronous
-    async def test_each_way_a_caller_can_go_ends_as_in_the_gold(self):
+    async def test_each_kind_of_disconnect_matches_the_gold(self):
         text = ""
         for title, session in (
             ("the answer is whole", self._finish),
             ("the engine is lost", self._lose_engine),
-            ("the caller stays away", self._stay_away),
-            ("the caller goes before the first token", self._go_early),
-            ("the caller comes back to the same entry", self._come_back),
-            ("the caller goes to another entry", self._move),
-            ("it moves before its first entry notices", self._move_early),
-            ("it moves, its first entry does not answer", self._move_alone),
+            ("the caller stays away", self._never_resume),
+            ("the caller goes before the first token", self._disconnect_early),
+            ("the caller comes back to the same entry", self._resume_here),
+            ("the caller goes to another entry", self._resume_elsewhere),
+            (
+                "it moves before its first entry notices",
+                self._resume_elsewhere_early,
+            ),
+            (
+                "it moves, its first entry does not answer",
+                self._resume_without_holder,
+            ),
             ("a broker changes the priority", self._change_priority),
         ):
-            async with _two_sides() as (clock, first, second):
+            async with _two_entries() as (clock, first, second):
                 await session(clock, first, second)
                 await clock.advance(3 * GRACE_MS)
-                lines = first.journal.lines + second.journal.lines
-                waiting = first.streams.waiting + second.streams.waiting
-            text += "\n".join([f"# {title}", *lines, f"kept {waiting}"]) + "\n"
+                lines = first.recorder.lines + second.recorder.lines
+                disconnected_count = (
+                    first.streams.disconnected_count
+                    + second.streams.disconnected_count
+                )
+            text += (
+                "\n".join([f"# {title}", *lines, f"kept {disconnected_count}"])
+                + "\n"
+            )
         self.assert_gold("streams_left", text)
 
     async def _finish(self, clock, first, second):
@@ -130,42 +147,44 @@
     async def _lose_engine(self, clock, first, second):
         await first.streams.close(first.open(), StreamEnd.ENDPOINT_LOST)
 
-    async def _stay_away(self, clock, first, second):
-        await first.streams.leave(first.open())
+    async def _never_resume(self, clock, first, second):
+        await first.streams.keep_for_resume(first.open())
         await clock.advance(GRACE_MS - 100)
-        first.journal.note("still kept")
+        first.recorder.record("still kept")
 
-    async def _go_early(self, clock, first, second):
-        await first.streams.leave(first.open(passed=0))
-        first.journal.note("without a wait")
+    async def _disconnect_early(self, clock, first, second):
+        await first.streams.keep_for_resume(first.open(passed=0))
+        first.recorder.record("without a wait")
 
-    async def _come_back(self, clock, first, second):
+    async def _resume_here(self, clock, first, second):
         old = first.open()
-        await first.streams.leave(old)
+        await first.streams.keep_for_resume(old)
         takeover = first.takeover(second)
-        await takeover.take(GENERATION, _snapshot())
+        await takeover.acquire_permit(GENERATION, _snapshot())
         again = first.open(passed=9)
         await clock.advance(2 * GRACE_MS)
         await first.streams.close(old, StreamEnd.CANCELLED)
-        first.journal.note("the new reading ends")
+        first.recorder.record("the new reading ends")
         await first.streams.close(again, StreamEnd.FINISHED)
 
-    async def _move(self, clock, first, second):
-        await first.streams.leave(first.open())
-        permit = await second.takeover(first).take(GENERATION, _snapshot())
+    async def _resume_elsewhere(self, clock, first, second):
+        await first.streams.keep_for_resume(first.open())
+        permit = await second.takeover(first).acquire_permit(
+            GENERATION, _snapshot()
+        )
         request, grant = permit.request, permit.grant
-        second.journal.note(f"holds {request.request_id} as {request.entry}")
-        second.journal.note(f"reads at {grant.endpoint} {grant.address}")
+        second.recorder.record(f"holds {request.request_id} as {request.entry}")
+        second.recorder.record(f"reads at {grant.endpoint} {grant.address}")
 
-    async def _move_early(self, clock, first, second):
+    async def _resume_elsewhere_early(self, clock, first, second):
         stream = first.open()
-        await second.takeover(first).take(GENERATION, _snapshot())
-        await first.streams.leave(stream)
+        await second.takeover(first).acquire_permit(GENERATION, _snapshot())
+        await first.streams.keep_for_resume(stream)
 
-    async def _move_alone(self, clock, first, second):
+    async def _resume_without_holder(self, clock, first, second):
         takeover = second.takeover(first, answers=False)
-        permit = await takeover.take(GENERATION, _snapshot())
-        second.journal.note(f"permit {permit}")
+        permit = await takeover.acquire_permit(GENERATION, _snapshot())
+        second.recorder.record(f"permit {permit}")
 
     async def _change_priority(self, clock, first, second):
         first.open()
