--- a/rhubarbwinch/shared/__init__.py
+++ b/rhubarbwinch/shared/__init__.py
@@ -1,1 +1,1 @@
-"""What all programs use: time, errors, events, supervision, small types."""
+"""Code that all programs share: time, errors, events, supervision, types."""
--- a/rhubarbwinch/shared/bytebudget.py
+++ b/rhubarbwinch/shared/bytebudget.py
@@ -1,4 +1,4 @@
-"""A bound on bytes over time, with room for bursts."""
+"""A token bucket that limits bytes per second and allows bursts."""
 
 from rhubarbwinch.shared.clock import Clock
 
@@ -8,8 +8,8 @@
 
     Args:
         clock: The source of time.
-        bytes_per_s: What comes back each second.
-        burst: The most that can be saved up.
+        bytes_per_s: The refill rate.
+        burst: The capacity of the bucket, in bytes.
     """
 
     def __init__(self, clock: Clock, bytes_per_s: int, burst: int) -> None:
@@ -30,5 +30,5 @@
         return self._left
 
     def spend(self, count: int) -> None:
-        """Takes bytes out."""
+        """Removes bytes from the bucket; it never holds less than 0."""
         self._left = max(0, self.left - count)
--- a/rhubarbwinch/shared/clock.py
+++ b/rhubarbwinch/shared/clock.py
@@ -1,4 +1,4 @@
-"""Time in whole milliseconds, from the system or set by hand."""
+"""Clocks in whole milliseconds: the system's, and a manual one for tests."""
 
 import heapq
 import itertools
@@ -14,8 +14,8 @@
 class Clock(Protocol):
     """A source of time in milliseconds.
 
-    `now` never goes back and is compared only with itself. `wall` is the Unix
-    time and is compared with times of other machines.
+    `now` is monotonic; its values are comparable only with each other. `wall`
+    is the Unix time and is comparable with times of other machines.
     """
 
     def now(self) -> int:
@@ -32,7 +32,7 @@
 
 
 class SystemClock:
-    """The machine's clock."""
+    """The system's monotonic clock and wall clock."""
 
     def now(self) -> int:
         """Returns monotonic milliseconds."""
@@ -48,11 +48,11 @@
 
 
 class ManualClock:
-    """A clock that moves only when told to.
+    """A clock that moves only by calls of `set` and `advance`.
 
     Args:
         start_ms: The first value of `now`.
-        wall_offset_ms: What `wall` is ahead of `now`.
+        wall_offset_ms: How far `wall` is ahead of `now`.
     """
 
     def __init__(
@@ -64,15 +64,15 @@
         self._sleepers: list[tuple[int, int, anyio.Event]] = []
 
     def now(self) -> int:
-        """Returns the time that was set."""
+        """Returns the current time of this clock."""
         return self._now
 
     def wall(self) -> int:
-        """Returns the time that was set, as Unix time."""
+        """Returns the current time of this clock as Unix time."""
         return self._now + self._wall_offset
 
     async def sleep(self, ms: int) -> None:
-        """Waits until `advance` has moved the clock `ms` milliseconds on."""
+        """Waits until `advance` has moved the clock by `ms` milliseconds."""
         if ms <= 0:
             await anyio.lowlevel.checkpoint()
             return
@@ -82,11 +82,11 @@
         await event.wait()
 
     def set(self, now_ms: int) -> None:
-        """Moves the clock without waking sleepers; for code without tasks."""
+        """Sets the clock without waking sleepers; for code without tasks."""
         self._now = now_ms
 
     async def advance(self, ms: int) -> None:
-        """Moves the clock on, waking each sleeper at its own time."""
+        """Advances the clock and wakes each sleeper at its due time."""
         end = self._now + ms
         await _settle()
         while self._sleepers and self._sleepers[0][0] <= end:
@@ -99,9 +99,9 @@
 
 
 async def _settle() -> None:
-    """Lets all tasks run until each of them waits for something."""
-    # The wait for blocked tasks sleeps for real when it finds one that is not;
-    # after some turns of the event loop there is none as a rule.
+    """Runs all tasks until each of them is blocked."""
+    # wait_all_tasks_blocked sleeps in real time if it finds a task that is not
+    # blocked. After some turns of the event loop all tasks usually are.
     for _ in range(_SETTLE_TURNS):
         await anyio.lowlevel.checkpoint()
     await anyio.wait_all_tasks_blocked()
--- a/rhubarbwinch/shared/codec.py
+++ b/rhubarbwinch/shared/codec.py
@@ -1,4 +1,4 @@
-"""Typed messages to bytes and back: attrs classes as msgpack maps."""
+"""Encodes attrs classes as msgpack maps and decodes them."""
 
 from typing import Any, TypeVar
 
@@ -14,17 +14,17 @@
 
 
 def encode(message: Any) -> bytes:
-    """Returns the bytes of an attrs object."""
+    """Encodes an attrs object."""
     return msgpack.packb(_converter.unstructure(message))
 
 
 def decode(data: bytes, kind: type[T]) -> T:
-    """Returns the `kind` object that `data` holds.
+    """Decodes an object of the class `kind`.
 
-    Fields that are not known are ignored, so that a newer sender can add some.
+    Unknown fields are ignored, so that a newer sender can add fields.
 
     Raises:
-        CodecError: The bytes do not hold such an object.
+        CodecError: The bytes do not encode an object of this class.
     """
     try:
         return _converter.structure(msgpack.unpackb(data), kind)
--- a/rhubarbwinch/shared/eventloop.py
+++ b/rhubarbwinch/shared/eventloop.py
@@ -1,4 +1,4 @@
-"""Refuses an event loop that uses io_uring, which our VMs do not allow."""
+"""Rejects an event loop that uses io_uring, which the VMs do not allow."""
 
 import os
 import pathlib
@@ -10,16 +10,16 @@
 
 
 def check_no_io_uring(descriptors: pathlib.Path = DESCRIPTORS) -> None:
-    """Checks the open descriptors; call it while the event loop runs.
+    """Checks the process's descriptors; call it while the event loop runs.
 
     Raises:
-        EventLoopError: One of them is an io_uring.
+        EventLoopError: An open descriptor is an io_uring.
     """
     for path in descriptors.iterdir():
         try:
             target = os.readlink(path)
         except FileNotFoundError:
-            # The descriptor of the listing itself is closed by now.
+            # The descriptor of the directory listing itself is closed by now.
             continue
         if target == _IO_URING:
             raise EventLoopError("the event loop uses io_uring")
--- a/rhubarbwinch/shared/events.py
+++ b/rhubarbwinch/shared/events.py
@@ -1,4 +1,4 @@
-"""Numbered log events; docs/events.md is their catalogue."""
+"""Defines the numbered log events, from which docs/events.md is generated."""
 
 import datetime
 import enum
@@ -13,7 +13,7 @@
 
 
 class LogFormat(enum.StrEnum):
-    """How log lines are written."""
+    """The formats of log lines."""
 
     TEXT = "text"
     JSON = "json"
@@ -28,7 +28,7 @@
 
 
 class _Output:
-    """What all events share: the format and the process's name."""
+    """The logging configuration that all events share."""
 
     def __init__(self) -> None:
         self.format = LogFormat.TEXT
@@ -46,40 +46,40 @@
     process: str,
     lines: LineOutput | None = None,
 ) -> None:
-    """Sets the format, the lowest level written and the process's name.
+    """Configures the logging of events.
 
     Args:
-        log_format: How lines are written.
+        log_format: The format of the lines.
         level: The lowest level that is written.
-        process: The process's name.
-        lines: Where JSON lines go; standard error without it.
+        process: The process's name, for JSON lines.
+        lines: The output for JSON lines; None for standard error.
     """
     _output.format = log_format
     _output.process = process
     _output.lines = lines
-    # Our settings take the place of absl's own flags.
+    # The package's settings replace absl's flags, which are never parsed.
     flags.FLAGS.mark_as_parsed()
     logging.set_verbosity(level)
     logging.set_stderrthreshold(level)
     logging.use_absl_handler()
-    # Our own events tell of each call that matters.
+    # httpx logs each request; the package's events cover the relevant ones.
     stdlib_logging.getLogger("httpx").setLevel(stdlib_logging.WARNING)
 
 
 def _plain(value: Any) -> str:
-    """Returns a value on one line, whatever a caller has put into it."""
+    """Returns a value on one line; a caller may control its text."""
     text = str(value)
     return text if text.isprintable() else repr(text)
 
 
 class Event:
-    """A kind of log line.
+    """A type of log event.
 
     Args:
-        number: The number; never given to another event.
+        number: The event's number; a number is never reused.
         name: The name in logs, in lower case with dashes.
-        level: An absl level: `logging.INFO`, `WARNING` or `ERROR`.
-        meaning: One sentence for operators.
+        level: An absl level, such as `logging.INFO`.
+        meaning: What happened, in one sentence for operators.
     """
 
     def __init__(
@@ -94,7 +94,7 @@
         _all[number] = self
 
     def log(self, **fields: Any) -> None:
-        """Writes the event with its fields."""
+        """Logs the event with the given fields."""
         if not logging.vlog_is_on(self.level):
             return
         if _output.format is LogFormat.JSON:
@@ -118,41 +118,68 @@
 
 
 def catalogue() -> list[Event]:
-    """Returns every event, in the order of the numbers."""
+    """Returns every event, ordered by number."""
     return [_all[number] for number in sorted(_all)]
 
 
-STARTED = Event(1, "started", logging.INFO, "The program is ready.")
-STOPPED = Event(2, "stopped", logging.INFO, "The program ended as asked.")
-DRAINING = Event(3, "draining", logging.INFO, "The program takes no new work.")
+STARTED = Event(1, "started", logging.INFO, "The program started.")
+STOPPED = Event(2, "stopped", logging.INFO, "The program shut down on request.")
+DRAINING = Event(
+    3, "draining", logging.INFO, "The program drains and accepts no new work."
+)
 DRAIN_LIMIT = Event(
-    4, "drain-limit", logging.WARNING, "Streams were open at the drain limit."
+    4,
+    "drain-limit",
+    logging.WARNING,
+    "Requests were still open at the drain limit.",
 )
 CHILD_FAILED = Event(
-    10, "child-failed", logging.WARNING, "A task failed and is restarted."
+    10,
+    "child-failed",
+    logging.WARNING,
+    "A supervised task failed and is restarted.",
 )
 RESTART_LIMIT = Event(
-    11, "restart-limit", logging.ERROR, "A task failed too often."
+    11,
+    "restart-limit",
+    logging.ERROR,
+    "A supervised task failed more often than its limit allows.",
+)
+STORE_DOWN = Event(
+    20, "store-down", logging.WARNING, "Calls to the store fail."
+)
+STORE_UP = Event(
+    21, "store-up", logging.INFO, "Calls to the store succeed again."
 )
-STORE_DOWN = Event(20, "store-down", logging.WARNING, "The store fails calls.")
-STORE_UP = Event(21, "store-up", logging.INFO, "The store answers again.")
 CONFIG_IN_FORCE = Event(
-    30, "config-in-force", logging.INFO, "A new generation is in force."
+    30,
+    "config-in-force",
+    logging.INFO,
+    "A new configuration generation is active.",
 )
 CONFIG_OLDER = Event(
-    31, "config-older", logging.WARNING, "An older generation was ignored."
+    31,
+    "config-older",
+    logging.WARNING,
+    "An older configuration generation was ignored.",
 )
 RECORD_REJECTED = Event(
-    32, "record-rejected", logging.WARNING, "A record failed its checks."
+    32, "record-rejected", logging.WARNING, "A record failed validation."
 )
 PEER_REFUSED = Event(
-    40, "peer-refused", logging.WARNING, "A peer's message was refused."
+    40, "peer-refused", logging.WARNING, "A message from a peer was refused."
 )
 MEMBER_CHANGED = Event(
-    41, "member-changed", logging.INFO, "A member appeared, left or was lost."
+    41,
+    "member-changed",
+    logging.INFO,
+    "A member was discovered, or its health changed.",
 )
 REQUEST_FAILED = Event(
-    50, "request-failed", logging.INFO, "A request ended with a verdict."
+    50,
+    "request-failed",
+    logging.INFO,
+    "A request failed; the verdict says whether it may have run.",
 )
 STREAM_RESUMED = Event(
     51, "stream-resumed", logging.INFO, "A stream was resumed at its engine."
@@ -164,64 +191,112 @@
     53,
     "endpoint-unreached",
     logging.INFO,
-    "An endpoint was not told that a generation ended or changed its priority.",
+    (
+        "An endpoint could not be reached to cancel a generation or to change "
+        "its priority."
+    ),
 )
 MEMBER_SUSPECTED = Event(
-    200, "member-suspected", logging.INFO, "A member does not answer its peers."
+    200,
+    "member-suspected",
+    logging.INFO,
+    "A member does not reply to its peers and is suspected to have failed.",
 )
 PUBLISHED = Event(
-    201, "published", logging.INFO, "A new generation was accepted."
+    201,
+    "published",
+    logging.INFO,
+    "A new configuration generation was published.",
 )
 STORE_BEHIND = Event(
     202,
     "store-behind",
     logging.ERROR,
-    "The store's head is older than the one in force; nothing is published.",
+    (
+        "The configuration in the store is older than the active one; nothing "
+        "is published."
+    ),
 )
 CHUNKS_COLLECTED = Event(
-    203, "chunks-collected", logging.INFO, "Unused chunks were deleted."
+    203,
+    "chunks-collected",
+    logging.INFO,
+    "Unused configuration chunks were deleted from the store.",
 )
 VM_LEAVING = Event(
-    204, "vm-leaving", logging.INFO, "A VM leaves or no longer leaves."
+    204, "vm-leaving", logging.INFO, "A VM is leaving, or is no longer leaving."
 )
 VM_LIST_SILENT = Event(
-    205, "vm-list-silent", logging.WARNING, "The list of VMs can't be read."
+    205,
+    "vm-list-silent",
+    logging.WARNING,
+    "The platform's list of VMs can't be read.",
 )
 PEER_SILENT = Event(
-    206, "peer-silent", logging.INFO, "A peer gave no answer that can be read."
+    206,
+    "peer-silent",
+    logging.INFO,
+    "A peer sent no reply, or a reply that can't be read.",
 )
 CLAIM_PAGE_BAD = Event(
-    100, "claim-page-bad", logging.ERROR, "A page of claims can't be read."
+    100, "claim-page-bad", logging.ERROR, "A page of claims can't be decoded."
 )
 CLAIM_TAKEN_OVER = Event(
-    101, "claim-taken-over", logging.INFO, "An unsent claim changed owners."
+    101,
+    "claim-taken-over",
+    logging.INFO,
+    "An unsent claim was taken over by another owner.",
 )
 CLAIM_UNRECORDED = Event(
     102,
     "claim-unrecorded",
     logging.WARNING,
-    "An outcome is not in the store yet; the write is retried.",
+    "The outcome of a claim is not in the store yet; the write is retried.",
 )
 CLAIM_HELD_TOO_LONG = Event(
-    103, "claim-held-too-long", logging.WARNING, "A late send was given up."
+    103,
+    "claim-held-too-long",
+    logging.WARNING,
+    (
+        "A claim was held too long before its request was sent; the request was"
+        " not sent."
+    ),
 )
 CLAIMS_CLEANED = Event(
-    104, "claims-cleaned", logging.INFO, "Pages past their keeping are gone."
+    104,
+    "claims-cleaned",
+    logging.INFO,
+    "Claim pages past their retention were deleted.",
 )
 METER_UNRECORDED = Event(
-    110, "meter-unrecorded", logging.WARNING, "Counters are not in the store."
+    110,
+    "meter-unrecorded",
+    logging.WARNING,
+    "Token counters could not be written to the store.",
 )
 ENDPOINT_STRIKE = Event(
-    120, "endpoint-strike", logging.WARNING, "An endpoint died under a request."
+    120,
+    "endpoint-strike",
+    logging.WARNING,
+    "An endpoint died while it ran a request.",
 )
 QUARANTINED = Event(
-    121, "quarantined", logging.ERROR, "A request is refused at all members."
+    121,
+    "quarantined",
+    logging.ERROR,
+    "A request was quarantined; all members refuse it.",
 )
 SUSPECT_CLEARED = Event(
-    122, "suspect-cleared", logging.INFO, "A suspected request has finished."
+    122,
+    "suspect-cleared",
+    logging.INFO,
+    "A suspected request finished and is no longer suspected.",
 )
 SPAN = Event(
-    500, "span", logging.INFO, "A span of a trace ended; see --traces log."
+    500,
+    "span",
+    logging.INFO,
+    "A span of a trace ended; written with --traces log.",
 )
 NO_STREAM_SECRET = Event(
     501,
@@ -230,231 +305,310 @@
     "Generation ids can be forged: --stream-secret is empty.",
 )
 FATAL = Event(
-    502, "fatal", logging.ERROR, "The program ended by a fault of its own."
+    502,
+    "fatal",
+    logging.ERROR,
+    "The program ended because of an internal error.",
 )
 ORDERS_TAKEN = Event(
-    600, "orders-taken", logging.INFO, "This control sends a pool's orders."
+    600,
+    "orders-taken",
+    logging.INFO,
+    "This control acquired the lease for a pool's orders.",
 )
 ORDERS_LOST = Event(
-    601, "orders-lost", logging.WARNING, "The lease for orders lapsed."
+    601,
+    "orders-lost",
+    logging.WARNING,
+    "This control lost the lease for a pool's orders.",
 )
 ORDER_SENT = Event(
-    602, "order-sent", logging.INFO, "An endpoint took an order."
+    602, "order-sent", logging.INFO, "An endpoint accepted an order."
 )
 ORDER_FAILED = Event(
-    603, "order-failed", logging.WARNING, "An endpoint failed an order."
+    603, "order-failed", logging.WARNING, "An order to an endpoint failed."
 )
 STREAM_ABANDONED = Event(
     400,
     "stream-abandoned",
     logging.INFO,
-    "A generation was ended because its caller did not come back.",
+    "A generation was ended because its caller did not reconnect.",
 )
 STREAM_TAKEN = Event(
-    401, "stream-taken", logging.INFO, "A caller resumed a stream here."
+    401,
+    "stream-taken",
+    logging.INFO,
+    "A caller resumed a stream at this entry.",
 )
 REQUEST_RETRIED = Event(
     402,
     "request-retried",
     logging.INFO,
-    "A request of which no token went out is tried at another engine.",
+    (
+        "A request is retried at another engine; no token had been sent to the "
+        "caller."
+    ),
 )
 RETRY_BUDGET_SPENT = Event(
     403,
     "retry-budget-spent",
     logging.WARNING,
-    "A request was not tried again: its account's budget is spent.",
+    "A request was not retried: its account's retry budget is exhausted.",
 )
 ANSWER_DROPPED = Event(
     410,
     "answer-dropped",
     logging.INFO,
-    "An answer to an unknown or given-up call was dropped.",
+    "A reply to an unknown or abandoned call was dropped.",
 )
 HANDLER_FAILED = Event(
-    411, "handler-failed", logging.ERROR, "Handling a peer's message failed."
+    411,
+    "handler-failed",
+    logging.ERROR,
+    "The handler of a peer's message failed.",
 )
 LINK_OVERLOADED = Event(
     412,
     "link-overloaded",
     logging.WARNING,
-    "A peer's message was dropped: too many are being handled.",
+    "A peer's message was dropped: too many messages are being handled.",
+)
+STORE_READ = Event(
+    700, "store-read", logging.INFO, "A full snapshot was read from the store."
 )
-STORE_READ = Event(700, "store-read", logging.INFO, "The whole store was read.")
 WATCH_COMPACTED = Event(
     701,
     "watch-compacted",
     logging.INFO,
-    "The store has dropped changes; it is read as a whole.",
+    (
+        "The store has discarded changes that the watch needs; a full snapshot "
+        "is read."
+    ),
 )
 FEED_GAP = Event(
     702,
     "feed-gap",
     logging.WARNING,
-    "A peer told of changes, but some before them are missing.",
+    "A peer sent store changes, but earlier changes are missing.",
 )
 SNAPSHOT_MISSED = Event(
-    703, "snapshot-missed", logging.INFO, "A peer gave no snapshot."
+    703,
+    "snapshot-missed",
+    logging.INFO,
+    "A peer sent no snapshot of the store.",
 )
 REGISTRATION_FAILED = Event(
     704,
     "registration-failed",
     logging.WARNING,
-    "The registration in the store was not renewed or ended.",
+    "The registration in the store could not be renewed or removed.",
 )
 GATEWAY_CHANGED = Event(
-    705, "gateway-changed", logging.INFO, "A peer serves, or no longer does."
+    705,
+    "gateway-changed",
+    logging.INFO,
+    "A peer gateway was discovered, or began or stopped serving.",
 )
 GATEWAY_LOST = Event(
-    706, "gateway-lost", logging.WARNING, "A peer can't be reached."
+    706, "gateway-lost", logging.WARNING, "A peer gateway can't be reached."
 )
 DATAGRAM_FAILED = Event(
     707,
     "datagram-failed",
     logging.DEBUG,
-    "A datagram to a peer was refused; it is sent again with the next one.",
+    (
+        "A datagram to a peer was refused; its content is sent again with the "
+        "next datagram."
+    ),
 )
 VALUE_MISSED = Event(
     708,
     "value-missed",
     logging.INFO,
-    "A peer did not hand over a value; the store is asked.",
+    "A peer did not send a value; the value is read from the store.",
 )
 TABLE_IN_FORCE = Event(
-    710, "table-in-force", logging.INFO, "A version of routes is in force."
+    710, "table-in-force", logging.INFO, "A version of the routes is active."
 )
 TABLE_UNREADABLE = Event(
     711,
     "table-unreadable",
     logging.ERROR,
-    "A version of routes can't be read; the one before stays.",
+    (
+        "A version of the routes can't be decoded; the previous version stays "
+        "active."
+    ),
 )
 TABLE_OLDER = Event(
-    712, "table-older", logging.WARNING, "An older version was ignored."
+    712,
+    "table-older",
+    logging.WARNING,
+    "An older version of the routes was ignored.",
 )
 ENDPOINT_CHANGED = Event(
     713,
     "endpoint-changed",
     logging.INFO,
-    "An endpoint appeared, began to leave or is gone.",
+    "An endpoint was registered, began to drain or was removed.",
 )
 ENDPOINT_UNREADABLE = Event(
     714,
     "endpoint-unreadable",
     logging.WARNING,
-    "An endpoint's registration can't be read and names none.",
+    "An endpoint's registration can't be decoded and is ignored.",
 )
 ENDPOINT_AVOIDED = Event(
     715,
     "endpoint-avoided",
     logging.WARNING,
-    "An endpoint fails too many calls and is avoided for a while.",
+    "An endpoint fails too many calls and is temporarily avoided.",
 )
-RELOADED = Event(716, "reloaded", logging.INFO, "The settings were read anew.")
+RELOADED = Event(716, "reloaded", logging.INFO, "The settings were reloaded.")
 SETTINGS_UNREADABLE = Event(
     717,
     "settings-unreadable",
     logging.ERROR,
-    "The settings can't be read; those before stay.",
+    "The settings can't be read; the previous settings stay active.",
 )
 READY_CHANGED = Event(
-    718, "ready-changed", logging.INFO, "The gateway is ready, or no longer."
+    718,
+    "ready-changed",
+    logging.INFO,
+    "The gateway became ready, or is no longer ready.",
 )
 OUTAGE_CHANGED = Event(
     719,
     "outage-changed",
     logging.WARNING,
-    "No gateway has a fresh answer of the store, or one has again.",
+    (
+        "A store outage began or ended: no gateway has a fresh reply of the "
+        "store, or one has again."
+    ),
 )
 REPORT_MISSED = Event(
-    720, "report-missed", logging.INFO, "An engine gave no report of itself."
+    720,
+    "report-missed",
+    logging.INFO,
+    "An engine did not reply to a request for its status report.",
 )
 REQUEST_UNREADABLE = Event(
-    730, "request-unreadable", logging.WARNING, "Bytes are not a request."
+    730,
+    "request-unreadable",
+    logging.WARNING,
+    "Bytes from a caller are not a valid HTTP request.",
 )
 CONNECTION_FAILED = Event(
     731,
     "connection-failed",
     logging.ERROR,
-    "A caller's connection ended by a fault of our own.",
+    "A caller's connection ended because of an internal error.",
 )
 NOT_ALLOWED = Event(
     732,
     "not-allowed",
     logging.INFO,
-    "No route or no key of a request is known.",
+    "A request matches no route, or its API key is unknown.",
 )
 PLACED = Event(
-    733, "placed", logging.INFO, "A generation was placed, by what runs where."
+    733,
+    "placed",
+    logging.INFO,
+    (
+        "An engine was selected for a generation; the fields show the load that"
+        " decided."
+    ),
 )
 NO_ROOM = Event(
-    734, "no-room", logging.INFO, "A generation was refused for lack of room."
+    734,
+    "no-room",
+    logging.INFO,
+    "A generation was refused for lack of capacity.",
+)
+SENT = Event(
+    735, "sent", logging.INFO, "An attempt of a request at an endpoint ended."
 )
-SENT = Event(735, "sent", logging.INFO, "A send to an endpoint has an outcome.")
 RETRY_REFUSED = Event(
     736,
     "retry-refused",
     logging.INFO,
-    "A request was not sent again: the budget of the service is spent.",
+    "A request was not retried: the retry budget of its service is exhausted.",
 )
-ANSWERED = Event(737, "answered", logging.INFO, "A request has its answer.")
+ANSWERED = Event(737, "answered", logging.INFO, "A request was answered.")
 NOT_SERVED = Event(
-    738, "not-served", logging.INFO, "A request ends by a failure of our own."
+    738,
+    "not-served",
+    logging.INFO,
+    "A request failed, and the gateway itself sent the failure.",
 )
 CALLER_LEFT = Event(
-    739, "caller-left", logging.INFO, "A caller left before its answer."
+    739,
+    "caller-left",
+    logging.INFO,
+    "A caller disconnected before its response was complete.",
 )
 STREAM_CUT = Event(
-    740, "stream-cut", logging.INFO, "An engine's stream ended too early."
+    740, "stream-cut", logging.INFO, "An engine's stream ended early."
 )
 STREAM_BROKEN = Event(
     741,
     "stream-broken",
     logging.WARNING,
-    "A caller's stream was broken off and is not complete.",
+    "A caller's stream was aborted and is incomplete.",
 )
 LATE_GAP = Event(
-    742, "late-gap", logging.INFO, "A pause between events was too long."
+    742,
+    "late-gap",
+    logging.INFO,
+    "The pause between two events of a stream was too long.",
 )
 MOVED = Event(
-    743, "moved", logging.INFO, "A run's memory was copied, or could not be."
+    743,
+    "moved",
+    logging.INFO,
+    "The KV cache of a run was migrated, or the migration failed.",
 )
 CARRIED_ON = Event(
-    744, "carried-on", logging.INFO, "A run goes on at another engine, or not."
+    744,
+    "carried-on",
+    logging.INFO,
+    "A run was resumed at another engine, or the resume failed.",
 )
 MOVE_CALL_FAILED = Event(
     745,
     "move-call-failed",
     logging.WARNING,
-    "An engine did not answer a call about a copy.",
+    "An engine did not reply to a call about a migrated copy.",
 )
 COPY_DROPPED = Event(
     747,
     "copy-dropped",
     logging.INFO,
-    "A copy of a run that nobody needs was freed, or could not be.",
+    "An unused migrated copy was freed, or could not be freed.",
 )
 FREE_CALL_FAILED = Event(
     748,
     "free-call-failed",
     logging.WARNING,
-    "An engine did not free a copy.",
+    "An engine did not free a migrated copy.",
 )
 ENDPOINT_REPORTED = Event(
     749,
     "endpoint-reported",
     logging.WARNING,
-    "An endpoint is avoided: several gateways have found it failing.",
+    "An endpoint is avoided because several gateways report it as failing.",
 )
 CRASHED_UNDER = Event(
     746,
     "crashed-under",
     logging.WARNING,
-    "An endpoint is gone after it broke off the answer to a request.",
+    "An endpoint is gone after it aborted the response to a request.",
 )
 LOG_LINES_LEFT_OUT = Event(
     750,
     "log-lines-left-out",
     logging.WARNING,
-    "Lines over the budget, or that could not be written, were left out.",
+    (
+        "Log lines over the rate limit, or that could not be written, were "
+        "dropped."
+    ),
 )
--- a/rhubarbwinch/shared/exceptions.py
+++ b/rhubarbwinch/shared/exceptions.py
@@ -1,4 +1,4 @@
-"""All exceptions of the package."""
+"""Defines all exceptions of the package."""
 
 
 class RhubarbwinchError(Exception):
@@ -10,8 +10,8 @@
 
     Args:
         name: The flag's name without dashes, such as `listen`.
-        value: The value as it was given.
-        allowed: What is allowed, in words.
+        value: The rejected value.
+        allowed: A description of the allowed values.
     """
 
     def __init__(self, name: str, value: object, allowed: str) -> None:
@@ -22,13 +22,13 @@
 
 
 class RecordError(RhubarbwinchError):
-    """A record failed its checks.
+    """A record failed validation.
 
     Args:
         record: The record's key, `kind/name`.
         field: The field's dotted path.
-        value: The value that was found.
-        allowed: What is allowed, in words.
+        value: The rejected value.
+        allowed: A description of the allowed values.
     """
 
     def __init__(
@@ -44,15 +44,15 @@
 
 
 class StoreError(RhubarbwinchError):
-    """The key-value store did not do what was asked."""
+    """An operation of the key-value store failed."""
 
 
 class StoreUnavailable(StoreError):  # noqa: N818
-    """The store was not reached: nothing was written."""
+    """The store could not be reached; nothing was written."""
 
 
 class StoreUncertain(StoreError):  # noqa: N818
-    """The answer was lost: a write may have taken effect."""
+    """The store's reply was lost; a write may have taken effect."""
 
 
 class CodecError(RhubarbwinchError):
@@ -60,11 +60,11 @@
 
 
 class LinkError(RhubarbwinchError):
-    """A message was not sent, or its peer did not answer."""
+    """A message could not be sent, or the peer did not reply."""
 
 
 class LinkTimeout(LinkError):  # noqa: N818
-    """A peer did not answer in time; it may have acted on the request."""
+    """A peer did not reply in time; it may have acted on the message."""
 
 
 class VmListError(RhubarbwinchError):
@@ -72,7 +72,7 @@
 
 
 class PeerFailed(LinkTimeout):
-    """A peer failed while it handled a call; it may have acted on it."""
+    """A peer's handler failed; the peer may have acted on the message."""
 
 
 class EndpointError(RhubarbwinchError):
@@ -88,7 +88,7 @@
         self.sent = sent
 
     def follow(self, earlier: "EndpointError | None") -> None:
-        """Notes the failure of the try before: what it sent stays sent."""
+        """Marks this error as sent if an earlier attempt's error was sent."""
         self.sent = self.sent or (earlier is not None and earlier.sent)
 
 
@@ -96,7 +96,7 @@
     """An engine sent an event of another generation.
 
     Args:
-        found: What stood in place of the expected id.
+        found: The id that the event had in place of the expected one.
     """
 
     def __init__(self, found: str) -> None:
@@ -104,7 +104,7 @@
 
 
 class GenerationLostError(EndpointError):
-    """An engine no longer has a generation, or has given it up.
+    """An engine no longer has a generation, or has aborted it.
 
     Args:
         message: What happened.
@@ -129,7 +129,7 @@
 
 
 class EventLoopError(RhubarbwinchError):
-    """The event loop uses what is not allowed."""
+    """The event loop uses a system interface that is not allowed."""
 
 
 class RestartLimitError(RhubarbwinchError):
@@ -137,12 +137,12 @@
 
 
 class BadCallError(RhubarbwinchError):
-    """A caller's request can't be served as it stands."""
+    """A caller's request is not valid."""
 
 
 class PlatformFormatError(RhubarbwinchError):
-    """What the platform or another of its writers wrote can't be read."""
+    """A document of the platform, or of another writer, can't be decoded."""
 
 
 class StoreCompacted(StoreUnavailable):
-    """The store no longer has the changes that a watch asked for."""
+    """The store has compacted the changes that a watch asked for."""
--- a/rhubarbwinch/shared/exitstatus.py
+++ b/rhubarbwinch/shared/exitstatus.py
@@ -1,10 +1,10 @@
-"""Exit statuses of the programs."""
+"""Defines the exit statuses of the programs."""
 
 import enum
 
 
 class ExitStatus(enum.IntEnum):
-    """How a program ended."""
+    """The reasons for which a program exits."""
 
     OK = 0
     FAILED = 1
--- a/rhubarbwinch/shared/identity.py
+++ b/rhubarbwinch/shared/identity.py
@@ -1,8 +1,9 @@
-"""Generation ids: who made a stream, whose it is and where it runs.
+"""Makes and parses request ids, generation ids and event ids.
 
-An id is `<incarnation>-<counter>-<tag>~<endpoint>`. Any entry can find the
-endpoint of a stream by the id alone, and the tag lets only the account that
-started the stream resume it.
+A request id is `<incarnation>-<counter>-<tag>`, and a generation id is
+`<request id>~<endpoint>`. Any entry finds the endpoint of a stream by the
+generation id alone. The tag authenticates the account, so that only the account
+that started a stream can resume it.
 """
 
 import hashlib
@@ -16,7 +17,7 @@
 
 
 def new_incarnation() -> int:
-    """Returns a random number of 63 bits for a process that starts."""
+    """Returns a random 63-bit number that identifies a process's start."""
     return secrets.randbits(63)
 
 
@@ -26,7 +27,7 @@
 
     Attributes:
         generation: The generation id.
-        index: The event's place in the stream, from 0.
+        index: The event's position in the stream, from 0.
     """
 
     generation: str
@@ -34,11 +35,11 @@
 
 
 class IdMaker:
-    """Makes ids that no other process makes.
+    """Makes request ids that are unique across processes.
 
     Args:
-        incarnation: This process's number.
-        secret: Signs the ids.
+        incarnation: This process's incarnation.
+        secret: The key of the tags in the ids.
     """
 
     def __init__(self, incarnation: int, secret: str) -> None:
@@ -52,7 +53,7 @@
         return f"{base}-{self._tag(base, account)}"
 
     def is_of(self, generation: str, account: str) -> bool:
-        """Tells whether a generation was started by `account`."""
+        """Returns whether `account` started a generation."""
         request_id = generation.partition("~")[0]
         base, _, tag = request_id.rpartition("-")
         return hmac.compare_digest(tag, self._tag(base, account))
@@ -82,7 +83,7 @@
 
 
 def parse_event_id(text: str) -> EventId | None:
-    """Returns the parts of `<generation>:<index>`, or None."""
+    """Parses `<generation>:<index>`; returns None for any other text."""
     generation, colon, index = text.rpartition(":")
     if not colon or not index.isdecimal() or "~" not in generation:
         return None
--- a/rhubarbwinch/shared/logoutput.py
+++ b/rhubarbwinch/shared/logoutput.py
@@ -1,23 +1,25 @@
-"""Writes log lines to a descriptor without ever waiting for its reader."""
+"""Writes log lines to a descriptor without blocking."""
 
 import os
 from collections.abc import Callable
 
 from rhubarbwinch.shared.clock import Clock
 
-# Lines of one event in each window; enough for each request of a busy VM, and
-# a bound on what a fault in a loop can write.
+# The limit of lines of one event in each window. It suffices for the requests
+# of a busy VM and bounds the output of an error in a loop.
 LINES_PER_WINDOW = 400
 WINDOW_MS = 1_000
 
 
 class LineOutput:
-    """A bounded output of log lines.
+    """A rate-limited, non-blocking output of log lines.
+
+    A line over the limit, or one that the reader has no space for, is dropped.
 
     Args:
-        descriptor: Where lines go; it is set to not block.
+        descriptor: The output's descriptor; it is set to non-blocking mode.
         clock: The source of time.
-        on_dropped: Told of each line that was left out.
+        on_dropped: Called for each dropped line.
     """
 
     def __init__(
@@ -33,12 +35,17 @@
         self._dropped = 0
 
     def take_dropped(self) -> int:
-        """Returns how many lines were left out since the last call."""
+        """Returns how many lines were dropped since the last call."""
         dropped, self._dropped = self._dropped, 0
         return dropped
 
     def write(self, number: int, line: bytes) -> None:
-        """Writes a line of an event, or leaves it out."""
+        """Writes a line, or drops it.
+
+        Args:
+            number: The number of the line's event, which has its own limit.
+            line: The line with its line break.
+        """
         window = self._clock.now() // WINDOW_MS
         if window != self._window:
             self._window = window
@@ -52,13 +59,13 @@
         self._flush()
 
     def _flush(self) -> bool:
-        """Writes what is left of a line; False if the reader is behind."""
+        """Writes the rest of a line; returns False if some of it remains."""
         if not self._rest:
             return True
         try:
             written = os.write(self._descriptor, self._rest)
         except BlockingIOError:
-            # The rest goes out with a later line.
+            # The rest is written before the next line.
             return False
         self._rest = self._rest[written:]
         return not self._rest
--- a/rhubarbwinch/shared/metrics.py
+++ b/rhubarbwinch/shared/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by statsd; docs/metrics.md is their catalogue."""
+"""Defines the statsd metrics, from which docs/metrics.md is generated."""
 
 import attrs
 import statsd
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class Metric:
-    """A metric's name, its statsd type and its meaning."""
+    """The name, statsd type and description of a metric."""
 
     name: str
     kind: str
@@ -27,11 +27,11 @@
 
 
 def catalogue() -> list[Metric]:
-    """Returns every metric, by name."""
+    """Returns every metric, ordered by name."""
     return [_all[name] for name in sorted(_all)]
 
 
-REQUESTS = define("requests", "counter", "Requests that callers made.")
+REQUESTS = define("requests", "counter", "Authenticated caller requests.")
 FAILURES = define("failures", "counter", "Requests that ended in a failure.")
 FIRST_TOKEN = define("first_token", "timer", "Time to the first token, in ms.")
 OPEN_STREAMS = define("open_streams", "gauge", "Streams open at an entry.")
@@ -40,22 +40,24 @@
 REFUSALS = define("refusals", "counter", "Permits that a broker refused.")
 QUEUED = define("queued", "gauge", "Requests that wait for a permit.")
 YIELDS = define(
-    "yields", "counter", "Streams whose priority was lowered to free memory."
+    "yields",
+    "counter",
+    "Streams whose priority was lowered to free KV cache memory.",
 )
 GENERATION = define(
-    "generation", "gauge", "The configuration generation in force."
+    "generation", "gauge", "The active configuration generation."
 )
 LATE_ANSWERS = define(
-    "late_answers", "counter", "Answers whose call had been given up."
+    "late_answers", "counter", "Replies whose call had been abandoned."
 )
 
 
 class Metrics:
-    """Sends metrics to a statsd server, or nowhere without an address.
+    """Sends metrics to a statsd server.
 
     Args:
-        address: `a.b.c.d:port`, or empty.
-        role: The program's role; it stands before each name.
+        address: `a.b.c.d:port`; empty to send no metrics.
+        role: The program's role, a prefix of each metric's name.
     """
 
     def __init__(self, address: str, role: str) -> None:
@@ -75,6 +77,6 @@
             self._client.gauge(name, value)
 
     def timing(self, name: str, ms: float) -> None:
-        """Adds a duration in milliseconds."""
+        """Records a duration in milliseconds."""
         if self._client is not None:
             self._client.timing(name, ms)
--- a/rhubarbwinch/shared/misc.py
+++ b/rhubarbwinch/shared/misc.py
@@ -1,4 +1,4 @@
-"""Small helpers that belong to no other module."""
+"""Parses network addresses of the form `a.b.c.d:port`."""
 
 import re
 
@@ -10,7 +10,7 @@
     """Returns the host and port of an `a.b.c.d:port` address.
 
     Raises:
-        ValueError: The address has another form.
+        ValueError: The text is not an IP number and a port.
     """
     match = _ADDRESS.match(address)
     if not match or int(match[2]) > _MAX_PORT:
--- a/rhubarbwinch/shared/registry.py
+++ b/rhubarbwinch/shared/registry.py
@@ -1,4 +1,4 @@
-"""Registries of named implementations, filled by decorators."""
+"""Registry of named implementations that decorators add."""
 
 from collections.abc import Callable, Iterator
 from typing import Generic, TypeVar
@@ -10,7 +10,8 @@
     """Maps names to implementations of one interface.
 
     Args:
-        what: What is registered, for error messages: `placement policy`.
+        what: What the registry holds, for error messages, such as
+            `placement policy`.
     """
 
     def __init__(self, what: str) -> None:
@@ -21,7 +22,7 @@
         """Returns a decorator that registers its argument under `name`.
 
         Raises:
-            ValueError: The name is taken.
+            ValueError: The name is already registered.
         """
 
         def add(item: T) -> T:
@@ -33,10 +34,11 @@
         return add
 
     def get(self, name: str) -> T:
-        """Returns the implementation called `name`.
+        """Returns the implementation registered under `name`.
 
         Raises:
-            KeyError: No such name; the message lists the known ones.
+            KeyError: The name is not registered; the message lists the known
+                names.
         """
         if name not in self._items:
             known = ", ".join(sorted(self._items))
--- a/rhubarbwinch/shared/rendezvous.py
+++ b/rhubarbwinch/shared/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: every member computes the same owner from the names."""
+"""Rendezvous hashing, by which all members compute the same owner of a key."""
 
 from collections.abc import Iterable
 
@@ -11,14 +11,14 @@
 
 
 def ranking(key: str, members: Iterable[str]) -> list[str]:
-    """Returns the members, best first for `key`."""
+    """Returns the members by descending score for `key`."""
     return sorted(
         members, key=lambda member: (score(key, member), member), reverse=True
     )
 
 
 def owner(key: str, members: Iterable[str]) -> str | None:
-    """Returns the member that owns `key`, or None without members."""
+    """Returns the member that owns `key`; None if there are no members."""
     return max(
         members,
         key=lambda member: (score(key, member), member),
--- a/rhubarbwinch/shared/settingtypes.py
+++ b/rhubarbwinch/shared/settingtypes.py
@@ -1,4 +1,4 @@
-"""Types of settings: what is allowed, how it is read, how it is refused."""
+"""Types of settings, which parse and validate the settings' values."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -17,12 +17,12 @@
 
 @attrs.frozen
 class ValueType:
-    """A type of value.
+    """A type of a setting's value.
 
     Attributes:
-        allowed: What is allowed, in words.
-        convert: Reads a text; raises ValueError for one not allowed.
-        secret: Whether a value must never be shown.
+        allowed: A description of the allowed values.
+        convert: Parses a text; raises ValueError if it is not allowed.
+        secret: Whether values must never be shown.
     """
 
     allowed: str
@@ -30,10 +30,10 @@
     secret: bool = False
 
     def __call__(self, value: str) -> Any:
-        """Returns the value of a text.
+        """Parses a text.
 
         Raises:
-            ValueError: It is not allowed; the message says what is.
+            ValueError: The text is not allowed; the message says what is.
         """
         try:
             return self.convert(value)
@@ -47,11 +47,12 @@
     """A setting as `--help` and docs/settings.md show it.
 
     Attributes:
-        name: The flag's name without dashes.
-        help: One sentence.
-        default: The value without flag and variable; None if required.
-        allowed: What is allowed, in words.
-        secret: Whether it is given by the environment only.
+        name: The flag's name without the leading dashes.
+        help: What the setting does, in one sentence.
+        default: The default value; None if the setting is required.
+        allowed: A description of the allowed values.
+        secret: Whether the value must never be shown; give it by the
+            environment.
     """
 
     name: str
@@ -62,12 +63,12 @@
 
     @property
     def variable(self) -> str:
-        """The environment variable."""
+        """The name of the environment variable."""
         return ENV_PREFIX + self.name.upper().replace("-", "_")
 
     @property
     def is_required(self) -> bool:
-        """Whether it has no default."""
+        """Whether the setting has no default."""
         return self.default is None
 
 
@@ -75,26 +76,26 @@
 
 
 def info(name: str) -> SettingInfo | None:
-    """Returns the setting called `name`, or None."""
+    """Returns the setting called `name`, or None if there is none."""
     return _known.get(name)
 
 
 def known() -> list[SettingInfo]:
-    """Returns the settings of all programs, by name."""
+    """Returns the settings of all programs, ordered by name."""
     return [_known[name] for name in sorted(_known)]
 
 
 def arg(
     name: str, default: Any, kind: ValueType, text: str, required: bool = False
 ) -> Any:
-    """Returns the cappa argument of a setting and notes it.
+    """Registers a setting and returns its cappa argument.
 
     Args:
-        name: The flag's name without dashes.
-        default: The value without flag and variable.
+        name: The flag's name without the leading dashes.
+        default: The default value; not used if the setting is required.
         kind: The type of the value.
-        text: One sentence for `--help`.
-        required: Whether there is no default.
+        text: What the setting does, in one sentence for `--help`.
+        required: Whether the setting has no default.
     """
     found = SettingInfo(
         name, text, None if required else default, kind.allowed, kind.secret
@@ -154,7 +155,7 @@
 
 
 def choice(*names: str) -> ValueType:
-    """Returns the type of some names."""
+    """Returns the type of a choice between names."""
 
     def convert(value: str) -> str:
         if value not in names:
@@ -165,7 +166,7 @@
 
 
 def registered(registry: Registry[Any]) -> ValueType:
-    """Returns the type of names in a registry."""
+    """Returns the type of the names in a registry."""
 
     def convert(value: str) -> str:
         if value not in registry:
--- a/rhubarbwinch/shared/supervisor.py
+++ b/rhubarbwinch/shared/supervisor.py
@@ -1,4 +1,4 @@
-"""Supervisor trees: tasks that are started again when they fail."""
+"""Supervisor trees, which restart the tasks that fail."""
 
 from collections.abc import Awaitable, Callable
 
@@ -13,14 +13,14 @@
 
 @attrs.frozen
 class RestartLimit:
-    """How often a child may fail.
+    """The limit and the backoff of a child's restarts.
 
     Attributes:
-        count: Failures allowed within the window.
-        window_ms: The length of the window.
+        count: How many failures are allowed within the window.
+        window_ms: The length of the sliding window.
         backoff_ms: The wait before the first restart; doubled for each
             further failure in the window.
-        max_backoff_ms: The longest wait.
+        max_backoff_ms: The upper limit of the wait.
     """
 
     count: int = 5
@@ -31,12 +31,12 @@
 
 @attrs.frozen
 class Child:
-    """A task under a supervisor.
+    """A supervised task.
 
     Attributes:
         name: The name in logs.
-        run: Starts the task; returns when it is done for good.
-        limit: How often it may fail before the supervisor fails.
+        run: Runs the task; a return ends the task and causes no restart.
+        limit: How often the task may fail before the supervisor fails.
     """
 
     name: str
@@ -45,10 +45,10 @@
 
 
 class Supervisor:
-    """Runs children side by side and restarts each one that fails.
+    """Runs children concurrently and restarts each one that fails.
 
-    A supervisor is itself fit to be a child: its `run` raises when a child
-    passes its limit, and its own parent then decides.
+    A supervisor can be a child of another supervisor: `run` raises when a
+    child exceeds its limit, and the parent then restarts or fails.
 
     Args:
         name: The name in logs.
@@ -109,7 +109,7 @@
                     failed.append(
                         RestartLimitError(f"{self._name}/{child.name}: {error}")
                     )
-                    # The siblings depend on the child that is lost.
+                    # The siblings depend on the child that has failed.
                     tasks.cancel_scope.cancel()
                     return
                 wait = limit.backoff_ms * 2 ** (len(failures) - 1)
--- a/rhubarbwinch/shared/tls.py
+++ b/rhubarbwinch/shared/tls.py
@@ -1,4 +1,4 @@
-"""TLS for callers."""
+"""TLS settings of the HTTP interface for callers."""
 
 import attrs
 from hypercorn.config import Config
@@ -6,12 +6,12 @@
 
 @attrs.frozen
 class TlsFiles:
-    """Where a certificate and its private key are, in PEM."""
+    """The paths of a certificate and its private key, both PEM files."""
 
     certfile: str
     keyfile: str
 
     def use_in(self, config: Config) -> None:
-        """Makes an HTTP interface speak TLS."""
+        """Enables TLS in the configuration of an HTTP server."""
         config.certfile = self.certfile
         config.keyfile = self.keyfile
--- a/rhubarbwinch/shared/tracing.py
+++ b/rhubarbwinch/shared/tracing.py
@@ -1,12 +1,13 @@
-"""Traces: a span for each hop of a request, in one trace.
+"""Distributed tracing: one trace per request, with a span for each hop.
 
-Spans: `entry` for a caller's request, `permit` for the asking of a broker,
-`queue` for the broker's decision, `endpoint` for a call of an endpoint and
-`store` for a call of the key-value store within a request. The context
-travels as W3C `traceparent`: in HTTP headers to and from others, and in a
-field of the messages between the programs.
+The spans are `entry` for a caller's request, `permit` for a request to a
+broker, `queue` for the broker's decision, `endpoint` for a call to an endpoint
+and `store` for a call to the key-value store within a request. The trace
+context is propagated as W3C `traceparent`: in HTTP headers of callers and
+endpoints, and in a field of the messages between the programs.
 
-Without `configure` every span is one shared object that records nothing.
+Until `configure` or `use` is called, every span is one shared object that
+records nothing.
 """
 
 import re
@@ -38,14 +39,14 @@
 _FORM = re.compile(r"[0-9a-f]{2}-[0-9a-f]{32}-[0-9a-f]{16}-[0-9a-f]{2}")
 _NS_PER_MS = 1_000_000
 
-# The context that a caller sent, while this program makes no spans.
+# The trace context that a caller sent; set only while tracing is off.
 _passed_on: ContextVar[str] = ContextVar("passed_on", default="")
 
 _propagator = TraceContextTextMapPropagator()
 
 
 class _State:
-    """The tracer of this process; None while traces are off."""
+    """The tracer and its provider; both are None while tracing is off."""
 
     def __init__(self) -> None:
         self.tracer: trace.Tracer | None = None
@@ -59,7 +60,7 @@
     """Writes each finished span as a log event."""
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
-        """Writes the spans."""
+        """Logs the spans."""
         for span in spans:
             context, parent = span.get_span_context(), span.parent
             if context is None or not span.start_time or not span.end_time:
@@ -77,13 +78,13 @@
 
 
 def configure(target: str, process: str, percent: int = 100) -> None:
-    """Turns traces on.
+    """Turns tracing on.
 
     Args:
-        target: `log` for log events, a URL of an OTLP collector, or empty
-            for none.
+        target: `log` for log events, the URL of an OTLP collector, or empty
+            for no tracing.
         process: The member's name.
-        percent: How many of 100 traces that begin here are recorded.
+        percent: The percentage of the traces that begin here to record.
     """
     if not target:
         return
@@ -91,7 +92,7 @@
     if target == LOG_TARGET:
         processor = SimpleSpanProcessor(LogExporter())
     else:
-        # The exporter is slow to import and needed only here.
+        # The exporter is slow to import, so it is imported only if needed.
         from opentelemetry.exporter.otlp.proto.http.trace_exporter import (  # noqa: PLC0415
             OTLPSpanExporter,
         )
@@ -101,7 +102,7 @@
 
 
 def use(processor: SpanProcessor, process: str, percent: int = 100) -> None:
-    """Turns traces on with a span processor of the caller's."""
+    """Turns tracing on with the given span processor."""
     resource = Resource(
         {"service.name": "rhubarbwinch", "service.instance.id": process}
     )
@@ -113,7 +114,7 @@
 
 
 def close() -> None:
-    """Sends what is left and turns traces off."""
+    """Exports the remaining spans and turns tracing off."""
     if _state.provider is not None:
         _state.provider.shutdown()
     _state.provider = _state.tracer = None
@@ -123,12 +124,13 @@
 def span(
     name: str, traceparent: str | None = None, **attributes: Any
 ) -> Iterator[trace.Span]:
-    """Runs a block in a span; spans begun in it are its children.
+    """Runs a block in a span; spans begun in the block are its children.
 
     Args:
         name: The hop's name.
-        traceparent: The caller's context, or None for the current span.
-        attributes: What is recorded with the span.
+        traceparent: The caller's trace context; None to make the span a child
+            of the current span.
+        attributes: The span's attributes.
     """
     if _state.tracer is None:
         with _passing_on(traceparent):
@@ -145,7 +147,7 @@
 
 @contextmanager
 def _passing_on(traceparent: str | None) -> Iterator[None]:
-    """Keeps a caller's context for the calls that a block makes."""
+    """Keeps a caller's trace context for the calls that a block makes."""
     if not traceparent or not _FORM.fullmatch(traceparent):
         yield
         return
@@ -160,13 +162,13 @@
 def stream_span(
     name: str, headers: dict[str, str], **attributes: Any
 ) -> Iterator[trace.Span]:
-    """Runs a block in a span and adds its context to `headers`.
+    """Runs a block in a span and adds the span's context to `headers`.
 
-    The span does not become the current one, so that the block may yield
-    from an asynchronous generator, which can end in another task.
+    The span does not become the current span, so that the block may yield from
+    an asynchronous generator, which may be closed in another task.
     """
     if _state.tracer is None or not _has_context():
-        # A program without traces still passes its caller's context on.
+        # A program without tracing still propagates its caller's context.
         if _passed_on.get():
             headers[HEADER] = _passed_on.get()
         yield trace.INVALID_SPAN
@@ -180,7 +182,7 @@
 
 
 def current() -> str:
-    """Returns the current span's `traceparent`; empty without one."""
+    """Returns the `traceparent` of the current span; empty without a span."""
     if _state.tracer is None:
         return _passed_on.get()
     headers: dict[str, str] = {}
@@ -193,7 +195,7 @@
 
 
 def is_recording() -> bool:
-    """Tells whether the current span is recorded."""
+    """Returns whether the current span is recorded."""
     return _state.tracer is not None and (
         trace.get_current_span().is_recording()
     )
--- a/rhubarbwinch/shared/verdict.py
+++ b/rhubarbwinch/shared/verdict.py
@@ -1,4 +1,4 @@
-"""Verdicts: whether a request that failed may have run."""
+"""Failures of requests, with the verdict whether the request may have run."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class Verdict(enum.StrEnum):
-    """Whether a request ran at an endpoint."""
+    """Whether a failed request ran at an endpoint."""
 
     NOT_RUN = "not-run"
     RAN = "ran"
@@ -45,7 +45,7 @@
 
 
 def _shorten(detail: str) -> str:
-    """Returns a detail without the bulk that a caller may have put there."""
+    """Truncates a detail, which may contain long text from a caller."""
     if len(detail) <= MAX_DETAIL_CHARS:
         return detail
     return detail[:MAX_DETAIL_CHARS] + "..."
@@ -58,8 +58,9 @@
     Attributes:
         verdict: Whether the request may have run.
         reason: The kind of failure.
-        detail: One sentence for people.
-        retry_after_ms: When to try again, if that can help.
+        detail: What went wrong, in one sentence.
+        retry_after_ms: How long to wait before a retry; None if a retry is
+            not suggested.
     """
 
     verdict: Verdict
@@ -71,5 +72,5 @@
 def not_run(
     reason: Reason, detail: str, retry_after_ms: int | None = None
 ) -> Failure:
-    """Builds the failure of a request that certainly did not run."""
+    """Returns the failure of a request that certainly did not run."""
     return Failure(Verdict.NOT_RUN, reason, detail, retry_after_ms)
--- a/tests/shared/test_eventloop.py
+++ b/tests/shared/test_eventloop.py
@@ -1,4 +1,4 @@
-"""The check of the event loop's descriptors."""
+"""Tests of the check of the event loop's descriptors."""
 
 import pathlib
 import tempfile
--- a/tests/shared/test_events.py
+++ b/tests/shared/test_events.py
@@ -1,4 +1,4 @@
-"""Log events as text and as JSON lines."""
+"""Tests of log events as text and as JSON lines."""
 
 import contextlib
 import datetime
@@ -33,7 +33,7 @@
 
 
 class EventsTest(unittest.TestCase):
-    """Forms of a log line."""
+    """The text and JSON formats of a log line."""
 
     def test_a_json_line_has_all_fields_and_those_of_the_event_nested(self):
         line = json.loads(_written(LogFormat.JSON, "info", _log))
--- a/tests/shared/test_logoutput.py
+++ b/tests/shared/test_logoutput.py
@@ -1,4 +1,4 @@
-"""Log lines that never wait for their reader."""
+"""Tests of the log output that never blocks on its reader."""
 
 import os
 import unittest
@@ -14,7 +14,7 @@
 
 
 class LineOutputTest(unittest.TestCase):
-    """Lines through a pipe."""
+    """Log lines written to a pipe."""
 
     def setUp(self):
         self.reader, writer = os.pipe()
@@ -43,6 +43,6 @@
         data = os.read(self.reader, 1_000_000)
         self.output.write(999, b"last\n")
         data += os.read(self.reader, 1_000_000)
-        # Every line that was begun is whole.
+        # No line is written in part only.
         self.assertTrue(data.endswith(b"\nlast\n"))
         self.assertEqual(data.count(b"x") % 999, 0)
--- a/tests/shared/test_rendezvous.py
+++ b/tests/shared/test_rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: spread, agreement and little movement."""
+"""Tests of rendezvous hashing: balance, agreement and minimal movement."""
 
 import unittest
 from collections import Counter
@@ -10,7 +10,7 @@
 
 
 class RendezvousTest(unittest.TestCase):
-    """Owners and rankings of many keys."""
+    """The owners and rankings of many keys."""
 
     def test_keys_are_spread_over_all_members(self):
         counts = Counter(rendezvous.owner(key, MEMBERS) for key in KEYS)
--- a/tests/shared/test_supervisor.py
+++ b/tests/shared/test_supervisor.py
@@ -1,4 +1,4 @@
-"""Supervisors: restarts, their backoff and their limit."""
+"""Tests of supervisors: restarts, their backoff and their limit."""
 
 import pathlib
 import tempfile
@@ -14,24 +14,24 @@
 
 
 class RecordingClock(ManualClock):
-    """A clock whose sleeps end at once; it notes how long they were."""
+    """A clock whose sleeps end at once; it records their durations."""
 
     def __init__(self):
         super().__init__()
         self.sleeps = []
 
     async def sleep(self, ms):
-        """Notes the wait and moves the time by it."""
+        """Records the duration and advances the clock by it."""
         self.sleeps.append(ms)
         self.set(self.now() + ms)
         await anyio.lowlevel.checkpoint()
 
 
 class Failing:
-    """A task that fails some times and then returns.
+    """A task that fails a number of times and then returns.
 
     Args:
-        times: How often it fails.
+        times: How often the task fails.
     """
 
     def __init__(self, times):
@@ -39,14 +39,14 @@
         self._times = times
 
     async def run(self):
-        """Fails or returns."""
+        """Raises OSError until the task has failed often enough."""
         self.starts += 1
         if self.starts <= self._times:
             raise OSError(f"start {self.starts}")
 
 
 class SupervisorTest(unittest.TestCase):
-    """Children that fail."""
+    """A supervisor with children that fail."""
 
     @asynchronous
     async def test_a_child_is_restarted_with_growing_waits(self):
@@ -78,7 +78,8 @@
     async def test_failures_outside_the_window_do_not_count(self):
         clock, child = RecordingClock(), Failing(6)
         tree = Supervisor("tree", clock)
-        # Each wait is as long as the window, so no two failures share one.
+        # Each backoff is as long as the window, so no two failures fall into
+        # the same window.
         tree.add("child", child.run, RestartLimit(1, 100, 100, 100))
         await tree.run()
         self.assertEqual(child.starts, 7)
@@ -97,7 +98,7 @@
         directory = self.enterContext(tempfile.TemporaryDirectory())
         logs = pathlib.Path(directory)
         with Fleet(logs=logs) as fleet:
-            # The address is taken, so the HTTP interface fails at each start.
+            # The address is in use, so the HTTP interface fails at each start.
             fleet.start_role("broker", "second", fleet.entries[0])
             self.assertEqual(fleet.wait("second"), 1)
         text = (logs / "second.log").read_text()
--- a/tests/shared/test_tls.py
+++ b/tests/shared/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS for callers, with a certificate of the test's own."""
+"""Tests of TLS for callers, with a self-signed certificate."""
 
 import ssl
 import unittest
@@ -8,13 +8,13 @@
 from tests.fleet import Fleet
 from tests.helpers import ROOT, free_address, wait_until
 
-# Made for this test alone, for 127.0.0.1 and a hundred years.
+# Only for this test; valid for 127.0.0.1 and for a hundred years.
 CERTIFICATE = ROOT / "tests" / "tls" / "cert.pem"
 KEY = ROOT / "tests" / "tls" / "key.pem"
 
 
 class TlsTest(unittest.TestCase):
-    """An entry with a certificate."""
+    """An entry that serves TLS."""
 
     def test_only_callers_that_speak_tls_are_served(self):
         address = free_address()
--- a/tests/shared/test_tracing.py
+++ b/tests/shared/test_tracing.py
@@ -1,4 +1,4 @@
-"""Spans within a process and the context that leaves it."""
+"""Tests of spans and of the trace context's propagation."""
 
 import http.server
 import json
@@ -29,7 +29,7 @@
 
 
 class TracingTest(unittest.TestCase):
-    """Traces that are on, and off."""
+    """Spans while tracing is on and while it is off."""
 
     def setUp(self):
         self.exporter = InMemorySpanExporter()
@@ -136,10 +136,10 @@
 
 
 class _Collector(http.server.BaseHTTPRequestHandler):
-    """An OTLP collector that keeps what it gets in `server.received`."""
+    """An OTLP collector that keeps the exports in `server.received`."""
 
     def do_POST(self):
-        """Takes an export."""
+        """Receives an export."""
         length = int(self.headers["content-length"])
         kind = self.headers["content-type"]
         self.server.received.append((self.path, kind, self.rfile.read(length)))
@@ -147,11 +147,11 @@
         self.end_headers()
 
     def log_message(self, *_):
-        """Keeps the test's output clean."""
+        """Suppresses the server's log lines in the test's output."""
 
 
 class CollectorTest(unittest.TestCase):
-    """Export by OTLP over HTTP."""
+    """The export of spans by OTLP over HTTP."""
 
     def test_spans_reach_the_collector_at_the_latest_when_closed(self):
         server = http.server.HTTPServer(("127.0.0.1", 0), _Collector)
@@ -175,7 +175,7 @@
 
 
 class ProcessesTest(unittest.TestCase):
-    """One trace across all processes of a request."""
+    """A request's trace across its processes."""
 
     def test_a_request_is_one_trace_across_its_processes(self):
         name = self.enterContext(tempfile.TemporaryDirectory())
