--- a/rhubarbwinch/__init__.py
+++ b/rhubarbwinch/__init__.py
@@ -1,4 +1,4 @@
-"""rhubarbwinch: a serving system for generations of unknown length."""
+"""A serving system for LLM generations, whose length is not known ahead."""
 
 from rhubarbwinch.version import VERSION
 
--- a/rhubarbwinch/__main__.py
+++ b/rhubarbwinch/__main__.py
@@ -1,11 +1,11 @@
-"""Runs a program by its name: `python -m rhubarbwinch entry ...`."""
+"""Runs a program by its name, as in `python -m rhubarbwinch entry ...`."""
 
 import importlib
 import signal
 import sys
 
-# The module and the function of each program. Only the one that runs is
-# imported: the start of a process is time in which nobody is served.
+# The module and the function of each program. Only the selected module is
+# imported, to keep the start short: a starting process serves no callers.
 PROGRAMS = {
     "entry": ("rhubarbwinch.programs.cmdline", "entry_main"),
     "broker": ("rhubarbwinch.programs.cmdline", "broker_main"),
@@ -15,19 +15,19 @@
     "explain": ("rhubarbwinch.programs.explain", "main"),
 }
 
-# They are told by SIGHUP that their settings have changed.
+# Programs that reload their settings on SIGHUP.
 RELOADING = frozenset({"gateway"})
 
 
 def main() -> None:
-    """Takes the program's name off the arguments and runs it."""
+    """Removes the program's name from the arguments and runs the program."""
     names = ", ".join(PROGRAMS)
     if len(sys.argv) < 2 or sys.argv[1] not in PROGRAMS:
         sys.exit(f"usage: python -m rhubarbwinch {{{names}}} ...")
     name = sys.argv.pop(1)
     if name in RELOADING:
-        # By default the signal would end the process. Until the program sets
-        # its handler there is nothing to reload.
+        # By default SIGHUP would end the process. The signal can be ignored
+        # until the program sets its handler: no settings have been read yet.
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
     module, function = PROGRAMS[name]
     getattr(importlib.import_module(module), function)()
--- a/rhubarbwinch/programs/__init__.py
+++ b/rhubarbwinch/programs/__init__.py
@@ -1,1 +1,1 @@
-"""The programs: their settings, command lines and how they are built."""
+"""The programs, with their settings and command lines."""
--- a/rhubarbwinch/programs/broker.py
+++ b/rhubarbwinch/programs/broker.py
@@ -1,4 +1,4 @@
-"""The broker: answers permit requests for the pools it owns."""
+"""The broker program, which decides permit requests for the pools it owns."""
 
 import random
 from collections.abc import Callable
@@ -36,7 +36,7 @@
 from rhubarbwinch.shared.exceptions import EndpointError, LinkError
 from rhubarbwinch.shared.verdict import Reason, not_run
 
-# Returns the names of a pool's endpoints that leave.
+# Returns the names of a pool's leaving endpoints.
 LeavingFinder = Callable[[PoolSpec], set[str]]
 
 TICK_MS = 20
@@ -47,7 +47,7 @@
 
 @attrs.define
 class _Waiter:
-    """A permit request whose decision is not made."""
+    """A permit request that waits for its decision."""
 
     pool: str
     done: anyio.Event = attrs.field(factory=anyio.Event)
@@ -55,14 +55,15 @@
 
 
 class PoolKeeper:
-    """The pools of a broker and the requests that wait for them.
+    """The pools of a broker and the permit requests that wait for them.
 
     Args:
         clock: The source of time.
-        rng: Breaks ties.
-        counters: Where permits and refusals are counted.
-        ownership: Tells of pools that came from another broker.
-        options: Which decisions the pools make.
+        rng: The source of random tie-breaks.
+        counters: Receives the metrics.
+        ownership: Knows the pools that were taken over from another broker,
+            whose first decisions have to wait; None for no wait.
+        options: The options of the pools' admission.
     """
 
     def __init__(
@@ -85,17 +86,20 @@
 
     @property
     def waiting(self) -> int:
-        """The number of requests without a decision."""
+        """The number of requests that wait for a decision."""
         return len(self._waiters)
 
     def mark_leaving(self, find: LeavingFinder) -> None:
-        """Sets how the endpoints of a pool that leave are found."""
+        """Sets the function that finds a pool's leaving endpoints."""
         self._find_leaving = find
         for name, pool in self._pools.items():
             pool.set_leaving(find(self._specs[name]))
 
     def configure(self, snapshot: Snapshot) -> None:
-        """Takes the pools of a new configuration."""
+        """Applies the pools of a new configuration.
+
+        Requests that wait for a removed pool are refused.
+        """
         self._specs = dict(snapshot.pools)
         if self._ownership is not None:
             self._ownership.set_pools(snapshot.pools)
@@ -116,7 +120,7 @@
         self.mark_leaving(self._find_leaving)
 
     async def answer(self, request: PermitRequest) -> PermitReply:
-        """Returns the decision on a request, after its wait in the queue."""
+        """Decides a request, after its wait in the pool's queue."""
         pool = self._pools.get(request.pool)
         if pool is None:
             return _no_pool(request.pool)
@@ -136,14 +140,14 @@
         return waiter.reply
 
     def _refuse_waiting(self, pool: str) -> None:
-        """Answers the requests that wait for a pool that is gone."""
+        """Refuses the requests that wait for a removed pool."""
         for waiter in self._waiters.values():
             if waiter.pool == pool:
                 waiter.reply = _no_pool(pool)
                 waiter.done.set()
 
     async def release(self, release: PermitRelease) -> None:
-        """Takes a permit back; an unknown pool means any of them."""
+        """Releases a permit; without a pool's name it is released in all."""
         pools = [self._pools.get(release.pool)]
         if not release.pool:
             pools = list(self._pools.values())
@@ -151,22 +155,26 @@
             self._hand_out(pool.release(release))
 
     async def report_progress(self, report: ProgressReport) -> None:
-        """Takes an entry's open streams."""
+        """Applies an entry's report of its open streams."""
         if report.pool in self._pools:
             self._pools[report.pool].report_progress(report)
 
     async def check_digest(self, report: DigestReport) -> DigestReply:
-        """Compares an entry's open streams with what is known of them."""
+        """Compares the digest of an entry's open streams with the pool's."""
         pool = self._pools.get(report.pool)
         return DigestReply(pool is not None and pool.check_digest(report))
 
     def report_load(self, pool: str, report: LoadReport) -> None:
-        """Takes an engine's load."""
+        """Applies an engine's load report."""
         if pool in self._pools:
             self._pools[pool].report_load(report)
 
     def tick(self) -> list[EntryChange]:
-        """Decides what time decides; returns changes to send to entries."""
+        """Makes the decisions that depend on time.
+
+        Returns:
+            The priority changes to send to entries.
+        """
         changes = []
         for pool in self._pools.values():
             self._hand_out(pool.decide())
@@ -188,18 +196,18 @@
 
 
 def _no_pool(name: str) -> PermitReply:
-    """Refuses a request; the pool may be back with the next change."""
+    """Refuses a request; the next configuration may have the pool again."""
     failure = not_run(Reason.NO_ENDPOINT, f"no pool {name}", RETRY_AFTER_MS)
     return PermitReply(failure=failure)
 
 
 class Broker:
-    """The broker's program.
+    """The broker program.
 
     Args:
-        settings: What it was told.
-        outside: What it reaches the outside by, if not by a process's own.
-        endpoints: Calls endpoints, if not over HTTP.
+        settings: The broker's settings.
+        outside: The program's dependencies; None for those of a process.
+        endpoints: Calls endpoints; None for a client over HTTP.
     """
 
     def __init__(
@@ -220,7 +228,7 @@
         )
 
     async def run(self) -> None:
-        """Runs until asked to stop."""
+        """Runs until the program is stopped."""
         daemon = self._daemon
         daemon.follower.on_change(self._keeper.configure)
         daemon.leaving.on_change(self._mark_leaving)
@@ -256,7 +264,8 @@
             try:
                 await self._daemon.links.send(entry.link, change.message)
             except LinkError:
-                # Without the change the engine chooses its own victim.
+                # Without the change the engine itself selects the run that it
+                # preempts.
                 return
 
     async def _read_loads(self) -> None:
@@ -266,7 +275,7 @@
             members = self._daemon.members
             async with anyio.create_task_group() as tasks:
                 for name, spec in snapshot.pools.items():
-                    # Each engine is asked by its pool's owner alone.
+                    # Only the owner of a pool polls the pool's engines.
                     is_owned = pool_owner(name, members) == members.me
                     if spec.target not in snapshot.models or not is_owned:
                         continue
@@ -282,7 +291,8 @@
         try:
             data = await self._endpoints.read_json(f"http://{address}/load")
         except EndpointError:
-            # A silent engine is judged by the calls that fail on it.
+            # Failing calls, not missing load reports, show that an engine is
+            # down.
             return
         report = LoadReport(
             endpoint=name,
--- a/rhubarbwinch/programs/claimparts.py
+++ b/rhubarbwinch/programs/claimparts.py
@@ -20,8 +20,8 @@
     """The claims, the meter and the quarantine of an entry.
 
     Args:
-        daemon: The entry's program.
-        settings: What it was told.
+        daemon: The entry's daemon.
+        settings: The entry's settings.
     """
 
     def __init__(self, daemon: Daemon, settings: EntrySettings) -> None:
@@ -52,7 +52,7 @@
         )
 
     def attach(self, daemon: Daemon) -> None:
-        """Adds the tasks and the answers to other members."""
+        """Adds the tasks and the handlers of other members' messages."""
         daemon.server.on(ClaimQuestion, self.claims.answer)
         daemon.server.on(PageCall, self._routed.answer)
         daemon.add("claim-pages", self._pages.run)
--- a/rhubarbwinch/programs/cmdline.py
+++ b/rhubarbwinch/programs/cmdline.py
@@ -1,4 +1,4 @@
-"""The command lines of the daemons."""
+"""Command lines of the entry, broker and control daemons."""
 
 import sys
 from collections.abc import Callable
@@ -23,8 +23,8 @@
 
 _SETTINGS_HELP = (
     " Each setting is a flag and an environment variable; the flag wins. Give "
-    "secrets by the environment. Exit status: 0 ended as asked, 1 failed, 2 "
-    "bad setting. docs/settings.md has every setting."
+    "secrets by the environment. Exit status: 0 stopped on request, 1 failed, "
+    "2 invalid setting. docs/settings.md has every setting."
 )
 ENTRY_HELP = "Serves callers over HTTP." + _SETTINGS_HELP
 BROKER_HELP = "Grants permits for the pools that it owns." + _SETTINGS_HELP
@@ -44,7 +44,8 @@
         await build(settings).run()
 
     try:
-        # uvloop opens an io_uring whatever UV_USE_IO_URING says.
+        # asyncio's own event loop: uvloop opens an io_uring regardless of
+        # UV_USE_IO_URING.
         anyio.run(run)
     except RestartLimitError as error:
         events.RESTART_LIMIT.log(error=str(error))
--- a/rhubarbwinch/programs/config.py
+++ b/rhubarbwinch/programs/config.py
@@ -1,4 +1,4 @@
-"""The settings of all programs, read from flags and the environment."""
+"""Settings of the daemons, which flags and environment variables set."""
 
 from typing import Annotated
 
@@ -20,27 +20,28 @@
 
 @attrs.define(kw_only=True)
 class Settings:
-    """What every program is told.
+    """The settings that all daemons have.
 
     Attributes:
         name: The member's name, unique among all members.
-        data_center: The data centre that it runs in.
+        data_center: The data centre that the member runs in.
         region: The region of the data centre.
-        link: `a.b.c.d:port` at which peers reach it.
-        http: `a.b.c.d:port` of its HTTP interface.
+        link: `a.b.c.d:port` at which peers reach the member.
+        http: `a.b.c.d:port` of the HTTP interface.
         store: `a.b.c.d:port` of the key-value store.
         store_kind: The store adapter's name.
-        store_timeout_ms: The longest wait for the store.
-        peers: Link addresses of some peers, for a start without the store.
-        lease_ms: The life of the member's registration without renewal.
+        store_timeout_ms: The timeout of a call to the store.
+        peers: Link addresses of some peers, for a start while the store is
+            unavailable.
+        lease_ms: The duration of the lease of the member's registration.
         link_public_key: The deployment's CURVE public key.
         link_secret_key: The deployment's CURVE secret key.
-        drain_ms: The longest wait for open streams at the end.
+        drain_ms: The longest wait for open streams at shutdown.
         log_level: The lowest level that is logged.
         log_format: `text` or `json`.
-        statsd: `a.b.c.d:port` of a statsd server; empty for none.
-        traces: `log`, the URL of an OTLP collector, or empty.
-        trace_percent: How many of 100 traces that begin here are recorded.
+        statsd: `a.b.c.d:port` of a statsd server; empty for no metrics.
+        traces: `log`, the URL of an OTLP collector, or empty for no tracing.
+        trace_percent: The percentage of the traces that begin here to record.
     """
 
     name: Annotated[str, arg("name", "", types.name, "Member name", True)]
@@ -103,7 +104,7 @@
         ),
     ] = "info"
     log_format: Annotated[
-        LogFormat, arg("log-format", "text", _log_format, "Form of log lines")
+        LogFormat, arg("log-format", "text", _log_format, "Format of log lines")
     ] = LogFormat.TEXT
     statsd: Annotated[
         str,
@@ -126,7 +127,7 @@
 
     @property
     def link_keys(self) -> LinkKeys | None:
-        """The key pair for links, or None without one."""
+        """The key pair for links; None if no key is set."""
         if not self.link_public_key:
             return None
         return LinkKeys(self.link_public_key, self.link_secret_key)
@@ -153,23 +154,25 @@
 
 @attrs.define(kw_only=True)
 class EntrySettings(Settings):
-    """What an entry is told besides.
+    """The settings that only an entry has.
 
     Attributes:
         max_body_bytes: The largest request body.
         body_timeout_ms: The longest wait for a request body.
         stream_secret: Signs generation ids, so that only the account that
             started a stream can resume it.
-        permit_timeout_ms: The longest wait for a broker beyond the queue.
-        endpoint_silence_ms: A stream without a byte for so long is resumed.
-        claims_keep_hours: How long claims and counters are kept for audits;
-            no key older than this is accepted.
-        claim_writes_per_s: The most writes of claims in a second.
-        meter_flush_ms: The time between two writes of the counters.
+        permit_timeout_ms: The timeout of a call to a broker, in addition to
+            the wait in the queue.
+        endpoint_silence_ms: A stream that receives no byte from its endpoint
+            for this long is resumed.
+        claims_keep_hours: How long claims and token counters are kept for
+            audits; no key older than this is accepted.
+        claim_writes_per_s: The most store writes for claims per second.
+        meter_flush_ms: The interval between two writes of the token counters.
         resume_grace_ms: How long a generation is kept for a caller that lost
-            its connection and may resume it.
+            its connection and may resume the stream.
         certfile: The certificate for callers, PEM; empty for plain HTTP.
-        keyfile: Its private key, PEM.
+        keyfile: The certificate's private key, PEM.
     """
 
     max_body_bytes: Annotated[
@@ -214,7 +217,7 @@
             "claims-keep-hours",
             35 * 24,
             types.number(1, 400 * 24),
-            "How long claims and counters are kept",
+            "How long claims and token counters are kept",
         ),
     ] = 35 * 24
     claim_writes_per_s: Annotated[
@@ -223,7 +226,7 @@
             "claim-writes-per-s",
             50,
             types.number(1, 10_000),
-            "Most store writes for claims in a second",
+            "Maximum store writes for claims per second",
         ),
     ] = 50
     meter_flush_ms: Annotated[
@@ -232,7 +235,7 @@
             "meter-flush-ms",
             5_000,
             types.number(100, 600_000),
-            "Time between two writes of the counters",
+            "Interval between writes of the token counters",
         ),
     ] = 5_000
     resume_grace_ms: Annotated[
@@ -241,14 +244,15 @@
             "resume-grace-ms",
             10_000,
             types.number(0, 600_000),
-            "How long a generation is kept for a caller that left it",
+            "How long a generation is kept for a disconnected caller",
         ),
     ] = 10_000
     certfile: Annotated[
         str, arg("certfile", "", types.file, "Certificate for callers, PEM")
     ] = ""
     keyfile: Annotated[
-        str, arg("keyfile", "", types.file, "Its private key, PEM")
+        str,
+        arg("keyfile", "", types.file, "Private key of the certificate, PEM"),
     ] = ""
 
     @property
@@ -273,11 +277,11 @@
 
 @attrs.define(kw_only=True)
 class BrokerSettings(Settings):
-    """What a broker is told besides.
+    """The settings that only a broker has.
 
     Attributes:
         placement: The placement policy's name.
-        load_poll_ms: The time between two readings of an endpoint's load.
+        load_poll_ms: The interval at which an endpoint's load is polled.
     """
 
     placement: Annotated[
@@ -292,27 +296,33 @@
     load_poll_ms: Annotated[
         int,
         arg(
-            "load-poll-ms", 250, types.number(10, 60_000), "Load reading period"
+            "load-poll-ms", 250, types.number(10, 60_000), "Load poll interval"
         ),
     ] = 250
 
 
 @attrs.define(kw_only=True)
 class ControlSettings(Settings):
-    """What a control is told besides.
+    """The settings that only a control has.
 
     Attributes:
-        engine_adapter: How engines take orders.
-        order_lease_ms: The life of the lease for orders without renewal.
-        order_flight_ms: The longest time from an order to its effect.
-        loads_per_minute: What the weight store carries, for the deployment.
+        engine_adapter: The name of the adapter that sends orders to engines.
+        order_lease_ms: The duration of the lease for orders.
+        order_flight_ms: The longest time from sending an order to its effect.
+        loads_per_minute: How many load orders per minute the weight store
+            sustains, for the whole deployment.
         vm_list: `a.b.c.d:port` of the platform's list of VMs; empty for none.
-        vm_list_kind: The list's adapter.
+        vm_list_kind: The name of the adapter that reads the list of VMs.
     """
 
     engine_adapter: Annotated[
         str,
-        arg("engine-adapter", "http", types.name, "How engines take orders"),
+        arg(
+            "engine-adapter",
+            "http",
+            types.name,
+            "Adapter for orders to engines",
+        ),
     ] = "http"
     order_lease_ms: Annotated[
         int,
@@ -329,7 +339,7 @@
             "order-flight-ms",
             2000,
             types.number(100, 60_000),
-            "Longest flight of an order",
+            "Longest time from an order to its effect",
         ),
     ] = 2000
     loads_per_minute: Annotated[
@@ -338,7 +348,7 @@
             "loads-per-minute",
             60,
             types.number(1, 100_000),
-            "Load orders a minute in the whole deployment",
+            "Load orders per minute in the whole deployment",
         ),
     ] = 60
     vm_list: Annotated[
--- a/rhubarbwinch/programs/control.py
+++ b/rhubarbwinch/programs/control.py
@@ -1,4 +1,4 @@
-"""The control: accepts operators' records and sends orders."""
+"""The control program, which publishes records and sends orders."""
 
 import anyio
 
@@ -19,10 +19,10 @@
 
 
 class Control:
-    """The control's program.
+    """The control program.
 
     Args:
-        settings: What it was told.
+        settings: The control's settings.
     """
 
     def __init__(self, settings: ControlSettings) -> None:
@@ -60,7 +60,7 @@
         )
 
     async def run(self) -> None:
-        """Runs until asked to stop."""
+        """Runs until the program is stopped."""
         self._daemon.serve_http(App(MAX_BODY_BYTES))
         self._daemon.add("publisher", self._publishing.run)
         if self._vms is not None:
@@ -75,7 +75,10 @@
         return [m.name for m in self._daemon.members.serving(Role.CONTROL)]
 
     async def _keep_lease(self) -> None:
-        """Renews apart from the orders, which slow endpoints hold up."""
+        """Renews the lease for orders.
+
+        This is a task of its own because slow endpoints delay the orders.
+        """
         period = self._settings.order_lease_ms // RENEWALS_PER_LEASE
         try:
             while True:
--- a/rhubarbwinch/programs/ctl.py
+++ b/rhubarbwinch/programs/ctl.py
@@ -1,4 +1,4 @@
-"""What the operators' command line does."""
+"""Operations of the operators' command line on records."""
 
 import enum
 import sys
@@ -23,7 +23,7 @@
 
 
 class Output(enum.StrEnum):
-    """How results are printed."""
+    """The formats of printed results."""
 
     TABLE = "table"
     JSON = "json"
@@ -54,7 +54,7 @@
 
 
 def check_records(items: list[Record]) -> list[RecordError]:
-    """Returns every fault of the records, doubled names among them."""
+    """Returns every error in the records, including duplicate names."""
     found: list[RecordError] = []
     seen: set[str] = set()
     for record in items:
@@ -67,7 +67,10 @@
 
 
 async def apply(store: Store, items: list[Record]) -> list[Record]:
-    """Writes records that have changed; returns those.
+    """Writes the records that have changed.
+
+    Returns:
+        The records that were written.
 
     Raises:
         RecordError: A record is not valid; nothing was written.
@@ -88,7 +91,7 @@
 
 
 async def write(store: Store, record: Record, expected: int) -> None:
-    """Writes a record if its revision is `expected`; 0 is absent.
+    """Writes a record if its revision is `expected`; 0 means no record.
 
     Raises:
         ConflictError: Another operator changed the record meanwhile.
@@ -99,7 +102,7 @@
     try:
         swap = await store.swap(key, expected, value)
     except StoreUncertain:
-        # What is there now tells whether the write took effect.
+        # The write may have taken effect; the current value shows whether.
         current = await store.get(key)
         if current is None or current.value != value:
             raise
@@ -109,10 +112,10 @@
 
 
 async def add_key(store: Store, account: str) -> ApiKey:
-    """Makes an API key and adds its hash to an account's record.
+    """Creates an API key and adds its hash to an account's record.
 
     Raises:
-        RecordError: There is no such account.
+        RecordError: The account has no record.
         ConflictError: Another operator changed the record meanwhile.
     """
     key = keys.record("account", account)
@@ -128,14 +131,14 @@
 
 
 async def list_records(store: Store, kind: str = "") -> list[Record]:
-    """Returns the records of a kind, or all."""
+    """Returns the records of a kind; all records if `kind` is empty."""
     prefix = keys.RECORDS + (f"{kind}/" if kind else "")
     listing = await store.scan(prefix)
     return [records.parse(entry.value, entry.key) for entry in listing.entries]
 
 
 def print_rows(rows: list[dict[str, Any]], output: Output) -> None:
-    """Prints rows as a table for people or as JSON for programs."""
+    """Prints rows as a text table or as JSON."""
     if output is Output.JSON:
         sys.stdout.write(orjson.dumps(rows).decode() + "\n")
         return
--- a/rhubarbwinch/programs/ctlcommands.py
+++ b/rhubarbwinch/programs/ctlcommands.py
@@ -27,9 +27,9 @@
 from rhubarbwinch.stores.store import Store
 
 CTL_HELP = (
-    "Drives a deployment by its records. Exit status: 0 done, 1 failed, 2 bad "
-    "usage, 3 a record is not valid, 4 another operator was first, 5 the store "
-    "failed. docs/ctl.md has every command."
+    "Manages a deployment through its records. Exit status: 0 done, 1 failed, "
+    "2 wrong usage, 3 a record is not valid, 4 another operator changed a "
+    "record first, 5 the store failed. docs/ctl.md has every command."
 )
 
 
@@ -88,7 +88,7 @@
 
 
 class StatusOf(enum.StrEnum):
-    """What the status lists."""
+    """The lists that the status command prints."""
 
     MEMBERS = "members"
     POOLS = "pools"
@@ -111,13 +111,11 @@
     """Marks a VM as leaving, or as no longer leaving."""
 
     vm: Annotated[str, cappa.Arg(help="The VM's IP number")]
-    undo: Annotated[bool, cappa.Arg(long=True, help="It gets work again")] = (
-        False
-    )
+    undo: Annotated[bool, cappa.Arg(long=True, help="Remove the mark")] = False
 
 
 class Listed(enum.StrEnum):
-    """What the audit lists."""
+    """The lists that the audit command prints."""
 
     CALLS = "calls"
     TOKENS = "tokens"
@@ -133,7 +131,7 @@
         str, cappa.Arg(long="--from", help="Whole hour, UTC: 2026-12-03T14")
     ]
     end: Annotated[
-        str, cappa.Arg(long="--to", help="Whole hour, not in the period")
+        str, cappa.Arg(long="--to", help="Whole hour, UTC; excluded")
     ]
 
 
@@ -170,7 +168,7 @@
             propagate=True,
             default=cappa.Env("RHUBARBWINCH_OUTPUT", default=Output.TABLE),
             parse=types.ValueType(", ".join(Output), Output),
-            help="Form of the results [RHUBARBWINCH_OUTPUT]",
+            help="Format of the results [RHUBARBWINCH_OUTPUT]",
         ),
     ] = Output.TABLE
 
@@ -238,7 +236,7 @@
 
 
 def _check(items: list[Record], output: Output) -> None:
-    """Prints every fault and exits, if there is one."""
+    """Prints every error in the records and exits if there is any."""
     found = ctl.check_records(items)
     if not found:
         return
@@ -267,7 +265,7 @@
 
 
 def _api_key_row(made: ApiKey) -> dict[str, Any]:
-    """Returns a new key as a row; it is shown this once."""
+    """Returns a new key as a row; the secret can't be shown again."""
     return {
         "account": made.account,
         "api_key": made.secret,
@@ -303,7 +301,7 @@
 
 
 def _status_rows(status: FleetStatus, wanted: StatusOf) -> list[dict[str, Any]]:
-    """Returns the rows of one list; each names the accepted generation."""
+    """Returns the rows of one list; each has the accepted generation."""
     accepted = {"accepted": status.generation}
     match wanted:
         case StatusOf.MEMBERS:
--- a/rhubarbwinch/programs/daemon.py
+++ b/rhubarbwinch/programs/daemon.py
@@ -1,4 +1,4 @@
-"""What every program shares: its supervisor tree, links and configuration."""
+"""Base of the daemons: supervisor tree, links, membership, configuration."""
 
 import random
 import signal
@@ -34,13 +34,13 @@
 
 
 class Daemon:
-    """One program: builds the parts and runs them under a supervisor.
+    """The components that all daemons share, run under a supervisor.
 
     Args:
-        role: What the program does.
-        settings: What it was told.
-        outside: What it reaches the outside by; by default a process's own,
-            built from the settings.
+        role: The program's role.
+        settings: The program's settings.
+        outside: The program's dependencies; None to build those of a process
+            from the settings.
     """
 
     def __init__(
@@ -106,7 +106,7 @@
         self._tree = Supervisor(settings.name, self.clock)
         self._shutdown = anyio.Event()
         self._closed = anyio.Event()
-        # Without an HTTP interface there is nothing to close.
+        # A program without an HTTP interface has no connections to close.
         self._closed.set()
 
     def add(self, name: str, run: Callable[[], Awaitable[None]]) -> None:
@@ -157,7 +157,7 @@
                 await self._tree.run()
                 tasks.cancel_scope.cancel()
         except* Exception as group:
-            # The task group wraps what the tree raised.
+            # The task group wraps the tree's exception in an exception group.
             raise group.exceptions[0] from None
         finally:
             with anyio.CancelScope(shield=True), anyio.move_on_after(2):
@@ -177,18 +177,20 @@
         ) as signals:
             async for _ in signals:
                 break
-            # A further signal must not cut the requests that are still open.
+            # The receiver stays open, so that a second signal does not abort
+            # the requests that are still open.
             await self.leave()
         tasks.cancel_scope.cancel()
 
     async def leave(self) -> None:
-        """Takes no new work and waits for what is open, up to the limit."""
+        """Drains up to the drain limit, then closes the HTTP interface."""
         events.DRAINING.log(name=self.settings.name)
         self.drain.started = True
         self._set_state(MemberState.LEAVING)
         end = self.clock.now() + self.settings.drain_ms
-        # Meanwhile every member hears of it, and callers that were told of
-        # this address before are refused instead of finding nobody here.
+        # During this wait all members learn that this one is leaving. Callers
+        # that still use this address are refused with a list of other entries
+        # instead of failing to connect.
         await self.clock.sleep(min(self.settings.drain_ms, LEAVING_NOTICE_MS))
         while self.drain.open_count() and self.clock.now() < end:
             await self.clock.sleep(DRAIN_CHECK_MS)
@@ -202,7 +204,7 @@
             await self._closed.wait()
 
     def _follow_notice(self) -> None:
-        """Leaves, or serves again, as the notices on this VM say."""
+        """Sets this member's state by the leaving notices of its VM."""
         host = misc.split_address(self.settings.link)[0]
         is_leaving = host in self.leaving.hosts or self.drain.started
         self._set_state(
--- a/rhubarbwinch/programs/entry.py
+++ b/rhubarbwinch/programs/entry.py
@@ -1,4 +1,4 @@
-"""The entry: speaks HTTP with callers."""
+"""The entry program, which serves callers over HTTP."""
 
 import random
 from functools import partial
@@ -33,12 +33,12 @@
 
 
 class Entry:
-    """The entry's program.
+    """The entry program.
 
     Args:
-        settings: What it was told.
-        outside: What it reaches the outside by, if not by a process's own.
-        endpoints: Calls endpoints, if not over HTTP.
+        settings: The entry's settings.
+        outside: The program's dependencies; None for those of a process.
+        endpoints: Calls endpoints; None for a client over HTTP.
     """
 
     def __init__(
@@ -116,16 +116,16 @@
 
     @property
     def daemon(self) -> Daemon:
-        """The shared parts, for a program that embeds this one."""
+        """The daemon, for a program that embeds the entry."""
         return self._daemon
 
     @property
     def app(self) -> App:
-        """The ASGI application, for a program that serves it itself."""
+        """The ASGI application, for a program that embeds the entry."""
         return self._app
 
     async def run(self) -> None:
-        """Runs until asked to stop."""
+        """Runs until the program is stopped."""
         daemon = self._daemon
         generate = self._observed(self._generate)
         self._app.route("POST", "/v1/completions", generate)
@@ -145,7 +145,7 @@
         await self._endpoints.close()
 
     def _observed(self, handle: Handler) -> Handler:
-        """Returns a handler that is counted and runs in a span."""
+        """Wraps a handler in a span and in metrics."""
         counters = self._daemon.metrics
 
         async def run(request: Request, responder: Responder) -> None:
@@ -163,10 +163,10 @@
         return run
 
     def _account(self, request: Request) -> str:
-        """Returns the caller's account.
+        """Authenticates a request and returns the caller's account.
 
         Raises:
-            Refused: The key is not valid, or the program is draining.
+            Refused: The API key is unknown, or the program is draining.
         """
         if self._daemon.drain.started:
             detail = "this entry is leaving; others: " + ", ".join(
@@ -181,7 +181,7 @@
         return account
 
     def _others(self) -> list[str]:
-        """Returns the addresses of the other entries that take new work."""
+        """Returns the addresses of the other entries that are serving."""
         members = self._daemon.members
         return [
             m.http
@@ -240,7 +240,7 @@
             self._open -= 1
 
     async def _entries(self, request: Request, responder: Responder) -> None:
-        """Lists the entries, in an order of the account's own."""
+        """Lists the entries, in an order that depends on the account."""
         snapshot = self._daemon.follower.snapshot
         account = self._keys.account_of(request.api_key, snapshot) or ""
         entries = {m.name: m for m in self._daemon.members.serving(Role.ENTRY)}
@@ -259,7 +259,7 @@
     async def _list_models(
         self, request: Request, responder: Responder
     ) -> None:
-        """Lists the account's services that generate, as OpenAI does."""
+        """Lists the account's generation services in OpenAI's format."""
         account = self._account(request)
         snapshot = self._daemon.follower.snapshot
         await responder.json(models.model_list(account, snapshot))
--- a/rhubarbwinch/programs/explain.py
+++ b/rhubarbwinch/programs/explain.py
@@ -1,8 +1,9 @@
-"""The story of one request, told from the logs of all gateways.
+"""Prints the log events that explain one request, from all gateways' logs.
 
-Reads JSON lines, of one process or of many, in any order. It prints the lines
-of the request, and between them what the gateways learned meanwhile about the
-endpoints that it touched, the store and each other.
+The input is JSON lines of one or several processes, in any order. The output
+is the request's events in order of time. Between them are the events of the
+same gateways about the store, about other gateways and about the endpoints that
+the request used.
 """
 
 import argparse
@@ -16,7 +17,8 @@
 
 from rhubarbwinch.shared.exitstatus import ExitStatus
 
-# Events about what a gateway believes; they explain decisions of requests.
+# Events about a gateway's state and its view of the cluster, which explain its
+# decisions on requests.
 BELIEFS = frozenset(
     {
         "store-down",
@@ -31,19 +33,20 @@
         "started",
     }
 )
-# Fields that name an endpoint.
+# Event fields whose value is an endpoint's name.
 ENDPOINT_FIELDS = ("endpoint", "source", "target")
-# What came shortly before a request may explain its first decision.
+# Events this long before a request are printed too, as they may explain the
+# first decision on the request.
 BEFORE_MS = 3_000
 
 
 @attrs.frozen
 class Line:
-    """A line of a log.
+    """A log event.
 
     Attributes:
-        time: As it stands in the line; its order is that of time.
-        process: Who wrote it.
+        time: The time as in the log, ISO 8601 in UTC; sorts as a text.
+        process: The name of the process that logged the event.
         name: The event's name.
         fields: The event's fields.
     """
@@ -55,7 +58,7 @@
 
     @property
     def endpoints(self) -> set[str]:
-        """The endpoints that it names."""
+        """The endpoints that the event's fields name."""
         return {
             str(self.fields[name])
             for name in ENDPOINT_FIELDS
@@ -73,7 +76,7 @@
 
 
 def parse(lines: Iterable[bytes]) -> list[Line]:
-    """Returns the events among lines, by time; other lines are passed over."""
+    """Returns the events of JSON lines by time; skips other lines."""
     found = []
     for line in lines:
         start = line.find(b'{"time"')
@@ -91,12 +94,12 @@
             )
         except (orjson.JSONDecodeError, KeyError) as error:
             sys.stderr.write(f"not an event ({error!r}): {line[:80]!r}\n")
-    # Lines of one millisecond stay in the order in which they were written.
+    # The sort is stable: events of the same millisecond keep their order.
     return sorted(found, key=lambda line: line.time)
 
 
 def story(lines: list[Line], request: str) -> list[Line]:
-    """Returns the lines that tell what happened to a request."""
+    """Returns the events that explain what happened to a request."""
     own = [line for line in lines if line.fields.get("request") == request]
     if not own:
         return []
@@ -118,7 +121,7 @@
 
 
 def _earlier(time: str, ms: int) -> str:
-    """Returns a time some milliseconds before another."""
+    """Returns the time that is `ms` milliseconds before `time`."""
     moment = datetime.datetime.fromisoformat(time)
     moment -= datetime.timedelta(milliseconds=ms)
     return moment.isoformat(timespec="milliseconds")
--- a/rhubarbwinch/programs/fleetstatus.py
+++ b/rhubarbwinch/programs/fleetstatus.py
@@ -1,4 +1,4 @@
-"""What operators ask about a deployment: who is there and what is in force."""
+"""Reads the state of a deployment: members, pools and active configuration."""
 
 import anyio
 import attrs
@@ -21,13 +21,13 @@
 
 @attrs.frozen
 class RecordState:
-    """An operator's record and whether it is in force.
+    """An operator's record and whether it is active.
 
     Attributes:
         record: The record as it is in the store.
-        revision: Its revision there.
-        state: `in force`, `pending` or `rejected`.
-        error: Why it was rejected, or empty.
+        revision: The record's revision in the store.
+        state: `in force` for an active record, `pending` or `rejected`.
+        error: Why the record was rejected; empty otherwise.
     """
 
     record: Record
@@ -42,7 +42,8 @@
 
     Attributes:
         member: The member.
-        generation: The generation in force there; None without an answer.
+        generation: The configuration generation that is active at the member;
+            None if the member did not reply.
     """
 
     member: Member
@@ -51,13 +52,14 @@
 
 @attrs.frozen
 class PoolStatus:
-    """A pool.
+    """The state of a pool.
 
     Attributes:
-        name: Its name.
-        owner: The broker that owns it by the registered members.
-        endpoints: How many endpoints it has.
-        leaving: How many of them are on VMs that records mark as leaving.
+        name: The pool's name.
+        owner: The broker that owns the pool, computed from the registered
+            members.
+        endpoints: The number of endpoints in the pool.
+        leaving: The number of endpoints on VMs that records mark as leaving.
     """
 
     name: str
@@ -68,12 +70,12 @@
 
 @attrs.frozen
 class FleetStatus:
-    """A deployment as the store and its members show it.
+    """The state of a deployment, read from the store and its members.
 
     Attributes:
-        generation: The accepted generation.
+        generation: The accepted configuration generation.
         members: The registered members.
-        pools: The pools in force.
+        pools: The active pools.
         leaving_vms: The VMs that records mark as leaving.
     """
 
@@ -120,10 +122,10 @@
 
     Args:
         store: The platform's store.
-        key: `kind/name`.
+        key: The record's key, `kind/name`.
 
     Raises:
-        RecordError: There is no such record.
+        RecordError: The record does not exist.
         StoreError: The store failed.
     """
     entry = await store.get(keys.RECORDS + key)
--- a/rhubarbwinch/programs/gatewaymain.py
+++ b/rhubarbwinch/programs/gatewaymain.py
@@ -1,4 +1,4 @@
-"""The command line of the gateway, and the adapters that it runs with."""
+"""Command line of the gateway, which selects the gateway's adapters."""
 
 import argparse
 import os
@@ -35,14 +35,15 @@
 
 @attrs.frozen(kw_only=True)
 class GatewayOptions:
-    """What the gateway's command line tells.
+    """The options of the gateway's command line.
 
     Attributes:
         settings: The path of the platform's settings file.
         platform: The platform's name.
-        metrics_port: The port of the metrics address.
+        metrics_port: The port at which metrics are served.
         log_level: The lowest level that is logged.
-        traces: Where spans go: `log`, an OTLP collector's URL, or empty.
+        traces: Where spans are exported: `log`, an OTLP collector's URL, or
+            empty for no tracing.
     """
 
     settings: str
@@ -55,15 +56,16 @@
         """Reads the settings file.
 
         Raises:
-            SettingError: It can't be read, or a field is missing or wrong.
+            SettingError: The file can't be read, or a field is missing or not
+                valid.
         """
         return bootfile.load(self.settings, self.metrics_port)
 
 
 def make_parser() -> argparse.ArgumentParser:
     """Returns the parser of the command line."""
-    # cappa, which the other programs use, takes a third of the time of a
-    # start, in which this one serves nobody.
+    # The other programs use cappa, which would take a third of the start-up
+    # time, during which the gateway serves no callers.
     parser = argparse.ArgumentParser(
         "rhubarbwinch-gateway",
         description="Serves callers of a platform. Each setting is a flag and "
@@ -73,7 +75,10 @@
     _add(parser, "settings", "", "the platform's settings file", "required")
     _add(parser, "platform", DEFAULT_PLATFORM, "the platform's adapter")
     _add(
-        parser, "metrics-port", str(DEFAULT_METRICS_PORT), "port of the metrics"
+        parser,
+        "metrics-port",
+        str(DEFAULT_METRICS_PORT),
+        "the port at which metrics are served",
     )
     _add(parser, "log-level", "info", f"one of {', '.join(LEVELS)}")
     _add(parser, "traces", "", "spans: `log` or the URL of an OTLP collector")
@@ -81,10 +86,11 @@
 
 
 def parse(argv: Sequence[str] | None = None) -> GatewayOptions:
-    """Returns the options; each is a flag and an environment variable.
+    """Returns the options, which flags and environment variables set.
 
     Raises:
-        SystemExit: One is missing or not allowed, or was help or version.
+        SystemExit: An option is missing or not allowed, or help or the version
+            was printed.
     """
     parser = make_parser()
     found = parser.parse_args(argv)
@@ -108,7 +114,7 @@
 
 
 def _is_trace_target(text: str) -> bool:
-    """Tells whether spans can be sent there."""
+    """Returns whether spans can be exported to `text`."""
     return text == "log" or text.startswith(("http://", "https://"))
 
 
@@ -128,10 +134,10 @@
 
 
 def make_tracer(traces: str, name: str) -> Tracer | None:
-    """Returns what makes spans; None if there are to be none."""
+    """Returns the tracer; None if tracing is off."""
     if not traces:
         return None
-    # The library is slow to import and needed only here.
+    # The tracing library is slow to import, so it is imported only if needed.
     from rhubarbwinch.shared import tracing  # noqa: PLC0415
 
     tracing.configure(traces, name)
--- a/rhubarbwinch/programs/options.py
+++ b/rhubarbwinch/programs/options.py
@@ -1,4 +1,4 @@
-"""Parses command lines; each error is one line on stderr, with status 2."""
+"""Parses command lines and reports an error as one line with exit status 2."""
 
 import os
 import re
@@ -20,22 +20,22 @@
 _NO_VALUE = re.compile(r"Option '-*([\w-]+)' requires an argument")
 _UNKNOWN = re.compile(r"Unrecognized arguments: (.*)")
 _MARKUP = re.compile(r"\[/?cappa\.\w+\]")
-# Variables of rhubarbwinchctl that no other program has.
+# Variables that only rhubarbwinchctl reads, without their prefix.
 _NOT_SETTINGS = ("OUTPUT",)
 
 
 class _OneLine(cappa.Output):
-    """Writes an error as one line, without the usage before it."""
+    """Prints an error as one line, without cappa's usage text."""
 
     def error(self, message: Any, **_: Any) -> None:
-        """Writes an error."""
+        """Prints an error to stderr."""
         found = message.message if isinstance(message, cappa.Exit) else message
         plain = _MARKUP.sub("", " ".join(str(found).split()))
         sys.stderr.write(_reword(plain) + "\n")
 
 
 def _reword(message: str) -> str:
-    """Returns cappa's message in the form of our own."""
+    """Returns cappa's error message in the format of `SettingError`."""
     if found := _INVALID.fullmatch(message):
         return f"setting {_label(found[1])}: {found[2]}"
     if found := _NO_VALUE.fullmatch(message):
@@ -55,7 +55,7 @@
 
 
 def fail(error: SettingError) -> NoReturn:
-    """Writes the one line about a bad setting and exits."""
+    """Prints one line about a setting that is not valid and exits."""
     sys.stderr.write(
         f"setting {_label(error.name)}: {error.value}; "
         f"allowed: {error.allowed}\n"
@@ -66,17 +66,17 @@
 def parse(
     kind: type[T], name: str, text: str, argv: Sequence[str] | None = None
 ) -> T:
-    """Returns the options of a command line.
+    """Parses a command line.
 
     Args:
         kind: The attrs class of the options.
         name: The program's name.
-        text: What the program does, for `--help`; two sentences or more.
-        argv: The arguments without the program; those of the process by
-            default.
+        text: What the program does, for `--help`; at least two sentences.
+        argv: The arguments without the program's name; None for those of the
+            process.
 
     Raises:
-        SystemExit: The options are not allowed, or were help or version.
+        SystemExit: An option is not valid, or help or the version was printed.
     """
     first, _, rest = text.partition(". ")
     command: Any = cappa.command(
@@ -95,10 +95,11 @@
 def parse_settings(
     kind: type[T], name: str, text: str, argv: Sequence[str] | None = None
 ) -> T:
-    """Returns the settings of a program, all checked.
+    """Parses and validates the settings of a program.
 
     Raises:
-        SystemExit: One is missing or not allowed, or were help or version.
+        SystemExit: A setting is missing or not valid, or help or the version
+            was printed.
     """
     settings: Any = parse(kind, name, text, argv)
     try:
@@ -111,7 +112,7 @@
 
 
 def _check_variables() -> None:
-    """Refuses a variable that no program knows: it may be a typing error."""
+    """Rejects an unknown variable, which may be a misspelled setting."""
     names = {known.variable for known in settingtypes.known()}
     names |= {settingtypes.ENV_PREFIX + name for name in _NOT_SETTINGS}
     for variable in sorted(os.environ):
--- a/rhubarbwinch/programs/probes.py
+++ b/rhubarbwinch/programs/probes.py
@@ -1,4 +1,4 @@
-"""Liveness and readiness over HTTP, at every program."""
+"""HTTP liveness and readiness probes, which every daemon has."""
 
 from collections.abc import Callable
 
@@ -12,11 +12,12 @@
 
 @attrs.define
 class Drain:
-    """The state of a shutdown.
+    """The state of a program's drain.
 
     Attributes:
-        started: Set when the program must take no new work.
-        limit: Set when the longest wait for open requests is over.
+        started: Whether the drain has begun; the program then accepts no new
+            work.
+        limit: Set when the drain limit has passed.
         open_count: Returns how many requests are still open.
     """
 
--- a/rhubarbwinch/programs/surroundings.py
+++ b/rhubarbwinch/programs/surroundings.py
@@ -1,4 +1,4 @@
-"""What a program reaches the outside by, replaced as a whole when embedded."""
+"""External dependencies of a daemon, replaced as a whole for embedding."""
 
 import attrs
 
@@ -12,18 +12,18 @@
 
 @attrs.frozen
 class Surroundings:
-    """The outside of a program.
+    """The external dependencies of a daemon.
 
     Attributes:
         clock: The source of time.
         store: The platform's store.
         links: Calls peers.
-        gossip_links: Calls peers for heartbeats. They have links of their
-            own, so that none waits for a large message and none of the peers'
-            connections is closed by others.
-        server: Answers calls of peers.
-        incarnation: The process's number, new at each start.
-        is_embedded: Whether another program serves HTTP and takes signals.
+        gossip_links: Calls peers for heartbeats. These links are separate, so
+            that no heartbeat waits for a large message and other traffic does
+            not close the connections to the peers.
+        server: Handles the calls of peers.
+        incarnation: The process's incarnation, new at each start.
+        is_embedded: Whether another program serves HTTP and handles signals.
     """
 
     clock: Clock
@@ -36,7 +36,7 @@
 
 
 def make_surroundings(settings: Settings) -> Surroundings:
-    """Returns the surroundings of a process, from its settings."""
+    """Builds the dependencies of a process from its settings."""
     incarnation = identity.new_incarnation()
     make_store = STORES.get(settings.store_kind)
     return Surroundings(
--- a/rhubarbwinch/version.py
+++ b/rhubarbwinch/version.py
@@ -2,6 +2,6 @@
 
 VERSION = "0.1.0"
 
-# Raised whenever a message between processes changes its meaning. A peer that
-# speaks another number is refused and counted.
+# Incremented whenever the meaning of a message between processes changes. A
+# message with another version is refused and logged.
 PROTOCOL_VERSION = 1
--- a/tests/programs/test_broker.py
+++ b/tests/programs/test_broker.py
@@ -1,4 +1,4 @@
-"""The broker's pools as the configuration changes under waiting requests."""
+"""Tests of the broker's pools when the configuration changes."""
 
 import random
 import unittest
@@ -16,7 +16,7 @@
 
 
 class PoolKeeperTest(unittest.TestCase):
-    """Requests that wait at a broker."""
+    """Requests that wait for a permit while pools are removed."""
 
     def setUp(self):
         self.clock = ManualClock()
--- a/tests/programs/test_cmdline.py
+++ b/tests/programs/test_cmdline.py
@@ -1,4 +1,4 @@
-"""The programs as they are installed."""
+"""Tests of the installed scripts."""
 
 import importlib
 import tomllib
--- a/tests/programs/test_config.py
+++ b/tests/programs/test_config.py
@@ -1,4 +1,4 @@
-"""Settings by flags and by the environment."""
+"""Tests of settings from flags and environment variables."""
 
 import contextlib
 import io
@@ -21,7 +21,7 @@
 
 
 def _parse(*flags, kind=EntrySettings, without="", **variables):
-    """Returns the settings of flags and of variables without their prefix."""
+    """Parses flags and variables; `variables` are named without a prefix."""
     named = {f"RHUBARBWINCH_{k.upper()}": v for k, v in variables.items()}
     environment = REQUIRED | named
     environment.pop(without, None)
@@ -46,7 +46,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """What is allowed and what is refused."""
+    """Values that are accepted and values that are rejected."""
 
     def test_defaults_hold_without_flags(self):
         settings = _parse()
--- a/tests/programs/test_control.py
+++ b/tests/programs/test_control.py
@@ -1,4 +1,4 @@
-"""The control as a process: engines come to the wanted state."""
+"""Tests of control processes that bring engines to the configured state."""
 
 import unittest
 
@@ -12,7 +12,7 @@
 
 
 class ControlTest(unittest.TestCase):
-    """Orders by processes that are killed."""
+    """Orders when the control that sends them is killed."""
 
     def test_another_control_goes_on_after_the_holder_is_killed(self):
         with Fleet(control_options=SHORT) as fleet:
--- a/tests/programs/test_ctl.py
+++ b/tests/programs/test_ctl.py
@@ -1,4 +1,4 @@
-"""The operators' command line against a store in memory and as a process."""
+"""Tests of the operators' command line, in process and as a process."""
 
 import contextlib
 import io
@@ -26,10 +26,10 @@
 
 
 class RacingStore(MemoryStore):
-    """A store in which another operator writes just before each swap."""
+    """A store in which another operator writes right before each swap."""
 
     async def swap(self, key, expected, value, lease=0):
-        """Lets the other operator win."""
+        """Writes as the other operator first, so that this swap fails."""
         current = await self.get(key)
         revision = current.revision if current else 0
         await super().swap(key, revision, b"{}")
@@ -37,7 +37,7 @@
 
 
 class ApplyTest(unittest.TestCase):
-    """Records into the store."""
+    """Writes of records and API keys to the store."""
 
     def setUp(self):
         self.store = MemoryStore(ManualClock())
@@ -91,7 +91,7 @@
 
 
 class PrintTest(unittest.TestCase):
-    """Tables for people and JSON for programs."""
+    """The table and JSON formats of results."""
 
     def test_rows_are_printed_in_both_forms(self):
         rows = [{"kind": "model", "name": "m"}, {"kind": "vm", "name": "10"}]
@@ -164,7 +164,7 @@
 
 
 class PageTest(unittest.TestCase):
-    """docs/ctl.md against the code."""
+    """The commands and statuses that docs/ctl.md lists."""
 
     def test_each_command_and_exit_status_is_on_the_page(self):
         text = (ROOT / "docs" / "ctl.md").read_text()
--- a/tests/programs/test_explain.py
+++ b/tests/programs/test_explain.py
@@ -1,4 +1,4 @@
-"""The story of one request out of the logs of all gateways."""
+"""Tests of the explanation of one request from the logs of all gateways."""
 
 import unittest
 
@@ -34,7 +34,7 @@
 
 
 class ExplainTest(unittest.TestCase):
-    """Lines in any order."""
+    """Events given in any order."""
 
     def _names(self, request):
         return [str(line) for line in story(parse(LINES), request)]
--- a/tests/programs/test_fleetstatus.py
+++ b/tests/programs/test_fleetstatus.py
@@ -1,4 +1,4 @@
-"""What operators see of a deployment."""
+"""Tests of the deployment's status as operators see it."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 
 
 class FleetStatusTest(unittest.TestCase):
-    """The command line's view."""
+    """The status of records, pools, members and leaving VMs."""
 
     @asynchronous
     async def test_it_shows_records_pools_and_leaving_vms_as_they_are(self):
