--- a/rhubarbwinch/callers/generate.py
+++ b/rhubarbwinch/callers/generate.py
@@ -107,7 +107,7 @@
                 return
             except EndpointError as error:
                 avoid.append(permit.grant.endpoint)
-                error.follow(earlier_error)
+                error.inherit_sent(earlier_error)
                 earlier_error = error
                 if not self._claim_retry(call, len(avoid), responder):
                     raise Refused(_to_failure(error)) from error
@@ -173,7 +173,7 @@
         Raises:
             Refused: Another account started it.
         """
-        if not self._ids.is_of(generation, account):
+        if not self._ids.is_owned_by(generation, account):
             raise Refused(not_run(Reason.FORBIDDEN, "not your stream"))
 
     def _reconstruct_permit(
--- a/rhubarbwinch/callers/plain.py
+++ b/rhubarbwinch/callers/plain.py
@@ -138,7 +138,7 @@
                 return await self._call_endpoint(permit, call)
             except EndpointError as error:
                 avoid.append(permit.grant.endpoint)
-                error.follow(earlier_error)
+                error.inherit_sent(earlier_error)
                 earlier_error = error
                 if len(avoid) >= MAX_ATTEMPTS:
                     raise Refused(_to_failure(error)) from error
--- a/rhubarbwinch/programs/broker.py
+++ b/rhubarbwinch/programs/broker.py
@@ -40,7 +40,7 @@
 LeavingFinder = Callable[[PoolSpec], set[str]]
 
 TICK_MS = 20
-LOAD_SILENCE_MS = 1000
+LOAD_TIMEOUT_MS = 1000
 MAX_BODY_BYTES = 64 << 10
 RETRY_AFTER_MS = 1000
 
@@ -123,7 +123,7 @@
         """Decides a request, after its wait in the pool's queue."""
         pool = self._pools.get(request.pool)
         if pool is None:
-            return _no_pool(request.pool)
+            return _refuse_unknown_pool(request.pool)
         waiter = _Waiter(request.pool)
         self._waiters[request.request_id] = waiter
         try:
@@ -131,7 +131,7 @@
                 wait_ms = self._ownership.wait_ms(request.pool)
                 await self._clock.sleep(wait_ms)
             if waiter.reply is None:
-                self._hand_out(pool.submit(request))
+                self._deliver(pool.submit(request))
             await waiter.done.wait()
         finally:
             self._waiters.pop(request.request_id, None)
@@ -143,7 +143,7 @@
         """Refuses the requests that wait for a removed pool."""
         for waiter in self._waiters.values():
             if waiter.pool == pool:
-                waiter.reply = _no_pool(pool)
+                waiter.reply = _refuse_unknown_pool(pool)
                 waiter.done.set()
 
     async def release(self, release: PermitRelease) -> None:
@@ -152,7 +152,7 @@
         if not release.pool:
             pools = list(self._pools.values())
         for pool in filter(None, pools):
-            self._hand_out(pool.release(release))
+            self._deliver(pool.release(release))
 
     async def report_progress(self, report: ProgressReport) -> None:
         """Applies an entry's report of its open streams."""
@@ -177,14 +177,14 @@
         """
         changes = []
         for pool in self._pools.values():
-            self._hand_out(pool.decide())
+            self._deliver(pool.decide())
             changes += pool.take_priority_changes()
         queued = sum(pool.queued for pool in self._pools.values())
         self._metrics.gauge(metrics.QUEUED, queued)
         self._metrics.count(metrics.YIELDS, len(changes))
         return changes
 
-    def _hand_out(self, decisions: list[Decision]) -> None:
+    def _deliver(self, decisions: list[Decision]) -> None:
         for decision in decisions:
             granted = decision.reply.grant is not None
             name = metrics.PERMITS if granted else metrics.REFUSALS
@@ -195,7 +195,7 @@
                 waiter.done.set()
 
 
-def _no_pool(name: str) -> PermitReply:
+def _refuse_unknown_pool(name: str) -> PermitReply:
     """Refuses a request; the next configuration may have the pool again."""
     failure = not_run(Reason.NO_ENDPOINT, f"no pool {name}", RETRY_AFTER_MS)
     return PermitReply(failure=failure)
@@ -206,20 +206,20 @@
 
     Args:
         settings: The broker's settings.
-        outside: The program's dependencies; None for those of a process.
+        dependencies: The program's dependencies; None for those of a process.
         endpoints: Calls endpoints; None for a client over HTTP.
     """
 
     def __init__(
         self,
         settings: BrokerSettings,
-        outside: Surroundings | None = None,
+        dependencies: Surroundings | None = None,
         endpoints: EndpointClient | None = None,
     ) -> None:
-        self._daemon = Daemon(Role.BROKER, settings, outside)
+        self._daemon = Daemon(Role.BROKER, settings, dependencies)
         self._settings = settings
-        self._endpoints = endpoints or EndpointClient(LOAD_SILENCE_MS)
-        self._keeper = PoolKeeper(
+        self._endpoints = endpoints or EndpointClient(LOAD_TIMEOUT_MS)
+        self._broker_pools = PoolKeeper(
             self._daemon.clock,
             random.Random(self._daemon.incarnation),
             self._daemon.metrics,
@@ -230,31 +230,31 @@
     async def run(self) -> None:
         """Runs until the program is stopped."""
         daemon = self._daemon
-        daemon.follower.on_change(self._keeper.configure)
+        daemon.follower.on_change(self._broker_pools.configure)
         daemon.leaving.on_change(self._mark_leaving)
         self._mark_leaving()
-        daemon.drain.open_count = lambda: self._keeper.waiting
-        daemon.server.on(PermitRequest, self._answer)
-        daemon.server.on(PermitRelease, self._keeper.release)
-        daemon.server.on(ProgressReport, self._keeper.report_progress)
-        daemon.server.on(DigestReport, self._keeper.check_digest)
+        daemon.drain.open_count = lambda: self._broker_pools.waiting
+        daemon.server.on(PermitRequest, self._handle_request)
+        daemon.server.on(PermitRelease, self._broker_pools.release)
+        daemon.server.on(ProgressReport, self._broker_pools.report_progress)
+        daemon.server.on(DigestReport, self._broker_pools.check_digest)
         daemon.serve_http(App(MAX_BODY_BYTES))
         daemon.add("tick", self._tick)
-        daemon.add("load", self._read_loads)
+        daemon.add("load", self._poll_loads)
         await daemon.run()
         await self._endpoints.close()
 
-    async def _answer(self, request: PermitRequest) -> PermitReply:
+    async def _handle_request(self, request: PermitRequest) -> PermitReply:
         with tracing.span("queue", request.traceparent, pool=request.pool):
-            return await self._keeper.answer(request)
+            return await self._broker_pools.answer(request)
 
     def _mark_leaving(self) -> None:
-        self._keeper.mark_leaving(self._daemon.leaving.endpoints_of)
+        self._broker_pools.mark_leaving(self._daemon.leaving.endpoints_of)
 
     async def _tick(self) -> None:
         while True:
             await self._daemon.clock.sleep(TICK_MS)
-            for change in self._keeper.tick():
+            for change in self._broker_pools.tick():
                 await self._send_change(change)
 
     async def _send_change(self, change: EntryChange) -> None:
@@ -268,7 +268,7 @@
                 # preempts.
                 return
 
-    async def _read_loads(self) -> None:
+    async def _poll_loads(self) -> None:
         while True:
             await self._daemon.clock.sleep(self._settings.load_poll_ms)
             snapshot = self._daemon.follower.snapshot
@@ -281,13 +281,13 @@
                         continue
                     for endpoint in spec.endpoints:
                         tasks.start_soon(
-                            self._read_load,
+                            self._poll_load,
                             name,
                             endpoint.name,
                             endpoint.address,
                         )
 
-    async def _read_load(self, pool: str, name: str, address: str) -> None:
+    async def _poll_load(self, pool: str, name: str, address: str) -> None:
         try:
             data = await self._endpoints.read_json(f"http://{address}/load")
         except EndpointError:
@@ -304,4 +304,4 @@
             step_ms=float(data["step_ms"]),
             preemptions=int(data["preemptions"]),
         )
-        self._keeper.report_load(pool, report)
+        self._broker_pools.report_load(pool, report)
--- a/rhubarbwinch/programs/claimparts.py
+++ b/rhubarbwinch/programs/claimcomponents.py
@@ -16,7 +16,7 @@
 HOUR_MS = 3_600_000
 
 
-class ClaimParts:
+class ClaimComponents:
     """The claims, the meter and the quarantine of an entry.
 
     Args:
@@ -38,11 +38,11 @@
             settings.meter_flush_ms,
         )
         self.quarantine = Quarantine(store, daemon.gossip, clock)
-        self._routed = RoutedPages(
+        self._routed_pages = RoutedPages(
             self._pages, daemon.links, daemon.members, clock
         )
         self.claims = Claims(
-            self._routed,
+            self._routed_pages,
             LinkOwners(daemon.links, daemon.members),
             ClaimFloor(store, clock),
             clock,
@@ -54,7 +54,7 @@
     def attach(self, daemon: Daemon) -> None:
         """Adds the tasks and the handlers of other members' messages."""
         daemon.server.on(ClaimQuestion, self.claims.answer)
-        daemon.server.on(PageCall, self._routed.answer)
+        daemon.server.on(PageCall, self._routed_pages.answer)
         daemon.add("claim-pages", self._pages.run)
         daemon.add("claims", self.claims.run)
         daemon.add("claim-cleaner", self._cleaner.run)
--- a/rhubarbwinch/programs/config.py
+++ b/rhubarbwinch/programs/config.py
@@ -10,7 +10,7 @@
 from rhubarbwinch.shared import settingtypes as types
 from rhubarbwinch.shared.events import LogFormat
 from rhubarbwinch.shared.exceptions import SettingError
-from rhubarbwinch.shared.settingtypes import arg
+from rhubarbwinch.shared.settingtypes import setting_arg
 from rhubarbwinch.shared.tls import TlsFiles
 from rhubarbwinch.stores import etcdstore  # noqa: F401 - registers an adapter
 from rhubarbwinch.stores.store import STORES
@@ -44,30 +44,41 @@
         trace_percent: The percentage of the traces that begin here to record.
     """
 
-    name: Annotated[str, arg("name", "", types.name, "Member name", True)]
+    name: Annotated[
+        str, setting_arg("name", "", types.name, "Member name", True)
+    ]
     data_center: Annotated[
-        str, arg("data-center", "dc", types.name, "Data centre of this VM")
+        str,
+        setting_arg("data-center", "dc", types.name, "Data centre of this VM"),
     ] = "dc"
     region: Annotated[
-        str, arg("region", "region", types.name, "Region of the data centre")
+        str,
+        setting_arg(
+            "region", "region", types.name, "Region of the data centre"
+        ),
     ] = "region"
     link: Annotated[
-        str, arg("link", "", types.address, "Address for peers", True)
+        str, setting_arg("link", "", types.address, "Address for peers", True)
     ]
     http: Annotated[
         str,
-        arg("http", "", types.address, "Address of the HTTP interface", True),
+        setting_arg(
+            "http", "", types.address, "Address of the HTTP interface", True
+        ),
     ]
     store: Annotated[
-        str, arg("store", "", types.address, "Address of the store", True)
+        str,
+        setting_arg("store", "", types.address, "Address of the store", True),
     ]
     store_kind: Annotated[
         str,
-        arg("store-kind", "etcd", types.registered(STORES), "Store adapter"),
+        setting_arg(
+            "store-kind", "etcd", types.registered(STORES), "Store adapter"
+        ),
     ] = "etcd"
     store_timeout_ms: Annotated[
         int,
-        arg(
+        setting_arg(
             "store-timeout-ms",
             1000,
             types.number(10, 60_000),
@@ -76,27 +87,37 @@
     ] = 1000
     peers: Annotated[
         list[str],
-        arg(
+        setting_arg(
             "peers", "", types.addresses, "Link addresses, with commas between"
         ),
     ] = attrs.field(factory=list)
     lease_ms: Annotated[
-        int, arg("lease-ms", 5000, types.number(1000, 600_000), "Member lease")
+        int,
+        setting_arg(
+            "lease-ms", 5000, types.number(1000, 600_000), "Member lease"
+        ),
     ] = 5000
     link_public_key: Annotated[
         str,
-        arg("link-public-key", "", types.curve_key, "CURVE public key, Z85"),
+        setting_arg(
+            "link-public-key", "", types.curve_key, "CURVE public key, Z85"
+        ),
     ] = ""
     link_secret_key: Annotated[
         str,
-        arg("link-secret-key", "", types.curve_secret, "CURVE secret key, Z85"),
+        setting_arg(
+            "link-secret-key", "", types.curve_secret, "CURVE secret key, Z85"
+        ),
     ] = attrs.field(default="", repr=False)
     drain_ms: Annotated[
-        int, arg("drain-ms", 30_000, types.number(0, 3_600_000), "Drain limit")
+        int,
+        setting_arg(
+            "drain-ms", 30_000, types.number(0, 3_600_000), "Drain limit"
+        ),
     ] = 30_000
     log_level: Annotated[
         str,
-        arg(
+        setting_arg(
             "log-level",
             "info",
             types.choice("debug", "info", "warning", "error"),
@@ -104,11 +125,12 @@
         ),
     ] = "info"
     log_format: Annotated[
-        LogFormat, arg("log-format", "text", _log_format, "Format of log lines")
+        LogFormat,
+        setting_arg("log-format", "text", _log_format, "Format of log lines"),
     ] = LogFormat.TEXT
     statsd: Annotated[
         str,
-        arg(
+        setting_arg(
             "statsd",
             "",
             types.optional(types.address),
@@ -117,12 +139,16 @@
     ] = ""
     traces: Annotated[
         str,
-        arg("traces", "", types.traces, "`log`, or URL of an OTLP collector"),
+        setting_arg(
+            "traces", "", types.traces, "`log`, or URL of an OTLP collector"
+        ),
     ] = ""
 
     trace_percent: Annotated[
         int,
-        arg("trace-percent", 100, types.number(0, 100), "Traces recorded"),
+        setting_arg(
+            "trace-percent", 100, types.number(0, 100), "Traces recorded"
+        ),
     ] = 100
 
     @property
@@ -177,13 +203,13 @@
 
     max_body_bytes: Annotated[
         int,
-        arg(
+        setting_arg(
             "max-body-bytes", 4 << 20, types.number(1024, 1 << 30), "Body limit"
         ),
     ] = 4 << 20
     body_timeout_ms: Annotated[
         int,
-        arg(
+        setting_arg(
             "body-timeout-ms",
             30_000,
             types.number(10, 600_000),
@@ -191,11 +217,12 @@
         ),
     ] = 30_000
     stream_secret: Annotated[
-        str, arg("stream-secret", "", types.secret, "Signs generation ids")
+        str,
+        setting_arg("stream-secret", "", types.secret, "Signs generation ids"),
     ] = attrs.field(default="", repr=False)
     permit_timeout_ms: Annotated[
         int,
-        arg(
+        setting_arg(
             "permit-timeout-ms",
             500,
             types.number(10, 60_000),
@@ -204,7 +231,7 @@
     ] = 500
     endpoint_silence_ms: Annotated[
         int,
-        arg(
+        setting_arg(
             "endpoint-silence-ms",
             2000,
             types.number(100, 600_000),
@@ -213,7 +240,7 @@
     ] = 2000
     claims_keep_hours: Annotated[
         int,
-        arg(
+        setting_arg(
             "claims-keep-hours",
             35 * 24,
             types.number(1, 400 * 24),
@@ -222,7 +249,7 @@
     ] = 35 * 24
     claim_writes_per_s: Annotated[
         int,
-        arg(
+        setting_arg(
             "claim-writes-per-s",
             50,
             types.number(1, 10_000),
@@ -231,7 +258,7 @@
     ] = 50
     meter_flush_ms: Annotated[
         int,
-        arg(
+        setting_arg(
             "meter-flush-ms",
             5_000,
             types.number(100, 600_000),
@@ -240,7 +267,7 @@
     ] = 5_000
     resume_grace_ms: Annotated[
         int,
-        arg(
+        setting_arg(
             "resume-grace-ms",
             10_000,
             types.number(0, 600_000),
@@ -248,11 +275,14 @@
         ),
     ] = 10_000
     certfile: Annotated[
-        str, arg("certfile", "", types.file, "Certificate for callers, PEM")
+        str,
+        setting_arg("certfile", "", types.file, "Certificate for callers, PEM"),
     ] = ""
     keyfile: Annotated[
         str,
-        arg("keyfile", "", types.file, "Private key of the certificate, PEM"),
+        setting_arg(
+            "keyfile", "", types.file, "Private key of the certificate, PEM"
+        ),
     ] = ""
 
     @property
@@ -286,7 +316,7 @@
 
     placement: Annotated[
         str,
-        arg(
+        setting_arg(
             "placement",
             "quantile",
             types.registered(POLICIES),
@@ -295,7 +325,7 @@
     ] = "quantile"
     load_poll_ms: Annotated[
         int,
-        arg(
+        setting_arg(
             "load-poll-ms", 250, types.number(10, 60_000), "Load poll interval"
         ),
     ] = 250
@@ -317,7 +347,7 @@
 
     engine_adapter: Annotated[
         str,
-        arg(
+        setting_arg(
             "engine-adapter",
             "http",
             types.name,
@@ -326,7 +356,7 @@
     ] = "http"
     order_lease_ms: Annotated[
         int,
-        arg(
+        setting_arg(
             "order-lease-ms",
             10_000,
             types.number(1000, 600_000),
@@ -335,7 +365,7 @@
     ] = 10_000
     order_flight_ms: Annotated[
         int,
-        arg(
+        setting_arg(
             "order-flight-ms",
             2000,
             types.number(100, 60_000),
@@ -344,7 +374,7 @@
     ] = 2000
     loads_per_minute: Annotated[
         int,
-        arg(
+        setting_arg(
             "loads-per-minute",
             60,
             types.number(1, 100_000),
@@ -353,7 +383,7 @@
     ] = 60
     vm_list: Annotated[
         str,
-        arg(
+        setting_arg(
             "vm-list",
             "",
             types.optional(types.address),
@@ -361,5 +391,5 @@
         ),
     ] = ""
     vm_list_kind: Annotated[
-        str, arg("vm-list-kind", "json", types.name, "VM list adapter")
+        str, setting_arg("vm-list-kind", "json", types.name, "VM list adapter")
     ] = "json"
--- a/rhubarbwinch/programs/control.py
+++ b/rhubarbwinch/programs/control.py
@@ -32,17 +32,17 @@
         self._publishing = Publishing(
             publisher, daemon.store, daemon.members, daemon.clock
         )
-        self._vms = None
+        self._vm_list_reader = None
         if settings.vm_list:
             make_list = VM_LISTS.get(settings.vm_list_kind)
-            self._vms = VmListReader(
+            self._vm_list_reader = VmListReader(
                 make_list(settings.vm_list),
                 daemon.members,
                 daemon.leaving,
                 daemon.clock,
             )
         make_client = ENGINE_ADAPTERS.get(settings.engine_adapter)
-        self._client = make_client(settings.order_flight_ms)
+        self._engine_client = make_client(settings.order_flight_ms)
         self._fencing = Fencing(
             self._daemon.store,
             self._daemon.clock,
@@ -54,7 +54,7 @@
         self._orderer = Orderer(
             settings.name,
             self._fencing,
-            self._client,
+            self._engine_client,
             LoadPacer(self._daemon.clock, settings.loads_per_minute),
             end_if_paused,
         )
@@ -63,34 +63,34 @@
         """Runs until the program is stopped."""
         self._daemon.serve_http(App(MAX_BODY_BYTES))
         self._daemon.add("publisher", self._publishing.run)
-        if self._vms is not None:
-            self._daemon.add("vm-list", self._vms.run)
-        self._daemon.add("order-lease", self._keep_lease)
-        self._daemon.add("orders", self._give_orders)
+        if self._vm_list_reader is not None:
+            self._daemon.add("vm-list", self._vm_list_reader.run)
+        self._daemon.add("order-lease", self._renew_lease)
+        self._daemon.add("orders", self._send_orders)
         await self._daemon.run()
-        await self._client.close()
+        await self._engine_client.close()
 
     @property
-    def _controls(self) -> list[str]:
+    def _control_names(self) -> list[str]:
         return [m.name for m in self._daemon.members.serving(Role.CONTROL)]
 
-    async def _keep_lease(self) -> None:
+    async def _renew_lease(self) -> None:
         """Renews the lease for orders.
 
         This is a task of its own because slow endpoints delay the orders.
         """
-        period = self._settings.order_lease_ms // RENEWALS_PER_LEASE
+        period_ms = self._settings.order_lease_ms // RENEWALS_PER_LEASE
         try:
             while True:
                 snapshot = self._daemon.follower.snapshot
-                await self._orderer.keep(snapshot, self._controls)
-                await self._daemon.clock.sleep(period)
+                await self._orderer.keep(snapshot, self._control_names)
+                await self._daemon.clock.sleep(period_ms)
         finally:
             with anyio.CancelScope(shield=True), anyio.move_on_after(1):
                 await self._fencing.close()
 
-    async def _give_orders(self) -> None:
+    async def _send_orders(self) -> None:
         while True:
             snapshot = self._daemon.follower.snapshot
-            await self._orderer.converge(snapshot, len(self._controls))
+            await self._orderer.converge(snapshot, len(self._control_names))
             await self._daemon.clock.sleep(ORDER_PERIOD_MS)
--- a/rhubarbwinch/programs/ctl.py
+++ b/rhubarbwinch/programs/ctl.py
@@ -37,7 +37,7 @@
     Raises:
         RecordError: A file or record is not valid.
     """
-    found = []
+    parsed = []
     for path in paths:
         try:
             data = Path(path).read_bytes()
@@ -49,21 +49,21 @@
             raise RecordError(
                 path, "-", str(error), "a readable file"
             ) from None
-        found += [records.parse(item, path) for item in items]
-    return found
+        parsed += [records.parse(item, path) for item in items]
+    return parsed
 
 
 def check_records(items: list[Record]) -> list[RecordError]:
     """Returns every error in the records, including duplicate names."""
-    found: list[RecordError] = []
+    record_errors: list[RecordError] = []
     seen: set[str] = set()
     for record in items:
-        found += records.errors(record)
+        record_errors += records.errors(record)
         if record.key in seen:
             error = RecordError(record.key, "name", record.name, "given once")
-            found.append(error)
+            record_errors.append(error)
         seen.add(record.key)
-    return found
+    return record_errors
 
 
 async def apply(store: Store, items: list[Record]) -> list[Record]:
@@ -122,12 +122,12 @@
     current = await store.get(key)
     if current is None:
         raise RecordError(f"account/{account}", "name", account, "an account")
-    made = secretkeys.make_api_key(account)
-    record = secretkeys.add_key(records.parse(current.value), made.hashed)
+    api_key = secretkeys.make_api_key(account)
+    record = secretkeys.add_key(records.parse(current.value), api_key.hashed)
     swap = await store.swap(key, current.revision, record.to_bytes())
     if not swap.won:
         raise ConflictError(record.key, swap.revision)
-    return made
+    return api_key
 
 
 async def list_records(store: Store, kind: str = "") -> list[Record]:
--- a/rhubarbwinch/programs/ctlcommands.py
+++ b/rhubarbwinch/programs/ctlcommands.py
@@ -198,23 +198,23 @@
     try:
         match command.command:
             case Validate(files):
-                found = ctl.read_records(files)
-                _check(found, command.output)
-                ctl.print_rows(_rows(found), command.output)
+                items = ctl.read_records(files)
+                _exit_on_errors(items, command.output)
+                ctl.print_rows(_record_rows(items), command.output)
             case MakeLinkKeys():
                 ctl.print_rows(_link_key_rows(), command.output)
             case HashKey(account):
-                made = secretkeys.make_api_key(account)
-                ctl.print_rows([_api_key_row(made)], command.output)
+                api_key = secretkeys.make_api_key(account)
+                ctl.print_rows([_api_key_row(api_key)], command.output)
             case AddKey(account):
-                made = await ctl.add_key(store, account)
-                ctl.print_rows([_api_key_row(made)], command.output)
+                api_key = await ctl.add_key(store, account)
+                ctl.print_rows([_api_key_row(api_key)], command.output)
             case Apply(files):
-                found = await ctl.apply(store, ctl.read_records(files))
-                ctl.print_rows(_rows(found), command.output)
+                items = await ctl.apply(store, ctl.read_records(files))
+                ctl.print_rows(_record_rows(items), command.output)
             case ListRecords(kind):
-                found = await ctl.list_records(store, kind)
-                ctl.print_rows(_rows(found), command.output)
+                items = await ctl.list_records(store, kind)
+                ctl.print_rows(_record_rows(items), command.output)
             case GetRecord(key):
                 state = await fleetstatus.get_record(store, key)
                 ctl.print_rows([_record_row(state)], command.output)
@@ -235,10 +235,10 @@
         await store.close()
 
 
-def _check(items: list[Record], output: Output) -> None:
+def _exit_on_errors(items: list[Record], output: Output) -> None:
     """Prints every error in the records and exits if there is any."""
-    found = ctl.check_records(items)
-    if not found:
+    errors = ctl.check_records(items)
+    if not errors:
         return
     if output is Output.JSON:
         rows = [
@@ -248,10 +248,10 @@
                 "value": error.value,
                 "allowed": error.allowed,
             }
-            for error in found
+            for error in errors
         ]
         ctl.print_rows(rows, output)
-    for error in found:
+    for error in errors:
         sys.stderr.write(f"rhubarbwinchctl: {error}\n")
     sys.exit(ExitStatus.INVALID)
 
@@ -264,13 +264,13 @@
     ]
 
 
-def _api_key_row(made: ApiKey) -> dict[str, Any]:
+def _api_key_row(api_key: ApiKey) -> dict[str, Any]:
     """Returns a new key as a row; the secret can't be shown again."""
     return {
-        "account": made.account,
-        "api_key": made.secret,
-        "salt": made.hashed.salt,
-        "digest": made.hashed.digest,
+        "account": api_key.account,
+        "api_key": api_key.secret,
+        "salt": api_key.hashed.salt,
+        "digest": api_key.hashed.digest,
     }
 
 
@@ -283,8 +283,8 @@
     return [attrs.asdict(t) for t in await audit.list_tokens(store, period)]
 
 
-def _rows(found: list[Any]) -> list[dict[str, Any]]:
-    return [{"kind": r.kind, "name": r.name, "schema": r.schema} for r in found]
+def _record_rows(items: list[Any]) -> list[dict[str, Any]]:
+    return [{"kind": r.kind, "name": r.name, "schema": r.schema} for r in items]
 
 
 def _record_row(state: RecordState) -> dict[str, Any]:
@@ -306,10 +306,10 @@
     match wanted:
         case StatusOf.MEMBERS:
             return [
-                attrs.asdict(found.member)
-                | {"in_force": found.generation}
+                attrs.asdict(member_status.member)
+                | {"in_force": member_status.generation}
                 | accepted
-                for found in status.members
+                for member_status in status.members
             ]
         case StatusOf.POOLS:
             return [attrs.asdict(pool) | accepted for pool in status.pools]
--- a/rhubarbwinch/programs/daemon.py
+++ b/rhubarbwinch/programs/daemon.py
@@ -16,8 +16,8 @@
 from rhubarbwinch.membership.members import Member, Members, MemberState, Role
 from rhubarbwinch.membership.registration import Registration
 from rhubarbwinch.programs.config import Settings
-from rhubarbwinch.programs.probes import Drain, Probes
-from rhubarbwinch.programs.surroundings import Surroundings, make_surroundings
+from rhubarbwinch.programs.probes import DrainState, Probes
+from rhubarbwinch.programs.surroundings import Surroundings, make_dependencies
 from rhubarbwinch.shared import events, metrics, misc
 from rhubarbwinch.shared.exceptions import StoreError
 from rhubarbwinch.shared.metrics import Metrics
@@ -27,9 +27,9 @@
 from rhubarbwinch.stores.tracedstore import TracedStore
 
 DRAIN_CHECK_MS = 20
-LEAVING_NOTICE_MS = 500
-FINAL_EVENTS_MS = 200
-MAX_CLOSE_S = 5.0
+LEAVING_PROPAGATION_MS = 500
+FINAL_EVENTS_WAIT_MS = 200
+CLOSE_TIMEOUT_S = 5.0
 MAX_HEADER_BYTES = 32 << 10
 
 
@@ -39,27 +39,27 @@
     Args:
         role: The program's role.
         settings: The program's settings.
-        outside: The program's dependencies; None to build those of a process
-            from the settings.
+        dependencies: The program's dependencies; None to build those of a
+            process from the settings.
     """
 
     def __init__(
         self,
         role: Role,
         settings: Settings,
-        outside: Surroundings | None = None,
+        dependencies: Surroundings | None = None,
     ) -> None:
-        outside = outside or make_surroundings(settings)
+        dependencies = dependencies or make_dependencies(settings)
         self.settings = settings
-        self.clock = outside.clock
-        self.incarnation = outside.incarnation
+        self.clock = dependencies.clock
+        self.incarnation = dependencies.incarnation
         self.metrics = Metrics(settings.statsd, role)
-        self.store: Store = TracedStore(outside.store)
-        self.drain = Drain()
-        self.links = outside.links
-        self.server = outside.server
-        self._gossip_links = outside.gossip_links
-        self._is_embedded = outside.is_embedded
+        self.store: Store = TracedStore(dependencies.store)
+        self.drain = DrainState()
+        self.links = dependencies.links
+        self.server = dependencies.server
+        self._gossip_links = dependencies.gossip_links
+        self._is_embedded = dependencies.is_embedded
         rng = random.Random(self.incarnation)
         me = Member(
             settings.name,
@@ -97,21 +97,21 @@
         )
         self.leaving = LeavingVms(self.gossip, self.clock)
         self.follower.on_change(self.leaving.configure)
-        self.leaving.on_change(self._follow_notice)
+        self.leaving.on_change(self._update_state)
         self.follower.on_change(
             lambda snapshot: self.metrics.gauge(
                 metrics.GENERATION, snapshot.generation
             )
         )
-        self._tree = Supervisor(settings.name, self.clock)
+        self._supervisor = Supervisor(settings.name, self.clock)
         self._shutdown = anyio.Event()
-        self._closed = anyio.Event()
+        self._http_closed = anyio.Event()
         # A program without an HTTP interface has no connections to close.
-        self._closed.set()
+        self._http_closed.set()
 
     def add(self, name: str, run: Callable[[], Awaitable[None]]) -> None:
         """Adds a task to the supervisor tree; call it before `run`."""
-        self._tree.add(name, run)
+        self._supervisor.add(name, run)
 
     def serve_http(self, app: App, tls: TlsFiles | None = None) -> None:
         """Adds the HTTP interface with the probes; call it before `run`."""
@@ -125,14 +125,14 @@
         config.h11_max_incomplete_size = MAX_HEADER_BYTES
         config.keep_alive_timeout = 75
         if tls is not None:
-            tls.use_in(config)
+            tls.apply_to(config)
 
         server = HttpServer(app, config)
-        self._closed = anyio.Event()
+        self._http_closed = anyio.Event()
 
         async def run() -> None:
             await server.run(self._shutdown)
-            self._closed.set()
+            self._http_closed.set()
 
         self.add("http", run)
 
@@ -154,7 +154,7 @@
                 if not self._is_embedded:
                     tasks.start_soon(self._watch_signals, tasks)
                 events.STARTED.log(name=self.settings.name)
-                await self._tree.run()
+                await self._supervisor.run()
                 tasks.cancel_scope.cancel()
         except* Exception as group:
             # The task group wraps the tree's exception in an exception group.
@@ -191,19 +191,21 @@
         # During this wait all members learn that this one is leaving. Callers
         # that still use this address are refused with a list of other entries
         # instead of failing to connect.
-        await self.clock.sleep(min(self.settings.drain_ms, LEAVING_NOTICE_MS))
+        await self.clock.sleep(
+            min(self.settings.drain_ms, LEAVING_PROPAGATION_MS)
+        )
         while self.drain.open_count() and self.clock.now() < end:
             await self.clock.sleep(DRAIN_CHECK_MS)
         if self.drain.open_count():
             events.DRAIN_LIMIT.log(open=self.drain.open_count())
             self.drain.limit.set()
-            await self.clock.sleep(FINAL_EVENTS_MS)
+            await self.clock.sleep(FINAL_EVENTS_WAIT_MS)
         self._shutdown.set()
         await self.gossip.announce_end()
-        with anyio.move_on_after(MAX_CLOSE_S):
-            await self._closed.wait()
+        with anyio.move_on_after(CLOSE_TIMEOUT_S):
+            await self._http_closed.wait()
 
-    def _follow_notice(self) -> None:
+    def _update_state(self) -> None:
         """Sets this member's state by the leaving notices of its VM."""
         host = misc.split_address(self.settings.link)[0]
         is_leaving = host in self.leaving.hosts or self.drain.started
--- a/rhubarbwinch/programs/entry.py
+++ b/rhubarbwinch/programs/entry.py
@@ -20,7 +20,7 @@
 from rhubarbwinch.http.httpapi import App, Handler, Refused, Request, Responder
 from rhubarbwinch.links.messages import PriorityChange, StreamTake
 from rhubarbwinch.membership.members import Role
-from rhubarbwinch.programs.claimparts import ClaimParts
+from rhubarbwinch.programs.claimcomponents import ClaimComponents
 from rhubarbwinch.programs.config import EntrySettings
 from rhubarbwinch.programs.daemon import Daemon
 from rhubarbwinch.programs.surroundings import Surroundings
@@ -37,17 +37,17 @@
 
     Args:
         settings: The entry's settings.
-        outside: The program's dependencies; None for those of a process.
+        dependencies: The program's dependencies; None for those of a process.
         endpoints: Calls endpoints; None for a client over HTTP.
     """
 
     def __init__(
         self,
         settings: EntrySettings,
-        outside: Surroundings | None = None,
+        dependencies: Surroundings | None = None,
         endpoints: EndpointClient | None = None,
     ) -> None:
-        daemon = Daemon(Role.ENTRY, settings, outside)
+        daemon = Daemon(Role.ENTRY, settings, dependencies)
         self._daemon = daemon
         self._keys = KeyChecker()
         self._endpoints = endpoints or EndpointClient(
@@ -60,7 +60,7 @@
             daemon.metrics,
         )
         ids = identity.IdMaker(daemon.incarnation, settings.stream_secret)
-        self._claims = ClaimParts(daemon, settings)
+        self._claims = ClaimComponents(daemon, settings)
         self._streams = OpenStreams(
             self._permits,
             self._endpoints,
@@ -86,14 +86,14 @@
             settings.name,
             settings.data_center,
         )
-        self._guarded = GuardedGenerationRunner(
+        self._guarded_runner = GuardedGenerationRunner(
             self._runner,
             self._claims.quarantine,
             self._claims.claims,
             self._permits,
             self._endpoints,
         )
-        self._plain = PlainCaller(
+        self._plain_services = PlainCaller(
             self._permits,
             self._endpoints,
             self._claims.claims,
@@ -108,7 +108,7 @@
             daemon.links,
             daemon.clock,
         )
-        self._open = 0
+        self._open_count = 0
         self._tls = settings.tls
         if not settings.stream_secret:
             events.NO_STREAM_SECRET.log()
@@ -127,15 +127,15 @@
     async def run(self) -> None:
         """Runs until the program is stopped."""
         daemon = self._daemon
-        generate = self._observed(self._generate)
+        generate = self._instrument(self._generate)
         self._app.route("POST", "/v1/completions", generate)
         self._app.route("POST", "/v1/chat/completions", generate)
-        self._app.route("GET", "/v1/entries", self._entries)
+        self._app.route("GET", "/v1/entries", self._list_entries)
         self._app.route("GET", "/v1/models", self._list_models)
-        self._app.route("*", PREFIX, self._observed(self._call_plain))
+        self._app.route("*", PREFIX, self._instrument(self._call_plain))
         daemon.server.on(StreamTake, self._streams.hand_over)
         daemon.server.on(PriorityChange, self._streams.change_priority)
-        daemon.drain.open_count = lambda: self._open
+        daemon.drain.open_count = lambda: self._open_count
         self._app.is_closing = lambda: daemon.drain.started
         daemon.serve_http(self._app, self._tls)
         daemon.add("reports", self._reporter.run)
@@ -144,7 +144,7 @@
         await daemon.run()
         await self._endpoints.close()
 
-    def _observed(self, handle: Handler) -> Handler:
+    def _instrument(self, handle: Handler) -> Handler:
         """Wraps a handler in a span and in metrics."""
         counters = self._daemon.metrics
 
@@ -155,14 +155,14 @@
                     await handle(request, responder)
                 except Refused as refused:
                     counters.count(metrics.FAILURES)
-                    tracing.mark_failure(refused.failure)
+                    tracing.record_failure(refused.failure)
                     raise
                 finally:
-                    counters.gauge(metrics.OPEN_STREAMS, self._open)
+                    counters.gauge(metrics.OPEN_STREAMS, self._open_count)
 
         return run
 
-    def _account(self, request: Request) -> str:
+    def _authenticate(self, request: Request) -> str:
         """Authenticates a request and returns the caller's account.
 
         Raises:
@@ -170,7 +170,7 @@
         """
         if self._daemon.drain.started:
             detail = "this entry is leaving; others: " + ", ".join(
-                self._others()
+                self._other_entries()
             )
             raise Refused(not_run(Reason.DRAINING, detail, RETRY_AFTER_MS))
         snapshot = self._daemon.follower.snapshot
@@ -180,7 +180,7 @@
         self._daemon.metrics.count(metrics.REQUESTS)
         return account
 
-    def _others(self) -> list[str]:
+    def _other_entries(self) -> list[str]:
         """Returns the addresses of the other entries that are serving."""
         members = self._daemon.members
         return [
@@ -194,22 +194,22 @@
             self._daemon.drain.limit,
             partial(self._start_or_resume, request, responder),
             responder,
-            self._others,
+            self._other_entries,
         )
 
     async def _start_or_resume(
         self, request: Request, responder: Responder
     ) -> None:
-        account = self._account(request)
+        account = self._authenticate(request)
         snapshot = self._daemon.follower.snapshot
-        self._open += 1
+        self._open_count += 1
         try:
-            last = request.headers.get("last-event-id")
-            if last is None:
+            last_event_id = request.headers.get("last-event-id")
+            if last_event_id is None:
                 call = parse_call(account, request, snapshot)
-                await self._guarded.serve(call, snapshot, responder)
+                await self._guarded_runner.serve(call, snapshot, responder)
                 return
-            after = identity.parse_event_id(last)
+            after = identity.parse_event_id(last_event_id)
             if after is None:
                 raise Refused(not_run(Reason.BAD_REQUEST, "Last-Event-ID"))
             self._runner.check_owner(account, after.generation)
@@ -220,26 +220,30 @@
                 account, after, snapshot, responder, permit
             )
         finally:
-            self._open -= 1
+            self._open_count -= 1
 
     async def _call_plain(self, request: Request, responder: Responder) -> None:
         await run_until_limit(
             self._daemon.drain.limit,
             partial(self._forward, request, responder),
             responder,
-            self._others,
+            self._other_entries,
         )
 
     async def _forward(self, request: Request, responder: Responder) -> None:
-        account = self._account(request)
+        account = self._authenticate(request)
         snapshot = self._daemon.follower.snapshot
-        self._open += 1
+        self._open_count += 1
         try:
-            await self._plain.serve(account, request, snapshot, responder)
+            await self._plain_services.serve(
+                account, request, snapshot, responder
+            )
         finally:
-            self._open -= 1
+            self._open_count -= 1
 
-    async def _entries(self, request: Request, responder: Responder) -> None:
+    async def _list_entries(
+        self, request: Request, responder: Responder
+    ) -> None:
         """Lists the entries, in an order that depends on the account."""
         snapshot = self._daemon.follower.snapshot
         account = self._keys.account_of(request.api_key, snapshot) or ""
@@ -260,6 +264,6 @@
         self, request: Request, responder: Responder
     ) -> None:
         """Lists the account's generation services in OpenAI's format."""
-        account = self._account(request)
+        account = self._authenticate(request)
         snapshot = self._daemon.follower.snapshot
         await responder.json(models.model_list(account, snapshot))
--- a/rhubarbwinch/programs/explain.py
+++ b/rhubarbwinch/programs/explain.py
@@ -19,7 +19,7 @@
 
 # Events about a gateway's state and its view of the cluster, which explain its
 # decisions on requests.
-BELIEFS = frozenset(
+STATE_EVENTS = frozenset(
     {
         "store-down",
         "store-up",
@@ -37,11 +37,11 @@
 ENDPOINT_FIELDS = ("endpoint", "source", "target")
 # Events this long before a request are printed too, as they may explain the
 # first decision on the request.
-BEFORE_MS = 3_000
+CONTEXT_BEFORE_MS = 3_000
 
 
 @attrs.frozen
-class Line:
+class LogEvent:
     """A log event.
 
     Attributes:
@@ -66,26 +66,26 @@
         }
 
     def __str__(self) -> str:
-        told = " ".join(
+        field_text = " ".join(
             f"{name}={value}"
             for name, value in self.fields.items()
             if name not in ("request", "settings")
         )
-        clock = self.time.partition("T")[2].partition("+")[0]
-        return f"{clock} {self.process} {self.name}: {told}"
+        time_of_day = self.time.partition("T")[2].partition("+")[0]
+        return f"{time_of_day} {self.process} {self.name}: {field_text}"
 
 
-def parse(lines: Iterable[bytes]) -> list[Line]:
+def parse(lines: Iterable[bytes]) -> list[LogEvent]:
     """Returns the events of JSON lines by time; skips other lines."""
-    found = []
+    events = []
     for line in lines:
         start = line.find(b'{"time"')
         if start < 0:
             continue
         try:
             event = orjson.loads(line[start:])
-            found.append(
-                Line(
+            events.append(
+                LogEvent(
                     event["time"],
                     event["process"],
                     event["name"],
@@ -95,27 +95,29 @@
         except (orjson.JSONDecodeError, KeyError) as error:
             sys.stderr.write(f"not an event ({error!r}): {line[:80]!r}\n")
     # The sort is stable: events of the same millisecond keep their order.
-    return sorted(found, key=lambda line: line.time)
+    return sorted(events, key=lambda line: line.time)
 
 
-def story(lines: list[Line], request: str) -> list[Line]:
+def select_events(lines: list[LogEvent], request: str) -> list[LogEvent]:
     """Returns the events that explain what happened to a request."""
-    own = [line for line in lines if line.fields.get("request") == request]
-    if not own:
+    request_lines = [
+        line for line in lines if line.fields.get("request") == request
+    ]
+    if not request_lines:
         return []
-    processes = {line.process for line in own}
-    endpoints = set().union(*(line.endpoints for line in own))
-    first = _earlier(own[0].time, BEFORE_MS)
-    last = own[-1].time
+    processes = {line.process for line in request_lines}
+    endpoints = set().union(*(line.endpoints for line in request_lines))
+    first = _earlier(request_lines[0].time, CONTEXT_BEFORE_MS)
+    last = request_lines[-1].time
     return [
         line
         for line in lines
-        if line in own
+        if line in request_lines
         or (
             first <= line.time <= last
             and line.process in processes
             and "request" not in line.fields
-            and (line.name in BELIEFS or line.endpoints & endpoints)
+            and (line.name in STATE_EVENTS or line.endpoints & endpoints)
         )
     ]
 
@@ -136,9 +138,9 @@
     )
     parser.add_argument("request", help="the id of the request")
     request = parser.parse_args(argv).request
-    found = story(parse(sys.stdin.buffer), request)
-    for line in found:
+    events = select_events(parse(sys.stdin.buffer), request)
+    for line in events:
         print(line)
-    if not found:
+    if not events:
         sys.stderr.write(f"no line of the request {request}\n")
         sys.exit(ExitStatus.FAILED)
--- a/rhubarbwinch/programs/fleetstatus.py
+++ b/rhubarbwinch/programs/fleetstatus.py
@@ -16,7 +16,7 @@
 from rhubarbwinch.stores.store import Store
 
 READ_TIMEOUT_S = 2.0
-MAX_READS_AT_ONCE = 32
+MAX_CONCURRENT_READS = 32
 
 
 @attrs.frozen
@@ -112,7 +112,7 @@
     return FleetStatus(
         snapshot.generation,
         await _read_generations(members),
-        _pools(snapshot, members, leaving),
+        _pool_statuses(snapshot, members, leaving),
         leaving,
     )
 
@@ -157,7 +157,7 @@
     await ctl.write(store, record, current.revision if current else 0)
 
 
-def _pools(
+def _pool_statuses(
     snapshot: Snapshot, members: list[Member], leaving: list[str]
 ) -> list[PoolStatus]:
     brokers = [
@@ -177,18 +177,20 @@
 
 
 async def _read_generations(members: list[Member]) -> list[MemberStatus]:
-    found: dict[str, int | None] = {}
-    limiter = anyio.CapacityLimiter(MAX_READS_AT_ONCE)
+    generations: dict[str, int | None] = {}
+    limiter = anyio.CapacityLimiter(MAX_CONCURRENT_READS)
     async with httpx.AsyncClient(timeout=READ_TIMEOUT_S) as client:
 
         async def read(member: Member) -> None:
             async with limiter:
-                found[member.name] = await _read_generation(client, member)
+                generations[member.name] = await _read_generation(
+                    client, member
+                )
 
         async with anyio.create_task_group() as tasks:
             for member in members:
                 tasks.start_soon(read, member)
-    return [MemberStatus(m, found[m.name]) for m in members]
+    return [MemberStatus(m, generations[m.name]) for m in members]
 
 
 async def _read_generation(
--- a/rhubarbwinch/programs/gatewaymain.py
+++ b/rhubarbwinch/programs/gatewaymain.py
@@ -25,12 +25,12 @@
 from rhubarbwinch.shared.logoutput import LineOutput
 from rhubarbwinch.version import VERSION
 
-PREFIX = "RHUBARBWINCH_"
+ENV_PREFIX = "RHUBARBWINCH_"
 DEFAULT_PLATFORM = "kielichowa"
 DEFAULT_METRICS_PORT = 9464
 LEVELS = ("debug", "info", "warning", "error")
 STORE_TIMEOUT_MS = 1_000
-_STANDARD_OUTPUT = 1
+_STDOUT_DESCRIPTOR = 1
 
 
 @attrs.frozen(kw_only=True)
@@ -72,16 +72,20 @@
         "an environment variable; the flag wins.",
     )
     parser.add_argument("--version", action="version", version=VERSION)
-    _add(parser, "settings", "", "the platform's settings file", "required")
-    _add(parser, "platform", DEFAULT_PLATFORM, "the platform's adapter")
-    _add(
+    _add_option(
+        parser, "settings", "", "the platform's settings file", "required"
+    )
+    _add_option(parser, "platform", DEFAULT_PLATFORM, "the platform's adapter")
+    _add_option(
         parser,
         "metrics-port",
         str(DEFAULT_METRICS_PORT),
         "the port at which metrics are served",
     )
-    _add(parser, "log-level", "info", f"one of {', '.join(LEVELS)}")
-    _add(parser, "traces", "", "spans: `log` or the URL of an OTLP collector")
+    _add_option(parser, "log-level", "info", f"one of {', '.join(LEVELS)}")
+    _add_option(
+        parser, "traces", "", "spans: `log` or the URL of an OTLP collector"
+    )
     return parser
 
 
@@ -93,23 +97,23 @@
             was printed.
     """
     parser = make_parser()
-    found = parser.parse_args(argv)
-    if not found.settings:
+    options = parser.parse_args(argv)
+    if not options.settings:
         parser.error("--settings is required")
-    if found.platform not in PLATFORMS:
+    if options.platform not in PLATFORMS:
         parser.error(f"--platform: one of {', '.join(PLATFORMS)}")
-    if found.log_level not in LEVELS:
+    if options.log_level not in LEVELS:
         parser.error(f"--log-level: one of {', '.join(LEVELS)}")
-    if not found.metrics_port.isdigit():
+    if not options.metrics_port.isdigit():
         parser.error("--metrics-port: a whole number")
-    if found.traces and not _is_trace_target(found.traces):
+    if options.traces and not _is_trace_target(options.traces):
         parser.error("--traces: `log` or an http URL")
     return GatewayOptions(
-        settings=found.settings,
-        platform=found.platform,
-        metrics_port=int(found.metrics_port),
-        log_level=found.log_level,
-        traces=found.traces,
+        settings=options.settings,
+        platform=options.platform,
+        metrics_port=int(options.metrics_port),
+        log_level=options.log_level,
+        traces=options.traces,
     )
 
 
@@ -118,18 +122,18 @@
     return text == "log" or text.startswith(("http://", "https://"))
 
 
-def _add(
+def _add_option(
     parser: argparse.ArgumentParser,
     name: str,
     default: str,
     text: str,
-    empty: str = "none",
+    shown_if_empty: str = "none",
 ) -> None:
-    variable = PREFIX + name.upper().replace("-", "_")
+    variable = ENV_PREFIX + name.upper().replace("-", "_")
     parser.add_argument(
         f"--{name}",
         default=os.environ.get(variable, default),
-        help=f"{text} [{variable}] (default: {default or empty})",
+        help=f"{text} [{variable}] (default: {default or shown_if_empty})",
     )
 
 
@@ -146,32 +150,32 @@
 
 def main() -> None:
     """Runs `rhubarbwinch-gateway`."""
-    found = parse()
+    options = parse()
     try:
-        settings = found.load()
+        settings = options.load()
     except SettingError as error:
         sys.stderr.write(f"{error}\n")
         sys.exit(ExitStatus.USAGE)
     lines = LineOutput(
-        _STANDARD_OUTPUT, SystemClock(), statistics.LOG_LINES_DROPPED.inc
+        _STDOUT_DESCRIPTOR, SystemClock(), statistics.LOG_LINES_DROPPED.inc
     )
-    events.configure(LogFormat.JSON, found.log_level, settings.name, lines)
+    events.configure(LogFormat.JSON, options.log_level, settings.name, lines)
 
-    tracer = make_tracer(found.traces, settings.name)
+    tracer = make_tracer(options.traces, settings.name)
 
     async def run() -> None:
         check_no_io_uring()
         transport = make_transport()
-        outside = Outside(
-            platform=PLATFORMS.get(found.platform)(),
+        dependencies = Outside(
+            platform=PLATFORMS.get(options.platform)(),
             store=PlatformStore(settings.store, STORE_TIMEOUT_MS),
             transport=transport,
             engine_calls=PlatformEngineCalls(transport),
-            load_settings=found.load,
+            load_settings=options.load,
             lines=lines,
             tracer=tracer,
         )
-        await Gateway(settings, outside).run()
+        await Gateway(settings, dependencies).run()
 
     try:
         anyio.run(run)
--- a/rhubarbwinch/programs/options.py
+++ b/rhubarbwinch/programs/options.py
@@ -15,52 +15,55 @@
 
 T = TypeVar("T")
 
-USAGE = 2
-_INVALID = re.compile(r"Invalid value for '--([\w-]+)': (.*)")
+USAGE_STATUS = 2
+_INVALID_VALUE = re.compile(r"Invalid value for '--([\w-]+)': (.*)")
 _NO_VALUE = re.compile(r"Option '-*([\w-]+)' requires an argument")
 _UNKNOWN = re.compile(r"Unrecognized arguments: (.*)")
 _MARKUP = re.compile(r"\[/?cappa\.\w+\]")
 # Variables that only rhubarbwinchctl reads, without their prefix.
-_NOT_SETTINGS = ("OUTPUT",)
+_CTL_VARIABLES = ("OUTPUT",)
 
 
-class _OneLine(cappa.Output):
+class _OneLineOutput(cappa.Output):
     """Prints an error as one line, without cappa's usage text."""
 
     def error(self, message: Any, **_: Any) -> None:
         """Prints an error to stderr."""
-        found = message.message if isinstance(message, cappa.Exit) else message
-        plain = _MARKUP.sub("", " ".join(str(found).split()))
-        sys.stderr.write(_reword(plain) + "\n")
+        text = message.message if isinstance(message, cappa.Exit) else message
+        plain = _MARKUP.sub("", " ".join(str(text).split()))
+        sys.stderr.write(_reformat(plain) + "\n")
 
 
-def _reword(message: str) -> str:
+def _reformat(message: str) -> str:
     """Returns cappa's error message in the format of `SettingError`."""
-    if found := _INVALID.fullmatch(message):
-        return f"setting {_label(found[1])}: {found[2]}"
-    if found := _NO_VALUE.fullmatch(message):
-        name = found[1].lower().replace("_", "-")
-        known = settingtypes.info(name)
-        if known is None:
+    if matched := _INVALID_VALUE.fullmatch(message):
+        return f"setting {_setting_label(matched[1])}: {matched[2]}"
+    if matched := _NO_VALUE.fullmatch(message):
+        name = matched[1].lower().replace("_", "-")
+        setting = settingtypes.info(name)
+        if setting is None:
             return f"argument {name}: no value"
-        return f"setting {_label(name)}: no value; allowed: {known.allowed}"
-    if found := _UNKNOWN.fullmatch(message):
-        return f"setting {found[1]}: unknown; allowed: those in --help"
+        return (
+            f"setting {_setting_label(name)}: no value; "
+            f"allowed: {setting.allowed}"
+        )
+    if matched := _UNKNOWN.fullmatch(message):
+        return f"setting {matched[1]}: unknown; allowed: those in --help"
     return message
 
 
-def _label(name: str) -> str:
-    known = settingtypes.info(name)
-    return f"--{name} ({known.variable})" if known else f"--{name}"
+def _setting_label(name: str) -> str:
+    setting = settingtypes.info(name)
+    return f"--{name} ({setting.variable})" if setting else f"--{name}"
 
 
-def fail(error: SettingError) -> NoReturn:
+def exit_with_error(error: SettingError) -> NoReturn:
     """Prints one line about a setting that is not valid and exits."""
     sys.stderr.write(
-        f"setting {_label(error.name)}: {error.value}; "
+        f"setting {_setting_label(error.name)}: {error.value}; "
         f"allowed: {error.allowed}\n"
     )
-    sys.exit(USAGE)
+    sys.exit(USAGE_STATUS)
 
 
 def parse(
@@ -88,7 +91,7 @@
         argv=arguments,
         version=VERSION,
         completion=False,
-        output=_OneLine(),
+        output=_OneLineOutput(),
     )
 
 
@@ -107,14 +110,14 @@
         _check_required(settings)
         settings.check()
     except SettingError as error:
-        fail(error)
+        exit_with_error(error)
     return settings
 
 
 def _check_variables() -> None:
     """Rejects an unknown variable, which may be a misspelled setting."""
     names = {known.variable for known in settingtypes.known()}
-    names |= {settingtypes.ENV_PREFIX + name for name in _NOT_SETTINGS}
+    names |= {settingtypes.ENV_PREFIX + name for name in _CTL_VARIABLES}
     for variable in sorted(os.environ):
         if variable.startswith(settingtypes.ENV_PREFIX):
             if variable in names:
@@ -126,8 +129,8 @@
 
 def _check_required(settings: Any) -> None:
     for field in attrs.fields(type(settings)):
-        known = settingtypes.info(field.name.replace("_", "-"))
-        if known is None or not known.is_required:
+        setting = settingtypes.info(field.name.replace("_", "-"))
+        if setting is None or not setting.is_required:
             continue
         if getattr(settings, field.name) is None:
-            raise SettingError(known.name, "missing", known.allowed)
+            raise SettingError(setting.name, "missing", setting.allowed)
--- a/rhubarbwinch/programs/probes.py
+++ b/rhubarbwinch/programs/probes.py
@@ -11,7 +11,7 @@
 
 
 @attrs.define
-class Drain:
+class DrainState:
     """The state of a program's drain.
 
     Attributes:
@@ -34,7 +34,7 @@
         drain: A program that is draining is not ready.
     """
 
-    def __init__(self, follower: Follower, drain: Drain) -> None:
+    def __init__(self, follower: Follower, drain: DrainState) -> None:
         self._follower = follower
         self._drain = drain
 
--- a/rhubarbwinch/programs/surroundings.py
+++ b/rhubarbwinch/programs/surroundings.py
@@ -35,7 +35,7 @@
     is_embedded: bool = False
 
 
-def make_surroundings(settings: Settings) -> Surroundings:
+def make_dependencies(settings: Settings) -> Surroundings:
     """Builds the dependencies of a process from its settings."""
     incarnation = identity.new_incarnation()
     make_store = STORES.get(settings.store_kind)
--- a/rhubarbwinch/shared/bytebudget.py
+++ b/rhubarbwinch/shared/bytebudget.py
@@ -16,19 +16,19 @@
         self._clock = clock
         self._rate = bytes_per_s
         self._burst = burst
-        self._left = burst
-        self._at = clock.now()
+        self._available = burst
+        self._refilled_ms = clock.now()
 
     @property
     def left(self) -> int:
         """The bytes that may be spent now."""
         now = self._clock.now()
-        earned = (now - self._at) * self._rate // 1000
-        if earned:
-            self._at = now
-            self._left = min(self._burst, self._left + earned)
-        return self._left
+        refill = (now - self._refilled_ms) * self._rate // 1000
+        if refill:
+            self._refilled_ms = now
+            self._available = min(self._burst, self._available + refill)
+        return self._available
 
     def spend(self, count: int) -> None:
         """Removes bytes from the bucket; it never holds less than 0."""
-        self._left = max(0, self.left - count)
+        self._available = max(0, self.left - count)
--- a/rhubarbwinch/shared/clock.py
+++ b/rhubarbwinch/shared/clock.py
@@ -8,7 +8,7 @@
 import anyio
 import anyio.lowlevel
 
-_SETTLE_TURNS = 30
+_CHECKPOINTS = 30
 
 
 class Clock(Protocol):
@@ -58,18 +58,18 @@
     def __init__(
         self, start_ms: int = 0, wall_offset_ms: int = 1_700_000_000_000
     ) -> None:
-        self._now = start_ms
-        self._wall_offset = wall_offset_ms
-        self._order = itertools.count()
+        self._now_ms = start_ms
+        self._wall_offset_ms = wall_offset_ms
+        self._sequence = itertools.count()
         self._sleepers: list[tuple[int, int, anyio.Event]] = []
 
     def now(self) -> int:
         """Returns the current time of this clock."""
-        return self._now
+        return self._now_ms
 
     def wall(self) -> int:
         """Returns the current time of this clock as Unix time."""
-        return self._now + self._wall_offset
+        return self._now_ms + self._wall_offset_ms
 
     async def sleep(self, ms: int) -> None:
         """Waits until `advance` has moved the clock by `ms` milliseconds."""
@@ -77,31 +77,31 @@
             await anyio.lowlevel.checkpoint()
             return
         event = anyio.Event()
-        due = self._now + ms
-        heapq.heappush(self._sleepers, (due, next(self._order), event))
+        due_ms = self._now_ms + ms
+        heapq.heappush(self._sleepers, (due_ms, next(self._sequence), event))
         await event.wait()
 
     def set(self, now_ms: int) -> None:
         """Sets the clock without waking sleepers; for code without tasks."""
-        self._now = now_ms
+        self._now_ms = now_ms
 
     async def advance(self, ms: int) -> None:
         """Advances the clock and wakes each sleeper at its due time."""
-        end = self._now + ms
-        await _settle()
+        end = self._now_ms + ms
+        await _run_until_blocked()
         while self._sleepers and self._sleepers[0][0] <= end:
-            self._now = max(self._now, self._sleepers[0][0])
-            while self._sleepers and self._sleepers[0][0] <= self._now:
+            self._now_ms = max(self._now_ms, self._sleepers[0][0])
+            while self._sleepers and self._sleepers[0][0] <= self._now_ms:
                 heapq.heappop(self._sleepers)[2].set()
-            await _settle()
-        self._now = end
-        await _settle()
+            await _run_until_blocked()
+        self._now_ms = end
+        await _run_until_blocked()
 
 
-async def _settle() -> None:
+async def _run_until_blocked() -> None:
     """Runs all tasks until each of them is blocked."""
     # wait_all_tasks_blocked sleeps in real time if it finds a task that is not
     # blocked. After some turns of the event loop all tasks usually are.
-    for _ in range(_SETTLE_TURNS):
+    for _ in range(_CHECKPOINTS):
         await anyio.lowlevel.checkpoint()
     await anyio.wait_all_tasks_blocked()
--- a/rhubarbwinch/shared/eventloop.py
+++ b/rhubarbwinch/shared/eventloop.py
@@ -5,17 +5,17 @@
 
 from rhubarbwinch.shared.exceptions import EventLoopError
 
-DESCRIPTORS = pathlib.Path("/proc/self/fd")
+DESCRIPTOR_DIRECTORY = pathlib.Path("/proc/self/fd")
 _IO_URING = "anon_inode:[io_uring]"
 
 
-def check_no_io_uring(descriptors: pathlib.Path = DESCRIPTORS) -> None:
+def check_no_io_uring(directory: pathlib.Path = DESCRIPTOR_DIRECTORY) -> None:
     """Checks the process's descriptors; call it while the event loop runs.
 
     Raises:
         EventLoopError: An open descriptor is an io_uring.
     """
-    for path in descriptors.iterdir():
+    for path in directory.iterdir():
         try:
             target = os.readlink(path)
         except FileNotFoundError:
--- a/rhubarbwinch/shared/events.py
+++ b/rhubarbwinch/shared/events.py
@@ -27,7 +27,7 @@
 }
 
 
-class _Output:
+class _LogConfig:
     """The logging configuration that all events share."""
 
     def __init__(self) -> None:
@@ -36,7 +36,7 @@
         self.lines: LineOutput | None = None
 
 
-_output = _Output()
+_log_config = _LogConfig()
 _all: dict[int, "Event"] = {}
 
 
@@ -54,9 +54,9 @@
         process: The process's name, for JSON lines.
         lines: The output for JSON lines; None for standard error.
     """
-    _output.format = log_format
-    _output.process = process
-    _output.lines = lines
+    _log_config.format = log_format
+    _log_config.process = process
+    _log_config.lines = lines
     # The package's settings replace absl's flags, which are never parsed.
     flags.FLAGS.mark_as_parsed()
     logging.set_verbosity(level)
@@ -66,7 +66,7 @@
     stdlib_logging.getLogger("httpx").setLevel(stdlib_logging.WARNING)
 
 
-def _plain(value: Any) -> str:
+def _to_one_line(value: Any) -> str:
     """Returns a value on one line; a caller may control its text."""
     text = str(value)
     return text if text.isprintable() else repr(text)
@@ -97,23 +97,23 @@
         """Logs the event with the given fields."""
         if not logging.vlog_is_on(self.level):
             return
-        if _output.format is LogFormat.JSON:
+        if _log_config.format is LogFormat.JSON:
             now = datetime.datetime.now(datetime.UTC)
             line = {
                 "time": now.isoformat(timespec="milliseconds"),
                 "level": _LEVELS[self.level],
                 "event": self.number,
                 "name": self.name,
-                "process": _output.process,
+                "process": _log_config.process,
                 "fields": fields,
             }
             data = orjson.dumps(line, default=str)
-            if _output.lines is not None:
-                _output.lines.write(self.number, data + b"\n")
+            if _log_config.lines is not None:
+                _log_config.lines.write(self.number, data + b"\n")
                 return
             sys.stderr.write(data.decode() + "\n")
             return
-        text = " ".join(f"{key}={_plain(v)}" for key, v in fields.items())
+        text = " ".join(f"{key}={_to_one_line(v)}" for key, v in fields.items())
         logging.log(self.level, "RW%04d %s %s", self.number, self.name, text)
 
 
--- a/rhubarbwinch/shared/exceptions.py
+++ b/rhubarbwinch/shared/exceptions.py
@@ -87,7 +87,7 @@
         super().__init__(message)
         self.sent = sent
 
-    def follow(self, earlier: "EndpointError | None") -> None:
+    def inherit_sent(self, earlier: "EndpointError | None") -> None:
         """Marks this error as sent if an earlier attempt's error was sent."""
         self.sent = self.sent or (earlier is not None and earlier.sent)
 
@@ -96,11 +96,11 @@
     """An engine sent an event of another generation.
 
     Args:
-        found: The id that the event had in place of the expected one.
+        actual_id: The id that the event had in place of the expected one.
     """
 
-    def __init__(self, found: str) -> None:
-        super().__init__(f"an event of {found} came", sent=True)
+    def __init__(self, actual_id: str) -> None:
+        super().__init__(f"an event of {actual_id} came", sent=True)
 
 
 class GenerationLostError(EndpointError):
--- a/rhubarbwinch/shared/identity.py
+++ b/rhubarbwinch/shared/identity.py
@@ -52,7 +52,7 @@
         base = f"{self._incarnation}-{next(self._counter):x}"
         return f"{base}-{self._tag(base, account)}"
 
-    def is_of(self, generation: str, account: str) -> bool:
+    def is_owned_by(self, generation: str, account: str) -> bool:
         """Returns whether `account` started a generation."""
         request_id = generation.partition("~")[0]
         base, _, tag = request_id.rpartition("-")
--- a/rhubarbwinch/shared/logoutput.py
+++ b/rhubarbwinch/shared/logoutput.py
@@ -7,7 +7,7 @@
 
 # The limit of lines of one event in each window. It suffices for the requests
 # of a busy VM and bounds the output of an error in a loop.
-LINES_PER_WINDOW = 400
+MAX_LINES_PER_WINDOW = 400
 WINDOW_MS = 1_000
 
 
@@ -31,12 +31,12 @@
         self._on_dropped = on_dropped
         self._window = 0
         self._counts: dict[int, int] = {}
-        self._rest = b""
-        self._dropped = 0
+        self._unwritten = b""
+        self._dropped_count = 0
 
     def take_dropped(self) -> int:
         """Returns how many lines were dropped since the last call."""
-        dropped, self._dropped = self._dropped, 0
+        dropped, self._dropped_count = self._dropped_count, 0
         return dropped
 
     def write(self, number: int, line: bytes) -> None:
@@ -52,24 +52,24 @@
             self._counts.clear()
         count = self._counts.get(number, 0) + 1
         self._counts[number] = count
-        if count > LINES_PER_WINDOW or not self._flush():
+        if count > MAX_LINES_PER_WINDOW or not self._flush():
             self._drop()
             return
-        self._rest = line
+        self._unwritten = line
         self._flush()
 
     def _flush(self) -> bool:
         """Writes the rest of a line; returns False if some of it remains."""
-        if not self._rest:
+        if not self._unwritten:
             return True
         try:
-            written = os.write(self._descriptor, self._rest)
+            written = os.write(self._descriptor, self._unwritten)
         except BlockingIOError:
             # The rest is written before the next line.
             return False
-        self._rest = self._rest[written:]
-        return not self._rest
+        self._unwritten = self._unwritten[written:]
+        return not self._unwritten
 
     def _drop(self) -> None:
-        self._dropped += 1
+        self._dropped_count += 1
         self._on_dropped()
--- a/rhubarbwinch/shared/registry.py
+++ b/rhubarbwinch/shared/registry.py
@@ -10,12 +10,12 @@
     """Maps names to implementations of one interface.
 
     Args:
-        what: What the registry holds, for error messages, such as
+        item_kind: What the registry holds, for error messages, such as
             `placement policy`.
     """
 
-    def __init__(self, what: str) -> None:
-        self._what = what
+    def __init__(self, item_kind: str) -> None:
+        self._item_kind = item_kind
         self._items: dict[str, T] = {}
 
     def register(self, name: str) -> Callable[[T], T]:
@@ -27,7 +27,9 @@
 
         def add(item: T) -> T:
             if name in self._items:
-                raise ValueError(f"{self._what} {name!r} is registered twice")
+                raise ValueError(
+                    f"{self._item_kind} {name!r} is registered twice"
+                )
             self._items[name] = item
             return item
 
@@ -42,7 +44,7 @@
         """
         if name not in self._items:
             known = ", ".join(sorted(self._items))
-            raise KeyError(f"no {self._what} {name!r}; known: {known}")
+            raise KeyError(f"no {self._item_kind} {name!r}; known: {known}")
         return self._items[name]
 
     def __contains__(self, name: str) -> bool:
--- a/rhubarbwinch/shared/settingtypes.py
+++ b/rhubarbwinch/shared/settingtypes.py
@@ -72,20 +72,20 @@
         return self.default is None
 
 
-_known: dict[str, SettingInfo] = {}
+_settings: dict[str, SettingInfo] = {}
 
 
 def info(name: str) -> SettingInfo | None:
     """Returns the setting called `name`, or None if there is none."""
-    return _known.get(name)
+    return _settings.get(name)
 
 
 def known() -> list[SettingInfo]:
     """Returns the settings of all programs, ordered by name."""
-    return [_known[name] for name in sorted(_known)]
+    return [_settings[name] for name in sorted(_settings)]
 
 
-def arg(
+def setting_arg(
     name: str, default: Any, kind: ValueType, text: str, required: bool = False
 ) -> Any:
     """Registers a setting and returns its cappa argument.
@@ -97,16 +97,16 @@
         text: What the setting does, in one sentence for `--help`.
         required: Whether the setting has no default.
     """
-    found = SettingInfo(
+    setting = SettingInfo(
         name, text, None if required else default, kind.allowed, kind.secret
     )
-    _known[name] = found
-    source = cappa.Env(found.variable, default=None if required else default)
+    _settings[name] = setting
+    source = cappa.Env(setting.variable, default=None if required else default)
     return cappa.Arg(
         long=f"--{name}",
         default=source,
         parse=lambda value: kind(value) if isinstance(value, str) else value,
-        help=f"{text}{' (required)' if required else ''} [{found.variable}]",
+        help=f"{text}{' (required)' if required else ''} [{setting.variable}]",
         value_name=name.upper(),
         show_default=not required and default != "",
     )
@@ -146,10 +146,10 @@
     """Returns the type of whole numbers from `low` to `high`."""
 
     def convert(value: str) -> int:
-        found = int(value)
-        if not low <= found <= high:
+        parsed = int(value)
+        if not low <= parsed <= high:
             raise ValueError(value)
-        return found
+        return parsed
 
     return ValueType(f"a whole number from {low} to {high}", convert)
 
--- a/rhubarbwinch/shared/supervisor.py
+++ b/rhubarbwinch/shared/supervisor.py
@@ -76,18 +76,18 @@
             RestartLimitError: A child failed too often; the others are
                 cancelled.
         """
-        failed: list[RestartLimitError] = []
+        errors: list[RestartLimitError] = []
         async with anyio.create_task_group() as tasks:
             for child in self._children:
-                tasks.start_soon(self._keep, child, tasks, failed)
-        if failed:
-            raise failed[0]
+                tasks.start_soon(self._run_with_restarts, child, tasks, errors)
+        if errors:
+            raise errors[0]
 
-    async def _keep(
+    async def _run_with_restarts(
         self,
         child: Child,
         tasks: anyio.abc.TaskGroup,
-        failed: list[RestartLimitError],
+        errors: list[RestartLimitError],
     ) -> None:
         failures: list[int] = []
         while True:
@@ -106,11 +106,11 @@
                 )
                 if len(failures) > limit.count:
                     events.RESTART_LIMIT.log(child=child.name)
-                    failed.append(
+                    errors.append(
                         RestartLimitError(f"{self._name}/{child.name}: {error}")
                     )
                     # The siblings depend on the child that has failed.
                     tasks.cancel_scope.cancel()
                     return
-                wait = limit.backoff_ms * 2 ** (len(failures) - 1)
-                await self._clock.sleep(min(wait, limit.max_backoff_ms))
+                wait_ms = limit.backoff_ms * 2 ** (len(failures) - 1)
+                await self._clock.sleep(min(wait_ms, limit.max_backoff_ms))
--- a/rhubarbwinch/shared/tls.py
+++ b/rhubarbwinch/shared/tls.py
@@ -11,7 +11,7 @@
     certfile: str
     keyfile: str
 
-    def use_in(self, config: Config) -> None:
+    def apply_to(self, config: Config) -> None:
         """Enables TLS in the configuration of an HTTP server."""
         config.certfile = self.certfile
         config.keyfile = self.keyfile
--- a/rhubarbwinch/shared/tracing.py
+++ b/rhubarbwinch/shared/tracing.py
@@ -36,11 +36,11 @@
 
 HEADER = "traceparent"
 LOG_TARGET = "log"
-_FORM = re.compile(r"[0-9a-f]{2}-[0-9a-f]{32}-[0-9a-f]{16}-[0-9a-f]{2}")
+_TRACEPARENT = re.compile(r"[0-9a-f]{2}-[0-9a-f]{32}-[0-9a-f]{16}-[0-9a-f]{2}")
 _NS_PER_MS = 1_000_000
 
 # The trace context that a caller sent; set only while tracing is off.
-_passed_on: ContextVar[str] = ContextVar("passed_on", default="")
+_propagated: ContextVar[str] = ContextVar("passed_on", default="")
 
 _propagator = TraceContextTextMapPropagator()
 
@@ -133,7 +133,7 @@
         attributes: The span's attributes.
     """
     if _state.tracer is None:
-        with _passing_on(traceparent):
+        with _propagating(traceparent):
             yield trace.INVALID_SPAN
         return
     context = None
@@ -141,21 +141,21 @@
         context = _propagator.extract({HEADER: traceparent})
     with _state.tracer.start_as_current_span(
         name, context, attributes=attributes, record_exception=False
-    ) as begun:
-        yield begun
+    ) as active_span:
+        yield active_span
 
 
 @contextmanager
-def _passing_on(traceparent: str | None) -> Iterator[None]:
+def _propagating(traceparent: str | None) -> Iterator[None]:
     """Keeps a caller's trace context for the calls that a block makes."""
-    if not traceparent or not _FORM.fullmatch(traceparent):
+    if not traceparent or not _TRACEPARENT.fullmatch(traceparent):
         yield
         return
-    token = _passed_on.set(traceparent)
+    token = _propagated.set(traceparent)
     try:
         yield
     finally:
-        _passed_on.reset(token)
+        _propagated.reset(token)
 
 
 @contextmanager
@@ -169,22 +169,22 @@
     """
     if _state.tracer is None or not _has_context():
         # A program without tracing still propagates its caller's context.
-        if _passed_on.get():
-            headers[HEADER] = _passed_on.get()
+        if _propagated.get():
+            headers[HEADER] = _propagated.get()
         yield trace.INVALID_SPAN
         return
-    begun = _state.tracer.start_span(name, attributes=attributes)
-    _propagator.inject(headers, trace.set_span_in_context(begun))
+    active_span = _state.tracer.start_span(name, attributes=attributes)
+    _propagator.inject(headers, trace.set_span_in_context(active_span))
     try:
-        yield begun
+        yield active_span
     finally:
-        begun.end()
+        active_span.end()
 
 
 def current() -> str:
     """Returns the `traceparent` of the current span; empty without a span."""
     if _state.tracer is None:
-        return _passed_on.get()
+        return _propagated.get()
     headers: dict[str, str] = {}
     _propagator.inject(headers)
     return headers.get(HEADER, "")
@@ -201,9 +201,9 @@
     )
 
 
-def mark_failure(failure: Failure) -> None:
+def record_failure(failure: Failure) -> None:
     """Records a failure and its verdict in the current span."""
-    begun = trace.get_current_span()
-    begun.set_attribute("reason", failure.reason.value)
-    begun.set_attribute("verdict", failure.verdict.value)
-    begun.set_status(trace.StatusCode.ERROR, failure.detail)
+    active_span = trace.get_current_span()
+    active_span.set_attribute("reason", failure.reason.value)
+    active_span.set_attribute("verdict", failure.verdict.value)
+    active_span.set_status(trace.StatusCode.ERROR, failure.detail)
--- a/rhubarbwinch/shared/verdict.py
+++ b/rhubarbwinch/shared/verdict.py
@@ -44,7 +44,7 @@
     INTERNAL = "internal"
 
 
-def _shorten(detail: str) -> str:
+def _truncate(detail: str) -> str:
     """Truncates a detail, which may contain long text from a caller."""
     if len(detail) <= MAX_DETAIL_CHARS:
         return detail
@@ -65,7 +65,7 @@
 
     verdict: Verdict
     reason: Reason
-    detail: str = attrs.field(converter=_shorten)
+    detail: str = attrs.field(converter=_truncate)
     retry_after_ms: int | None = None
 
 
--- a/tests/programs/test_broker.py
+++ b/tests/programs/test_broker.py
@@ -36,7 +36,7 @@
         self.replies[request_id] = await self.keeper.answer(request)
 
     @asynchronous
-    async def test_a_request_that_waits_is_refused_when_its_pool_goes(self):
+    async def test_a_waiting_request_is_refused_when_its_pool_is_removed(self):
         async with anyio.create_task_group() as tasks:
             for request_id in ("r1", "r2"):
                 tasks.start_soon(self._ask, request_id)
@@ -51,7 +51,9 @@
         self.assertGreater(failure.retry_after_ms, 0)
 
     @asynchronous
-    async def test_an_unknown_pool_is_refused_with_a_time_to_come_back(self):
+    async def test_a_request_for_an_unknown_pool_is_refused_with_a_retry_time(
+        self,
+    ):
         self._configure(2)
         await self._ask("r1")
         self.assertGreater(self.replies["r1"].failure.retry_after_ms, 0)
--- a/tests/programs/test_cmdline.py
+++ b/tests/programs/test_cmdline.py
@@ -10,7 +10,7 @@
 class ScriptsTest(unittest.TestCase):
     """The scripts of pyproject.toml."""
 
-    def test_each_script_leads_to_a_function(self):
+    def test_each_script_resolves_to_a_function(self):
         project = tomllib.loads((ROOT / "pyproject.toml").read_text())
         scripts = project["project"]["scripts"]
         names = ("entry", "broker", "control", "gateway", "explain")
--- a/tests/programs/test_config.py
+++ b/tests/programs/test_config.py
@@ -56,7 +56,7 @@
         self.assertIsNone(settings.tls)
         self.assertIsNone(settings.link_keys)
 
-    def test_a_variable_sets_and_a_flag_wins_over_it(self):
+    def test_a_flag_overrides_an_environment_variable(self):
         self.assertEqual(_parse(lease_ms="7000").lease_ms, 7000)
         settings = _parse("--lease-ms", "8000", lease_ms="7000")
         self.assertEqual(settings.lease_ms, 8000)
@@ -93,7 +93,7 @@
             by_variable = _refusal(**{name.replace("-", "_"): value})
             self.assertEqual(by_variable, (status, lines))
 
-    def test_an_empty_value_is_refused_where_a_number_is_due(self):
+    def test_an_empty_value_is_refused_for_a_number(self):
         for refusal in (_refusal("--lease-ms="), _refusal(lease_ms="")):
             status, lines = refusal
             self.assertEqual((status, len(lines)), (2, 1))
@@ -121,7 +121,7 @@
         self.assertEqual((status, len(lines)), (2, 1))
         self.assertIn("--keyfile", lines[0])
 
-    def test_a_key_pair_must_fit_together(self):
+    def test_link_keys_must_be_a_matching_pair(self):
         public, secret = (key.decode() for key in zmq.curve_keypair())
         other = zmq.curve_keypair()[0].decode()
         pair = {"link_public_key": public, "link_secret_key": secret}
--- a/tests/programs/test_control.py
+++ b/tests/programs/test_control.py
@@ -14,7 +14,7 @@
 class ControlTest(unittest.TestCase):
     """Orders when the control that sends them is killed."""
 
-    def test_another_control_goes_on_after_the_holder_is_killed(self):
+    def test_another_control_sends_orders_after_the_holder_is_killed(self):
         with Fleet(control_options=SHORT) as fleet:
             wait_until(lambda: self._loaded(fleet) == ["vintner@1"], "load")
             fleet.kill("control-0")
--- a/tests/programs/test_explain.py
+++ b/tests/programs/test_explain.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from rhubarbwinch.programs.explain import parse, story
+from rhubarbwinch.programs.explain import parse, select_events
 
 
 def _line(second, process, name, **fields):
@@ -37,9 +37,9 @@
     """Events given in any order."""
 
     def _names(self, request):
-        return [str(line) for line in story(parse(LINES), request)]
+        return [str(line) for line in select_events(parse(LINES), request)]
 
-    def test_a_request_is_told_in_order_with_what_was_believed(self):
+    def test_events_are_printed_in_order_with_related_state_events(self):
         self.assertEqual(
             self._names("q1"),
             [
@@ -50,5 +50,5 @@
             ],
         )
 
-    def test_a_request_that_is_not_there_has_no_story(self):
+    def test_an_unknown_request_has_no_events(self):
         self.assertEqual(self._names("q9"), [])
--- a/tests/programs/test_fleetstatus.py
+++ b/tests/programs/test_fleetstatus.py
@@ -17,7 +17,7 @@
     """The status of records, pools, members and leaving VMs."""
 
     @asynchronous
-    async def test_it_shows_records_pools_and_leaving_vms_as_they_are(self):
+    async def test_the_status_shows_records_pools_and_leaving_vms(self):
         async with anyio.create_task_group() as tasks:
             fleet = MemberSet(tasks)
             store, clock = fleet.store, fleet.clock
--- a/tests/shared/test_events.py
+++ b/tests/shared/test_events.py
@@ -35,7 +35,7 @@
 class EventsTest(unittest.TestCase):
     """The text and JSON formats of a log line."""
 
-    def test_a_json_line_has_all_fields_and_those_of_the_event_nested(self):
+    def test_a_json_line_nests_the_fields_of_the_event(self):
         line = json.loads(_written(LogFormat.JSON, "info", _log))
         time = datetime.datetime.fromisoformat(line.pop("time"))
         self.assertEqual(time.utcoffset(), datetime.timedelta(0))
@@ -58,6 +58,6 @@
         for log_format in LogFormat:
             self.assertEqual(_written(log_format, "warning", _log), "")
 
-    def test_a_number_is_given_once(self):
+    def test_an_event_number_can_not_be_reused(self):
         with self.assertRaises(ValueError):
             events.Event(50, "again", logging.INFO, "A number that is taken.")
--- a/tests/shared/test_logoutput.py
+++ b/tests/shared/test_logoutput.py
@@ -5,7 +5,7 @@
 
 from rhubarbwinch.shared.clock import ManualClock
 from rhubarbwinch.shared.logoutput import (
-    LINES_PER_WINDOW,
+    MAX_LINES_PER_WINDOW,
     WINDOW_MS,
     LineOutput,
 )
@@ -26,17 +26,17 @@
             writer, self.clock, lambda: self.dropped.append(1)
         )
 
-    def test_an_event_has_a_budget_and_others_have_their_own(self):
-        for _ in range(LINES_PER_WINDOW + 5):
+    def test_each_event_has_its_own_line_limit(self):
+        for _ in range(MAX_LINES_PER_WINDOW + 5):
             self.output.write(1, b"a\n")
         self.output.write(2, b"b\n")
         self.assertEqual(self.output.take_dropped(), 5)
         self.clock.set(WINDOW_MS)
         self.output.write(1, b"c\n")
         data = os.read(self.reader, 100_000)
-        self.assertEqual(data, b"a\n" * LINES_PER_WINDOW + b"b\nc\n")
+        self.assertEqual(data, b"a\n" * MAX_LINES_PER_WINDOW + b"b\nc\n")
 
-    def test_a_reader_that_does_not_read_costs_lines_and_never_time(self):
+    def test_lines_are_dropped_instead_of_blocking_on_a_stalled_reader(self):
         for number in range(300):
             self.output.write(number, LINE)
         self.assertGreater(len(self.dropped), 100)
--- a/tests/shared/test_rendezvous.py
+++ b/tests/shared/test_rendezvous.py
@@ -18,7 +18,7 @@
         fair = len(KEYS) / len(MEMBERS)
         self.assertLess(max(counts.values()), 1.2 * fair)
 
-    def test_the_order_in_which_members_are_named_does_not_matter(self):
+    def test_the_order_of_the_members_does_not_matter(self):
         for key in KEYS[:50]:
             ranked = rendezvous.ranking(key, MEMBERS)
             self.assertEqual(ranked, rendezvous.ranking(key, MEMBERS[::-1]))
--- a/tests/shared/test_supervisor.py
+++ b/tests/shared/test_supervisor.py
@@ -94,7 +94,7 @@
         await outer.run()
         self.assertEqual(child.starts, 3)
 
-    def test_a_program_past_its_limit_ends_with_a_status(self):
+    def test_a_program_past_its_restart_limit_exits_with_status_1(self):
         directory = self.enterContext(tempfile.TemporaryDirectory())
         logs = pathlib.Path(directory)
         with Fleet(logs=logs) as fleet:
--- a/tests/shared/test_tracing.py
+++ b/tests/shared/test_tracing.py
@@ -84,7 +84,7 @@
     def test_a_failure_is_recorded_with_its_verdict(self):
         self._turn_on()
         with tracing.span("entry"):
-            tracing.mark_failure(not_run(Reason.QUEUE_FULL, "full"))
+            tracing.record_failure(not_run(Reason.QUEUE_FULL, "full"))
         attributes = self._spans()["entry"].attributes
         self.assertEqual(attributes["verdict"], "not-run")
         self.assertEqual(attributes["reason"], "queue-full")
@@ -95,7 +95,7 @@
             pass
         self.assertIsNone(self._spans()["entry"].parent)
 
-    def test_the_callers_choice_not_to_record_holds(self):
+    def test_an_unsampled_caller_context_is_not_recorded(self):
         self._turn_on()
         with tracing.span("entry", UNSAMPLED):
             self.assertRegex(tracing.current(), r"-00$")
@@ -107,7 +107,7 @@
             pass
         self.assertEqual(self._spans(), {})
 
-    def test_the_context_is_passed_on_while_traces_are_off(self):
+    def test_the_context_is_propagated_while_tracing_is_off(self):
         headers = {}
         with tracing.span("entry", PARENT):
             self.assertEqual(tracing.current(), PARENT)
@@ -115,7 +115,7 @@
                 pass
         self.assertEqual(headers, {tracing.HEADER: PARENT})
 
-    def test_what_is_no_context_is_not_passed_on(self):
+    def test_an_invalid_context_is_not_propagated(self):
         for bad in ("", "x" * 20_000, PARENT + "-more", PARENT.upper() + "Z"):
             headers = {}
             with tracing.span("entry", bad):
@@ -153,7 +153,7 @@
 class CollectorTest(unittest.TestCase):
     """The export of spans by OTLP over HTTP."""
 
-    def test_spans_reach_the_collector_at_the_latest_when_closed(self):
+    def test_close_exports_the_remaining_spans_to_the_collector(self):
         server = http.server.HTTPServer(("127.0.0.1", 0), _Collector)
         server.received = []
         thread = threading.Thread(target=server.serve_forever)
