--- a/rhubarbwinch/callers/runguard.py
+++ b/rhubarbwinch/callers/runguard.py
@@ -281,7 +281,7 @@
             raise
         await self._permits.give_back(permit, StreamEnd.UNUSED)
         if failure is None:
-            raise AssertionError("a claim that is not taken has a failure")
+            raise AssertionError("neither a claim nor a failure")
         raise Refused(failure)
 
     async def _finish(
--- a/rhubarbwinch/programs/config.py
+++ b/rhubarbwinch/programs/config.py
@@ -159,10 +159,10 @@
         return LinkKeys(self.link_public_key, self.link_secret_key)
 
     def check(self) -> None:
-        """Checks what depends on several settings.
+        """Checks the settings that depend on each other.
 
         Raises:
-            SettingError: They don't fit together.
+            SettingError: Settings contradict each other.
         """
         if not self.link_public_key and not self.link_secret_key:
             return
@@ -293,16 +293,16 @@
         return TlsFiles(self.certfile, self.keyfile)
 
     def check(self) -> None:
-        """Checks what depends on several settings.
+        """Checks the settings that depend on each other.
 
         Raises:
-            SettingError: They don't fit together.
+            SettingError: Settings contradict each other.
         """
         super().check()
         if bool(self.certfile) == bool(self.keyfile):
             return
         missing = "keyfile" if self.certfile else "certfile"
-        raise SettingError(missing, "", "a file, as the other of the two is")
+        raise SettingError(missing, "", "a file, as the other TLS file is set")
 
 
 @attrs.define(kw_only=True)
--- a/tests/callers/test_streams.py
+++ b/tests/callers/test_streams.py
@@ -39,7 +39,7 @@
         self.record(f"engine gives {generation} priority {priority}")
 
     async def give_back(self, permit, end, tokens):
-        self.record(f"permit back, {end}, {tokens} tokens")
+        self.record(f"permit released, {end}, {tokens} tokens")
 
     def drop(self, permit):
         self.record("permit handed over")
@@ -111,18 +111,21 @@
     async def test_each_kind_of_disconnect_matches_the_gold(self):
         text = ""
         for title, session in (
-            ("the answer is whole", self._finish),
+            ("the response is complete", self._finish),
             ("the engine is lost", self._lose_engine),
-            ("the caller stays away", self._never_resume),
-            ("the caller goes before the first token", self._disconnect_early),
-            ("the caller comes back to the same entry", self._resume_here),
-            ("the caller goes to another entry", self._resume_elsewhere),
+            ("the caller does not reconnect", self._never_resume),
             (
-                "it moves before its first entry notices",
+                "the caller disconnects before the first token",
+                self._disconnect_early,
+            ),
+            ("the caller resumes at the same entry", self._resume_here),
+            ("the caller resumes at another entry", self._resume_elsewhere),
+            (
+                "the caller resumes elsewhere before its first entry notices",
                 self._resume_elsewhere_early,
             ),
             (
-                "it moves, its first entry does not answer",
+                "the caller resumes elsewhere, its first entry does not reply",
                 self._resume_without_holder,
             ),
             ("a broker changes the priority", self._change_priority),
@@ -164,7 +167,7 @@
         again = first.open(passed=9)
         await clock.advance(2 * GRACE_MS)
         await first.streams.close(old, StreamEnd.CANCELLED)
-        first.recorder.record("the new reading ends")
+        first.recorder.record("the resumed stream ends")
         await first.streams.close(again, StreamEnd.FINISHED)
 
     async def _resume_elsewhere(self, clock, first, second):
