--- a/rhubarbwinch/programs/ctl.py
+++ b/rhubarbwinch/programs/ctl.py
@@ -85,12 +85,12 @@
         if current is not None and current.value == record.to_bytes():
             continue
         expected = current.revision if current else 0
-        await write(store, record, expected)
+        await write_record(store, record, expected)
         changed.append(record)
     return changed
 
 
-async def write(store: Store, record: Record, expected: int) -> None:
+async def write_record(store: Store, record: Record, expected: int) -> None:
     """Writes a record if its revision is `expected`; 0 means no record.
 
     Raises:
--- a/rhubarbwinch/programs/fleetstatus.py
+++ b/rhubarbwinch/programs/fleetstatus.py
@@ -154,7 +154,7 @@
     record = Record("vm", host, records.CURRENT_SCHEMA, {"leaving": leaving})
     records.check(record)
     current = await store.get(keys.record("vm", host))
-    await ctl.write(store, record, current.revision if current else 0)
+    await ctl.write_record(store, record, current.revision if current else 0)
 
 
 def _pool_statuses(
--- a/tests/programs/test_control.py
+++ b/tests/programs/test_control.py
@@ -8,17 +8,19 @@
 from tests.fleet import Fleet
 from tests.helpers import free_address, wait_until
 
-SHORT = ("--order-lease-ms", "1000", "--order-flight-ms", "100")
+SHORT_TIMEOUTS = ("--order-lease-ms", "1000", "--order-flight-ms", "100")
 
 
 class ControlTest(unittest.TestCase):
     """Orders when the control that sends them is killed."""
 
     def test_another_control_sends_orders_after_the_holder_is_killed(self):
-        with Fleet(control_options=SHORT) as fleet:
+        with Fleet(control_options=SHORT_TIMEOUTS) as fleet:
             wait_until(lambda: self._loaded(fleet) == ["vintner@1"], "load")
             fleet.kill("control-0")
-            fleet.start_role("control", "control-1", free_address(), *SHORT)
+            fleet.start_role(
+                "control", "control-1", free_address(), *SHORT_TIMEOUTS
+            )
             service = builders.generate_service(version="2")
             models = builders.model(versions=["1", "2"])
             self.assertEqual(fleet.apply([models, service]), 0)
