--- a/rhubarbwinch/callers/guarded.py
+++ b/rhubarbwinch/callers/guarded.py
@@ -16,7 +16,7 @@
     """Runs the generation requests that quarantine and claims allow.
 
     Args:
-        generator: Runs the requests.
+        runner: Runs the requests.
         quarantine: Knows the requests that are suspected to crash endpoints.
         claims: Keeps requests that are not repeatable from running twice.
         permits: Requests permits from brokers.
--- a/rhubarbwinch/callers/runguard.py
+++ b/rhubarbwinch/callers/runguard.py
@@ -119,8 +119,8 @@
         except Refused:
             raise
         except Exception as error:
-            # An endpoint's death may also surface as an error of the HTTP
-            # client that is no EndpointError.
+            # The death of an endpoint may also cause an exception of the
+            # transport that is not an EndpointError.
             sent = not isinstance(error, EndpointError) or error.sent
             self._sent = self._sent or sent
             has_struck = sent and await self._is_dead(permit, error)
@@ -128,8 +128,8 @@
                 await self._quarantine.strike(self._fingerprint, run)
             raise
         except anyio.get_cancelled_exc_class():
-            # The endpoint is probed after a caller's disconnect too, or a
-            # request that killed it would get no strike.
+            # A caller that disconnects early cancels the run. The endpoint is
+            # probed nevertheless, because the request may have killed it.
             with anyio.CancelScope(shield=True):
                 has_struck = await self._is_dead(permit)
                 if has_struck:
--- a/rhubarbwinch/callers/streams.py
+++ b/rhubarbwinch/callers/streams.py
@@ -33,8 +33,8 @@
     Attributes:
         permit: The permit for the generation's engine.
         position: How far the generation has been relayed to the caller.
-        until: When the generation is ended after its caller disconnected, in
-            ms of the entry's clock; None while the caller is connected.
+        ends_at_ms: When the generation is ended after its caller disconnected,
+            on the entry's clock; None while the caller is connected.
     """
 
     permit: Permit
