--- a/rhubarbwinch/programs/daemon.py
+++ b/rhubarbwinch/programs/daemon.py
@@ -183,7 +183,10 @@
         tasks.cancel_scope.cancel()
 
     async def leave(self) -> None:
-        """Drains up to the drain limit, then closes the HTTP interface."""
+        """Stops accepting work and drains, then closes the HTTP interface.
+
+        The wait for open requests ends at the drain limit.
+        """
         events.DRAINING.log(name=self.settings.name)
         self.drain.started = True
         self._set_state(MemberState.LEAVING)
