--- a/rhubarbwinch/callers/callparams.py
+++ b/rhubarbwinch/callers/callparams.py
@@ -1,4 +1,4 @@
-"""Checks the parameters of a generation request that are numbers."""
+"""Checks the numeric parameters of a generation request."""
 
 from typing import Any
 
@@ -9,36 +9,41 @@
 
 
 @attrs.frozen
-class _Range:
-    """The values of a parameter, both ends included."""
+class _ParameterRange:
+    """The allowed values of a parameter, both ends included."""
 
     name: str
     low: float
     high: float
 
 
-_RANGES = (
-    # One generation answers one request, so there is one choice.
-    _Range("n", 1, 1),
-    _Range("temperature", 0, 2),
-    _Range("top_p", 0, 1),
-    _Range("frequency_penalty", -2, 2),
-    _Range("presence_penalty", -2, 2),
+_PARAMETER_RANGES = (
+    # A request starts one generation, so there is one choice.
+    _ParameterRange("n", 1, 1),
+    _ParameterRange("temperature", 0, 2),
+    _ParameterRange("top_p", 0, 1),
+    _ParameterRange("frequency_penalty", -2, 2),
+    _ParameterRange("presence_penalty", -2, 2),
 )
 
 
 def check_parameters(data: dict[str, Any]) -> None:
-    """Checks the parameters that are there.
+    """Checks the parameters that are present.
 
     Raises:
-        Refused: One is not a number in its range.
+        Refused: A parameter is not a number in its range.
     """
-    for known in _RANGES:
-        value = data.get(known.name)
+    for allowed_range in _PARAMETER_RANGES:
+        value = data.get(allowed_range.name)
         if value is None:
             continue
-        number = type(value) in (int, float)
-        if not number or not known.low <= value <= known.high:
-            allowed = f"a number from {known.low} to {known.high}"
-            detail = f"{known.name}: {value!r}; allowed: {allowed}"
+        is_number = type(value) in (int, float)
+        if (
+            not is_number
+            or not allowed_range.low <= value <= allowed_range.high
+        ):
+            allowed = (
+                f"a number from {allowed_range.low} to {allowed_range.high}"
+            )
+            detail = f"{allowed_range.name}: {value!r}; allowed: {allowed}"
             raise Refused(not_run(Reason.BAD_REQUEST, detail))
--- a/rhubarbwinch/callers/calls.py
+++ b/rhubarbwinch/callers/calls.py
@@ -1,4 +1,4 @@
-"""Generation requests as callers make them, and whole answers to them."""
+"""Parses generation requests and sends responses that are not streamed."""
 
 import hashlib
 from typing import Any
@@ -24,21 +24,21 @@
 
 
 @attrs.frozen
-class Call:
-    """A generation request that has been checked.
+class GenerationCall:
+    """A validated generation request.
 
     Attributes:
         account: The client account.
-        service_name: What the caller named as the model.
-        service: Its record.
+        service_name: The service, which the caller names as the model.
+        service: The service's record.
         path: `/v1/completions` or `/v1/chat/completions`.
-        body: The body for the engine.
-        stream: Whether the caller wants events.
-        prompt_tokens: The estimated prompt length.
-        max_tokens: The bound on the output.
+        body: The request body for the engine.
+        stream: Whether the caller asked for server-sent events.
+        prompt_tokens: The estimated length of the prompt.
+        max_tokens: The limit of the output length.
         prefix: Hashes of the prompt's leading blocks.
-        claim_key: The key under which it runs at most once; None if it is
-            repeatable.
+        claim_key: The key under which the request runs at most once; None
+            for a repeatable request.
     """
 
     account: str
@@ -54,13 +54,15 @@
 
     @property
     def fingerprint(self) -> str:
-        """Digest of the account and the content."""
-        text = self.account.encode() + b"\0" + self.body
-        return hashlib.sha256(text).hexdigest()[:32]
+        """A digest of the account and the request body."""
+        content = self.account.encode() + b"\0" + self.body
+        return hashlib.sha256(content).hexdigest()[:32]
 
 
-def parse_call(account: str, request: Request, snapshot: Snapshot) -> Call:
-    """Returns the checked call in a request.
+def parse_call(
+    account: str, request: Request, snapshot: Snapshot
+) -> GenerationCall:
+    """Parses and validates a generation request.
 
     Raises:
         Refused: The request is not valid; it did not run.
@@ -85,7 +87,7 @@
     stream = data.get("stream", False) is True
     data |= {"model": service.target, "max_tokens": max_tokens, "stream": True}
     body = orjson.dumps(data)
-    return Call(
+    return GenerationCall(
         account=account,
         service_name=name,
         service=service,
@@ -109,33 +111,33 @@
     return value
 
 
-async def send_whole(
+async def send_json_response(
     relay: Relay,
-    call: Call,
+    call: GenerationCall,
     generation: str,
     responder: Responder,
 ) -> None:
-    """Answers a call that wants no events.
+    """Collects a generation's events and sends them as one JSON response.
 
     Raises:
         EndpointError: The stream broke; nothing has been sent to the caller.
     """
     chat = "chat" in call.path
-    text, finish = [], None
-    async for found in relay.events():
-        for event in found:
+    parts, finish_reason = [], None
+    async for batch in relay.events():
+        for event in batch:
             if event.is_done:
                 break
             for choice in orjson.loads(event.data)["choices"]:
-                text.append(_text_of(choice, chat))
-                finish = choice["finish_reason"] or finish
-    content = "".join(text)
-    choice = {"index": 0, "finish_reason": finish}
+                parts.append(_text_of(choice, chat))
+                finish_reason = choice["finish_reason"] or finish_reason
+    content = "".join(parts)
+    choice = {"index": 0, "finish_reason": finish_reason}
     if chat:
         choice["message"] = {"role": "assistant", "content": content}
     else:
         choice["text"] = content
-    answer = {
+    response = {
         "id": generation,
         "object": "chat.completion" if chat else "text_completion",
         "created": 0,
@@ -143,11 +145,11 @@
         "choices": [choice],
         "usage": {
             "prompt_tokens": call.prompt_tokens,
-            "completion_tokens": len(text),
-            "total_tokens": call.prompt_tokens + len(text),
+            "completion_tokens": len(parts),
+            "total_tokens": call.prompt_tokens + len(parts),
         },
     }
-    await responder.json(orjson.dumps(answer))
+    await responder.json(orjson.dumps(response))
 
 
 def _text_of(choice: dict[str, Any], chat: bool) -> str:
--- a/rhubarbwinch/callers/drainlimit.py
+++ b/rhubarbwinch/callers/drainlimit.py
@@ -1,4 +1,4 @@
-"""Ends a caller's answer at the drain limit in a way that it can go on from."""
+"""Ends open responses at the drain limit so that callers can resume them."""
 
 from collections.abc import Awaitable, Callable
 
@@ -13,40 +13,43 @@
 
 async def run_until_limit(
     limit: anyio.Event,
-    work: Callable[[], Awaitable[None]],
+    handle: Callable[[], Awaitable[None]],
     responder: Responder,
     entries: Callable[[], list[str]],
 ) -> None:
-    """Runs a handler; at the limit its caller is told where to go on.
+    """Runs a handler and cancels it at the drain limit.
+
+    A response whose head has been sent ends with a `resume` event that lists
+    other entries.
 
     Args:
-        limit: Set when the program must end.
-        work: The handler's work; cancelled at the limit.
-        responder: Sends the answer.
-        entries: Returns the addresses of other entries.
+        limit: Set when the program must stop.
+        handle: Runs the handler; cancelled at the limit.
+        responder: Sends the response.
+        entries: Returns the addresses of the other entries.
 
     Raises:
-        Refused: The limit came before the head of the answer was sent.
+        Refused: The limit passed before the response's head was sent.
     """
-    failed: list[Exception] = []
-    done = False
+    errors: list[Exception] = []
+    is_done = False
     async with anyio.create_task_group() as tasks:
 
-        async def end() -> None:
+        async def cancel_at_limit() -> None:
             await limit.wait()
             tasks.cancel_scope.cancel()
 
-        tasks.start_soon(end)
+        tasks.start_soon(cancel_at_limit)
         try:
-            await work()
-            done = True
+            await handle()
+            is_done = True
         except Exception as error:
-            # The task group would wrap it.
-            failed.append(error)
+            # The task group would wrap the exception in an exception group.
+            errors.append(error)
         tasks.cancel_scope.cancel()
-    if failed:
-        raise failed[0]
-    if done or not limit.is_set():
+    if errors:
+        raise errors[0]
+    if is_done or not limit.is_set():
         return
     if not responder.started:
         detail = "this entry ended before the answer was complete"
--- a/rhubarbwinch/callers/plain.py
+++ b/rhubarbwinch/callers/plain.py
@@ -1,4 +1,4 @@
-"""Calls of plain services, routed by permits like generations."""
+"""Forwards calls of plain services to endpoints that permits select."""
 
 from functools import partial
 
@@ -22,20 +22,26 @@
 
 PREFIX = "/services/"
 MAX_ATTEMPTS = 3
-_PASSED_ON = ("content-type", "accept", "traceparent", "idempotency-key")
+_FORWARDED_HEADERS = (
+    "content-type",
+    "accept",
+    "traceparent",
+    "idempotency-key",
+)
 
 
 @attrs.frozen
 class PlainCall:
-    """A call of a plain service that has been checked.
+    """A validated call of a plain service.
 
     Attributes:
         account: The client account.
         name: The service's name.
-        service: Its record.
-        request: What the caller sent.
+        service: The service's record.
+        request: The caller's request.
         path: The path at the endpoint.
-        key: The key under which it runs at most once; None if repeatable.
+        key: The key under which the call runs at most once; None for a
+            repeatable call.
     """
 
     account: str
@@ -47,32 +53,32 @@
 
 
 def parse_call(account: str, request: Request, snapshot: Snapshot) -> PlainCall:
-    """Returns the checked call of `/services/<service>/<path>`.
+    """Parses and validates a request for `/services/<service>/<path>`.
 
     Raises:
-        Refused: It is not valid; it did not run.
+        Refused: The request is not valid; it did not run.
     """
-    name, _, rest = request.path.removeprefix(PREFIX).partition("/")
+    name, _, subpath = request.path.removeprefix(PREFIX).partition("/")
     service = snapshot.services.get(name)
     if service is None or service.kind != "plain":
         raise Refused(not_run(Reason.NOT_FOUND, f"no service {name!r}"))
     if name not in snapshot.accounts[account].services:
         raise Refused(not_run(Reason.FORBIDDEN, f"{name!r} not allowed"))
-    path = f"/{rest}"
+    path = f"/{subpath}"
     key = claim_key(account, name, service, request, path)
     return PlainCall(account, name, service, request, path, key)
 
 
 class PlainCaller:
-    """Runs calls of plain services.
+    """Forwards calls of plain services to their endpoints.
 
     Args:
-        permits: Where places come from.
+        permits: Requests permits from brokers.
         endpoints: Calls endpoints.
         claims: Keeps calls that are not repeatable from running twice.
-        ids: Makes request ids.
+        ids: Generates request ids.
         entry: This member's name.
-        data_center: Pools here are asked first.
+        data_center: This entry's data centre, whose pools are asked first.
     """
 
     def __init__(
@@ -98,44 +104,44 @@
         snapshot: Snapshot,
         responder: Responder,
     ) -> None:
-        """Answers a call of `/services/<service>/<path>`.
+        """Serves a request for `/services/<service>/<path>`.
 
         Raises:
-            Refused: It failed, with its verdict.
+            Refused: The call failed, with its verdict.
         """
         call = parse_call(account, request, snapshot)
         if call.key is not None:
             await self._serve_once(call, call.key, snapshot, responder)
             return
         response = await self._run_repeatable(call, snapshot)
-        await _pass_on(response, responder)
+        await _send_response(response, responder)
 
     async def _run_repeatable(
         self, call: PlainCall, snapshot: Snapshot
     ) -> httpx.Response:
-        """Sends a call, again at another endpoint if one fails.
+        """Sends a call and retries it at other endpoints.
 
         Raises:
-            Refused: It failed. Once a byte was sent, it may have run, whatever
-                became of later tries.
+            Refused: The call failed. If any attempt sent a byte, the verdict
+                is that the call may have run, whatever later attempts did.
         """
         avoid: list[str] = []
-        failed: EndpointError | None = None
+        earlier_error: EndpointError | None = None
         while True:
             try:
-                permit = await self._permit(call, snapshot, avoid)
+                permit = await self._acquire_permit(call, snapshot, avoid)
             except Refused as refused:
-                if failed is None or not failed.sent:
+                if earlier_error is None or not earlier_error.sent:
                     raise
-                raise Refused(_failure(failed)) from refused
+                raise Refused(_to_failure(earlier_error)) from refused
             try:
-                return await self._exchange(permit, call)
+                return await self._call_endpoint(permit, call)
             except EndpointError as error:
                 avoid.append(permit.grant.endpoint)
-                error.follow(failed)
-                failed = error
+                error.inherit_sent(earlier_error)
+                earlier_error = error
                 if len(avoid) >= MAX_ATTEMPTS:
-                    raise Refused(_failure(error)) from error
+                    raise Refused(_to_failure(error)) from error
 
     async def _serve_once(
         self,
@@ -144,33 +150,35 @@
         snapshot: Snapshot,
         responder: Responder,
     ) -> None:
-        """Answers with the recorded outcome, or runs the call."""
+        """Replays the recorded outcome of a call, or claims and runs it."""
         while True:
-            found = await self._claims.find(key)
-            if isinstance(found, Err):
-                raise Refused(found.err_value)
-            if found.ok_value is not None:
-                await replay(found.ok_value, responder)
+            recorded = await self._claims.find(key)
+            if isinstance(recorded, Err):
+                raise Refused(recorded.err_value)
+            if recorded.ok_value is not None:
+                await replay(recorded.ok_value, responder)
                 return
-            # The permit comes first: a call that is refused a place costs
-            # the store no write, and a claim is sent as soon as it is held.
-            permit = await self._permit(call, snapshot, [])
-            claim = await self._take(permit, key)
+            # The permit is acquired before the claim: a call without a permit
+            # costs the store no write, and a claimed call is sent at once.
+            permit = await self._acquire_permit(call, snapshot, [])
+            claim = await self._acquire_claim(permit, key)
             if claim is not None:
                 break
         response = await self._run_claimed(claim, permit, call, snapshot)
-        await _pass_on(response, responder)
+        await _send_response(response, responder)
 
-    async def _take(self, permit: Permit, key: ClaimKey) -> Claim | None:
-        """Claims a key; None if another request was first."""
+    async def _acquire_claim(
+        self, permit: Permit, key: ClaimKey
+    ) -> Claim | None:
+        """Claims a key; returns None if another request holds the claim."""
         claim = None
         try:
-            taken = await self._claims.take(key)
-            if isinstance(taken, Err):
-                if taken.err_value.reason is Reason.IN_PROGRESS:
+            claimed = await self._claims.take(key)
+            if isinstance(claimed, Err):
+                if claimed.err_value.reason is Reason.IN_PROGRESS:
                     return None
-                raise Refused(taken.err_value)
-            claim = taken.ok_value
+                raise Refused(claimed.err_value)
+            claim = claimed.ok_value
             return claim
         finally:
             if claim is None:
@@ -180,34 +188,34 @@
     async def _run_claimed(
         self, claim: Claim, permit: Permit, call: PlainCall, snapshot: Snapshot
     ) -> httpx.Response:
-        """Sends a claimed call; again only if no byte went out."""
+        """Sends a claimed call; retries it only if no byte was sent."""
         avoid: list[str] = []
         try:
             while True:
                 try:
-                    return await self._send(claim, permit, call)
+                    return await self._send_claimed(claim, permit, call)
                 except EndpointError as error:
                     avoid.append(permit.grant.endpoint)
                     if error.sent or len(avoid) >= MAX_ATTEMPTS:
-                        raise Refused(_failure(error)) from error
-                permit = await self._permit(call, snapshot, avoid)
+                        raise Refused(_to_failure(error)) from error
+                permit = await self._acquire_permit(call, snapshot, avoid)
         finally:
             if not claim.sent:
                 with anyio.CancelScope(shield=True):
                     await self._claims.release(claim)
 
-    async def _send(
+    async def _send_claimed(
         self, claim: Claim, permit: Permit, call: PlainCall
     ) -> httpx.Response:
-        # A caller that goes away does not cut a call that has been sent:
-        # its outcome is recorded for the caller's next try.
+        # A caller's disconnect does not cancel a call that has been sent. The
+        # call's outcome is recorded and replayed if the caller retries.
         with anyio.CancelScope(shield=True):
             if not self._claims.begin_send(claim, permit.grant.endpoint):
                 await self._permits.give_back(permit, StreamEnd.UNUSED)
                 detail = "the claim was held for too long before the send"
                 raise Refused(not_run(Reason.DEADLINE, detail, 1000))
             try:
-                response = await self._exchange(permit, call)
+                response = await self._call_endpoint(permit, call)
             except EndpointError as error:
                 if error.sent:
                     await self._claims.lose(claim)
@@ -223,7 +231,7 @@
             await self._claims.complete(claim, outcome)
         return response
 
-    async def _permit(
+    async def _acquire_permit(
         self, call: PlainCall, snapshot: Snapshot, avoid: list[str]
     ) -> Permit:
         request = PermitRequest(
@@ -237,18 +245,18 @@
             wait_ms=call.service.wait_ms,
             avoid=avoid,
         )
-        answer = await self._permits.ask_any(
+        reply = await self._permits.ask_any(
             request,
             snapshot.pools_near(
                 call.service.target, self._data_center, call.account
             ),
             partial(self._ids.request_id, call.account),
         )
-        if isinstance(answer, Err):
-            raise Refused(answer.err_value)
-        return answer.ok_value
+        if isinstance(reply, Err):
+            raise Refused(reply.err_value)
+        return reply.ok_value
 
-    async def _exchange(
+    async def _call_endpoint(
         self, permit: Permit, call: PlainCall
     ) -> httpx.Response:
         request = call.request
@@ -256,7 +264,7 @@
         url = f"http://{permit.grant.address}{call.path}{query}"
         headers = {
             name: request.headers[name]
-            for name in _PASSED_ON
+            for name in _FORWARDED_HEADERS
             if name in request.headers
         }
         end = StreamEnd.CANCELLED
@@ -280,7 +288,9 @@
     return response.headers.get("content-type", "text/plain")
 
 
-async def _pass_on(response: httpx.Response, responder: Responder) -> None:
+async def _send_response(
+    response: httpx.Response, responder: Responder
+) -> None:
     await responder.whole(
         response.status_code,
         [(b"content-type", _content_type(response).encode())],
@@ -288,7 +298,7 @@
     )
 
 
-def _failure(error: EndpointError) -> Failure:
+def _to_failure(error: EndpointError) -> Failure:
     if error.sent:
         return Failure(Verdict.MAY_HAVE_RUN, Reason.ENDPOINT_FAILED, str(error))
     return not_run(Reason.ENDPOINT_FAILED, str(error), 1000)
--- a/rhubarbwinch/callers/runguard.py
+++ b/rhubarbwinch/callers/runguard.py
@@ -1,4 +1,4 @@
-"""What watches over each run of a generation request at an engine."""
+"""Guards that decide whether a generation request may run at an engine."""
 
 from collections.abc import AsyncIterator
 from contextlib import AbstractAsyncContextManager, asynccontextmanager
@@ -24,29 +24,29 @@
 from rhubarbwinch.shared.verdict import Failure, Reason, Verdict, not_run
 
 RETRY_AFTER_MS = 1_000
-LOAD_WAIT_MS = 1_000
-PROBES = 3
+QUARANTINE_LOAD_TIMEOUT_MS = 1_000
+MAX_PROBES = 3
 
 
 class RunGuard(Protocol):
-    """Watches over the runs of one request."""
+    """Guards the runs of one request."""
 
     def run(self, permit: Permit) -> AbstractAsyncContextManager[None]:
-        """Returns a context to run in.
+        """Returns a context manager that encloses a run.
 
         Raises:
-            Refused: The run must not start, or must not be repeated.
+            Refused: The run must not start, or must not be retried.
             EndpointError: The run can't start at this endpoint.
         """
         ...
 
 
 class NoGuard:
-    """Lets every run go ahead."""
+    """Allows every run."""
 
     @asynccontextmanager
     async def run(self, permit: Permit) -> AsyncIterator[None]:
-        """Returns a context that does nothing."""
+        """Returns a context manager that does nothing."""
         yield
 
 
@@ -54,11 +54,11 @@
     """Keeps a request that crashes endpoints from crashing more than two.
 
     Args:
-        quarantine: What is known of suspects.
-        endpoints: Tells whether an endpoint is dead.
-        permits: Where permits go back.
-        fingerprint: Of the request.
-        repeatable: Whether it may run more than once.
+        quarantine: Knows the requests that are suspected to crash endpoints.
+        endpoints: Probes whether an endpoint is dead.
+        permits: Releases permits.
+        fingerprint: The request's fingerprint.
+        repeatable: Whether the request may run more than once.
     """
 
     def __init__(
@@ -77,8 +77,13 @@
         self._sent = False
 
     async def check(self) -> None:
-        """Raises `Refused` for a request in quarantine."""
-        await self._quarantine.wait_loaded(LOAD_WAIT_MS)
+        """Checks that the request is not in quarantine.
+
+        Raises:
+            Refused: The request is in quarantine, or it is a suspect that is
+                not repeatable.
+        """
+        await self._quarantine.wait_loaded(QUARANTINE_LOAD_TIMEOUT_MS)
         suspect = self._quarantine.get(self._fingerprint)
         if suspect is None:
             return
@@ -93,92 +98,99 @@
 
     @asynccontextmanager
     async def run(self, permit: Permit) -> AsyncIterator[None]:
-        """Runs a suspect alone among suspects; counts a death."""
+        """Encloses a run; a suspect is the only suspect at its endpoint.
+
+        An endpoint that dies during the run counts as a strike against the
+        request.
+        """
         run = identity.generation_id(
             permit.grant.request_id, permit.grant.endpoint
         )
         try:
-            suspect = await self._begin(permit, run)
+            suspect = await self._begin_run(permit, run)
         except BaseException:
             with anyio.CancelScope(shield=True):
                 await self._permits.give_back(permit, StreamEnd.UNUSED)
             raise
-        struck = False
+        has_struck = False
         try:
             yield
             await self._quarantine.clear(self._fingerprint)
         except Refused:
             raise
         except Exception as error:
-            # A transport's own error also may hide a death.
+            # The death of an endpoint may also cause an exception of the
+            # transport that is not an EndpointError.
             sent = not isinstance(error, EndpointError) or error.sent
             self._sent = self._sent or sent
-            struck = sent and await self._is_dead(permit, error)
-            if struck:
+            has_struck = sent and await self._is_dead(permit, error)
+            if has_struck:
                 await self._quarantine.strike(self._fingerprint, run)
             raise
         except anyio.get_cancelled_exc_class():
-            # A caller that gives up early must not hide that its request
-            # killed the endpoint.
+            # A caller that disconnects early cancels the run. The endpoint is
+            # probed nevertheless, because the request may have killed it.
             with anyio.CancelScope(shield=True):
-                struck = await self._is_dead(permit)
-                if struck:
+                has_struck = await self._is_dead(permit)
+                if has_struck:
                     await self._quarantine.strike(self._fingerprint, run)
             raise
         finally:
             if suspect is not None:
                 with anyio.CancelScope(shield=True):
-                    await self._end(permit, run, struck)
+                    await self._end_trial(permit, run, has_struck)
 
-    async def _begin(self, permit: Permit, run: str) -> Suspect | None:
-        """Returns the suspect that runs on trial, or None for no suspect."""
+    async def _begin_run(self, permit: Permit, run_id: str) -> Suspect | None:
+        """Returns the suspect whose trial begins; None if it is no suspect."""
         await self.check()
         suspect = self._quarantine.get(self._fingerprint)
         if suspect is None:
             return None
         endpoint = permit.grant.endpoint
         try:
-            if not await self._quarantine.wait_lock(endpoint, run):
+            if not await self._quarantine.wait_lock(endpoint, run_id):
                 raise EndpointError(
                     f"{endpoint} runs another suspect", sent=False
                 )
-            began = False
+            has_begun = False
             try:
-                began = await self._quarantine.wait_trial(
-                    self._fingerprint, run
+                has_begun = await self._quarantine.wait_trial(
+                    self._fingerprint, run_id
                 )
             finally:
-                if not began:
-                    await self._quarantine.unlock(endpoint, run)
+                if not has_begun:
+                    await self._quarantine.unlock(endpoint, run_id)
         except StoreError as error:
             detail = f"a suspect can't run now: {error}"
             raise Refused(self._failure(detail, RETRY_AFTER_MS)) from error
-        if not began:
+        if not has_begun:
             detail = "an endpoint died under it; one run at a time"
             raise Refused(self._failure(detail, RETRY_AFTER_MS))
         return suspect
 
-    async def _end(self, permit: Permit, run: str, struck: bool) -> None:
-        await self._quarantine.unlock(permit.grant.endpoint, run)
-        if not struck:
-            await self._quarantine.end_trial(self._fingerprint, run)
+    async def _end_trial(
+        self, permit: Permit, run_id: str, has_struck: bool
+    ) -> None:
+        await self._quarantine.unlock(permit.grant.endpoint, run_id)
+        if not has_struck:
+            await self._quarantine.end_trial(self._fingerprint, run_id)
 
     async def _is_dead(
         self, permit: Permit, error: Exception | None = None
     ) -> bool:
-        """Tells whether the endpoint died, rather than the link to it."""
+        """Returns whether the endpoint died, rather than the connection."""
         if isinstance(error, GenerationLostError):
             return True
         url = f"http://{permit.grant.address}/load"
-        for _ in range(PROBES):
+        for _ in range(MAX_PROBES):
             try:
                 await self._endpoints.read_json(url)
                 return False
-            except EndpointError as found:
-                if not found.sent:
+            except EndpointError as probe_error:
+                if not probe_error.sent:
                     return True
-                # A pooled connection to the dead process breaks like this;
-                # the next probe makes a new one.
+                # A pooled connection to a dead process also fails after the
+                # request was sent; the next probe opens a new connection.
         return True
 
     def _failure(
@@ -192,10 +204,10 @@
     """Runs a generation request at most once.
 
     Args:
-        claims: Where the key is claimed.
-        permits: Where permits go back.
-        key: What is claimed.
-        inner: Watches over the run as well.
+        claims: Claims the key.
+        permits: Releases permits.
+        key: The key to claim.
+        inner: A guard that also encloses each run.
     """
 
     def __init__(
@@ -215,48 +227,49 @@
         """Returns the recorded outcome, or None if the request may run.
 
         Raises:
-            Refused: It may not.
+            Refused: The request may not run.
         """
-        found = await self._claims.find(self._key)
-        if isinstance(found, Err):
-            raise Refused(found.err_value)
-        return found.ok_value
+        recorded = await self._claims.find(self._key)
+        if isinstance(recorded, Err):
+            raise Refused(recorded.err_value)
+        return recorded.ok_value
 
     @asynccontextmanager
     async def run(self, permit: Permit) -> AsyncIterator[None]:
-        """Claims the key before the run and records how it ended."""
+        """Encloses a run: claims the key before it and records its outcome."""
         async with self._inner.run(permit):
-            claim = await self._begin(permit)
-            unsent = False
-            done = False
+            claim = await self._begin_run(permit)
+            is_unsent = False
+            is_done = False
             try:
                 yield
-                done = True
+                is_done = True
             except EndpointError as error:
-                unsent = not error.sent
+                is_unsent = not error.sent
                 if error.sent:
-                    # Not to be tried at another endpoint.
-                    raise Refused(_lost(error)) from error
+                    # The request may have run, so it must not be retried at
+                    # another endpoint.
+                    raise Refused(_may_have_run(error)) from error
                 raise
             finally:
                 with anyio.CancelScope(shield=True):
-                    await self._finish(claim, permit, done, unsent)
+                    await self._finish(claim, permit, is_done, is_unsent)
 
     async def release(self) -> None:
-        """Gives an unsent claim up; call it when the request has ended."""
+        """Releases an unsent claim; call it when the request has ended."""
         if self._claim is not None and not self._claim.sent:
             with anyio.CancelScope(shield=True):
                 await self._claims.release(self._claim)
 
-    async def _begin(self, permit: Permit) -> Claim:
+    async def _begin_run(self, permit: Permit) -> Claim:
         failure = None
         try:
             if self._claim is None:
-                taken = await self._claims.take(self._key)
-                if isinstance(taken, Err):
-                    failure = taken.err_value
+                claimed = await self._claims.take(self._key)
+                if isinstance(claimed, Err):
+                    failure = claimed.err_value
                 else:
-                    self._claim = taken.ok_value
+                    self._claim = claimed.ok_value
             if failure is None and self._claim is not None:
                 if self._claims.begin_send(self._claim, permit.grant.endpoint):
                     return self._claim
@@ -268,15 +281,15 @@
             raise
         await self._permits.give_back(permit, StreamEnd.UNUSED)
         if failure is None:
-            raise AssertionError("a claim that is not taken has a failure")
+            raise AssertionError("neither a claim nor a failure")
         raise Refused(failure)
 
     async def _finish(
-        self, claim: Claim, permit: Permit, done: bool, unsent: bool
+        self, claim: Claim, permit: Permit, is_done: bool, is_unsent: bool
     ) -> None:
-        if unsent:
+        if is_unsent:
             claim.mark_unsent()
-        elif done:
+        elif is_done:
             generation = identity.generation_id(
                 permit.grant.request_id, permit.grant.endpoint
             )
@@ -287,5 +300,5 @@
             await self._claims.lose(claim)
 
 
-def _lost(error: EndpointError) -> Failure:
+def _may_have_run(error: EndpointError) -> Failure:
     return Failure(Verdict.MAY_HAVE_RUN, Reason.STREAM_BROKEN, str(error))
--- a/rhubarbwinch/programs/broker.py
+++ b/rhubarbwinch/programs/broker.py
@@ -1,4 +1,4 @@
-"""The broker: answers permit requests for the pools it owns."""
+"""The broker program, which decides permit requests for the pools it owns."""
 
 import random
 from collections.abc import Callable
@@ -36,18 +36,18 @@
 from rhubarbwinch.shared.exceptions import EndpointError, LinkError
 from rhubarbwinch.shared.verdict import Reason, not_run
 
-# Returns the names of a pool's endpoints that leave.
+# Returns the names of a pool's leaving endpoints.
 LeavingFinder = Callable[[PoolSpec], set[str]]
 
 TICK_MS = 20
-LOAD_SILENCE_MS = 1000
+LOAD_TIMEOUT_MS = 1000
 MAX_BODY_BYTES = 64 << 10
 RETRY_AFTER_MS = 1000
 
 
 @attrs.define
 class _Waiter:
-    """A permit request whose decision is not made."""
+    """A permit request that waits for its decision."""
 
     pool: str
     done: anyio.Event = attrs.field(factory=anyio.Event)
@@ -55,14 +55,15 @@
 
 
 class PoolKeeper:
-    """The pools of a broker and the requests that wait for them.
+    """The pools of a broker and the permit requests that wait for them.
 
     Args:
         clock: The source of time.
-        rng: Breaks ties.
-        counters: Where permits and refusals are counted.
-        ownership: Tells of pools that came from another broker.
-        options: Which decisions the pools make.
+        rng: The source of random tie-breaks.
+        counters: Receives the metrics.
+        ownership: Knows the pools that were taken over from another broker,
+            whose first decisions have to wait; None for no wait.
+        options: The options of the pools' admission.
     """
 
     def __init__(
@@ -85,17 +86,20 @@
 
     @property
     def waiting(self) -> int:
-        """The number of requests without a decision."""
+        """The number of requests that wait for a decision."""
         return len(self._waiters)
 
     def mark_leaving(self, find: LeavingFinder) -> None:
-        """Sets how the endpoints of a pool that leave are found."""
+        """Sets the function that finds a pool's leaving endpoints."""
         self._find_leaving = find
         for name, pool in self._pools.items():
             pool.set_leaving(find(self._specs[name]))
 
     def configure(self, snapshot: Snapshot) -> None:
-        """Takes the pools of a new configuration."""
+        """Applies the pools of a new configuration.
+
+        Requests that wait for a removed pool are refused.
+        """
         self._specs = dict(snapshot.pools)
         if self._ownership is not None:
             self._ownership.set_pools(snapshot.pools)
@@ -116,10 +120,10 @@
         self.mark_leaving(self._find_leaving)
 
     async def answer(self, request: PermitRequest) -> PermitReply:
-        """Returns the decision on a request, after its wait in the queue."""
+        """Decides a request, after its wait in the pool's queue."""
         pool = self._pools.get(request.pool)
         if pool is None:
-            return _no_pool(request.pool)
+            return _refuse_unknown_pool(request.pool)
         waiter = _Waiter(request.pool)
         self._waiters[request.request_id] = waiter
         try:
@@ -127,7 +131,7 @@
                 wait_ms = self._ownership.wait_ms(request.pool)
                 await self._clock.sleep(wait_ms)
             if waiter.reply is None:
-                self._hand_out(pool.submit(request))
+                self._deliver(pool.submit(request))
             await waiter.done.wait()
         finally:
             self._waiters.pop(request.request_id, None)
@@ -136,47 +140,51 @@
         return waiter.reply
 
     def _refuse_waiting(self, pool: str) -> None:
-        """Answers the requests that wait for a pool that is gone."""
+        """Refuses the requests that wait for a removed pool."""
         for waiter in self._waiters.values():
             if waiter.pool == pool:
-                waiter.reply = _no_pool(pool)
+                waiter.reply = _refuse_unknown_pool(pool)
                 waiter.done.set()
 
     async def release(self, release: PermitRelease) -> None:
-        """Takes a permit back; an unknown pool means any of them."""
+        """Releases a permit; without a pool's name it is released in all."""
         pools = [self._pools.get(release.pool)]
         if not release.pool:
             pools = list(self._pools.values())
         for pool in filter(None, pools):
-            self._hand_out(pool.release(release))
+            self._deliver(pool.release(release))
 
     async def report_progress(self, report: ProgressReport) -> None:
-        """Takes an entry's open streams."""
+        """Applies an entry's report of its open streams."""
         if report.pool in self._pools:
             self._pools[report.pool].report_progress(report)
 
     async def check_digest(self, report: DigestReport) -> DigestReply:
-        """Compares an entry's open streams with what is known of them."""
+        """Compares the digest of an entry's open streams with the pool's."""
         pool = self._pools.get(report.pool)
         return DigestReply(pool is not None and pool.check_digest(report))
 
     def report_load(self, pool: str, report: LoadReport) -> None:
-        """Takes an engine's load."""
+        """Applies an engine's load report."""
         if pool in self._pools:
             self._pools[pool].report_load(report)
 
     def tick(self) -> list[EntryChange]:
-        """Decides what time decides; returns changes to send to entries."""
+        """Makes the decisions that depend on time.
+
+        Returns:
+            The priority changes to send to entries.
+        """
         changes = []
         for pool in self._pools.values():
-            self._hand_out(pool.decide())
+            self._deliver(pool.decide())
             changes += pool.take_priority_changes()
         queued = sum(pool.queued for pool in self._pools.values())
         self._metrics.gauge(metrics.QUEUED, queued)
         self._metrics.count(metrics.YIELDS, len(changes))
         return changes
 
-    def _hand_out(self, decisions: list[Decision]) -> None:
+    def _deliver(self, decisions: list[Decision]) -> None:
         for decision in decisions:
             granted = decision.reply.grant is not None
             name = metrics.PERMITS if granted else metrics.REFUSALS
@@ -187,31 +195,31 @@
                 waiter.done.set()
 
 
-def _no_pool(name: str) -> PermitReply:
-    """Refuses a request; the pool may be back with the next change."""
+def _refuse_unknown_pool(name: str) -> PermitReply:
+    """Refuses a request; the next configuration may have the pool again."""
     failure = not_run(Reason.NO_ENDPOINT, f"no pool {name}", RETRY_AFTER_MS)
     return PermitReply(failure=failure)
 
 
 class Broker:
-    """The broker's program.
+    """The broker program.
 
     Args:
-        settings: What it was told.
-        outside: What it reaches the outside by, if not by a process's own.
-        endpoints: Calls endpoints, if not over HTTP.
+        settings: The broker's settings.
+        dependencies: The program's dependencies; None for those of a process.
+        endpoints: Calls endpoints; None for a client over HTTP.
     """
 
     def __init__(
         self,
         settings: BrokerSettings,
-        outside: Surroundings | None = None,
+        dependencies: Surroundings | None = None,
         endpoints: EndpointClient | None = None,
     ) -> None:
-        self._daemon = Daemon(Role.BROKER, settings, outside)
+        self._daemon = Daemon(Role.BROKER, settings, dependencies)
         self._settings = settings
-        self._endpoints = endpoints or EndpointClient(LOAD_SILENCE_MS)
-        self._keeper = PoolKeeper(
+        self._endpoints = endpoints or EndpointClient(LOAD_TIMEOUT_MS)
+        self._broker_pools = PoolKeeper(
             self._daemon.clock,
             random.Random(self._daemon.incarnation),
             self._daemon.metrics,
@@ -220,33 +228,33 @@
         )
 
     async def run(self) -> None:
-        """Runs until asked to stop."""
+        """Runs until the program is stopped."""
         daemon = self._daemon
-        daemon.follower.on_change(self._keeper.configure)
+        daemon.follower.on_change(self._broker_pools.configure)
         daemon.leaving.on_change(self._mark_leaving)
         self._mark_leaving()
-        daemon.drain.open_count = lambda: self._keeper.waiting
-        daemon.server.on(PermitRequest, self._answer)
-        daemon.server.on(PermitRelease, self._keeper.release)
-        daemon.server.on(ProgressReport, self._keeper.report_progress)
-        daemon.server.on(DigestReport, self._keeper.check_digest)
+        daemon.drain.open_count = lambda: self._broker_pools.waiting
+        daemon.server.on(PermitRequest, self._handle_request)
+        daemon.server.on(PermitRelease, self._broker_pools.release)
+        daemon.server.on(ProgressReport, self._broker_pools.report_progress)
+        daemon.server.on(DigestReport, self._broker_pools.check_digest)
         daemon.serve_http(App(MAX_BODY_BYTES))
         daemon.add("tick", self._tick)
-        daemon.add("load", self._read_loads)
+        daemon.add("load", self._poll_loads)
         await daemon.run()
         await self._endpoints.close()
 
-    async def _answer(self, request: PermitRequest) -> PermitReply:
+    async def _handle_request(self, request: PermitRequest) -> PermitReply:
         with tracing.span("queue", request.traceparent, pool=request.pool):
-            return await self._keeper.answer(request)
+            return await self._broker_pools.answer(request)
 
     def _mark_leaving(self) -> None:
-        self._keeper.mark_leaving(self._daemon.leaving.endpoints_of)
+        self._broker_pools.mark_leaving(self._daemon.leaving.endpoints_of)
 
     async def _tick(self) -> None:
         while True:
             await self._daemon.clock.sleep(TICK_MS)
-            for change in self._keeper.tick():
+            for change in self._broker_pools.tick():
                 await self._send_change(change)
 
     async def _send_change(self, change: EntryChange) -> None:
@@ -256,33 +264,35 @@
             try:
                 await self._daemon.links.send(entry.link, change.message)
             except LinkError:
-                # Without the change the engine chooses its own victim.
+                # Without the change the engine itself selects the run that it
+                # preempts.
                 return
 
-    async def _read_loads(self) -> None:
+    async def _poll_loads(self) -> None:
         while True:
             await self._daemon.clock.sleep(self._settings.load_poll_ms)
             snapshot = self._daemon.follower.snapshot
             members = self._daemon.members
             async with anyio.create_task_group() as tasks:
                 for name, spec in snapshot.pools.items():
-                    # Each engine is asked by its pool's owner alone.
+                    # Only the owner of a pool polls the pool's engines.
                     is_owned = pool_owner(name, members) == members.me
                     if spec.target not in snapshot.models or not is_owned:
                         continue
                     for endpoint in spec.endpoints:
                         tasks.start_soon(
-                            self._read_load,
+                            self._poll_load,
                             name,
                             endpoint.name,
                             endpoint.address,
                         )
 
-    async def _read_load(self, pool: str, name: str, address: str) -> None:
+    async def _poll_load(self, pool: str, name: str, address: str) -> None:
         try:
             data = await self._endpoints.read_json(f"http://{address}/load")
         except EndpointError:
-            # A silent engine is judged by the calls that fail on it.
+            # Failing calls, not missing load reports, show that an engine is
+            # down.
             return
         report = LoadReport(
             endpoint=name,
@@ -294,4 +304,4 @@
             step_ms=float(data["step_ms"]),
             preemptions=int(data["preemptions"]),
         )
-        self._keeper.report_load(pool, report)
+        self._broker_pools.report_load(pool, report)
--- a/rhubarbwinch/programs/claimparts.py
+++ b/rhubarbwinch/programs/claimcomponents.py
@@ -16,12 +16,12 @@
 HOUR_MS = 3_600_000
 
 
-class ClaimParts:
+class ClaimComponents:
     """The claims, the meter and the quarantine of an entry.
 
     Args:
-        daemon: The entry's program.
-        settings: What it was told.
+        daemon: The entry's daemon.
+        settings: The entry's settings.
     """
 
     def __init__(self, daemon: Daemon, settings: EntrySettings) -> None:
@@ -38,11 +38,11 @@
             settings.meter_flush_ms,
         )
         self.quarantine = Quarantine(store, daemon.gossip, clock)
-        self._routed = RoutedPages(
+        self._routed_pages = RoutedPages(
             self._pages, daemon.links, daemon.members, clock
         )
         self.claims = Claims(
-            self._routed,
+            self._routed_pages,
             LinkOwners(daemon.links, daemon.members),
             ClaimFloor(store, clock),
             clock,
@@ -52,9 +52,9 @@
         )
 
     def attach(self, daemon: Daemon) -> None:
-        """Adds the tasks and the answers to other members."""
+        """Adds the tasks and the handlers of other members' messages."""
         daemon.server.on(ClaimQuestion, self.claims.answer)
-        daemon.server.on(PageCall, self._routed.answer)
+        daemon.server.on(PageCall, self._routed_pages.answer)
         daemon.add("claim-pages", self._pages.run)
         daemon.add("claims", self.claims.run)
         daemon.add("claim-cleaner", self._cleaner.run)
--- a/rhubarbwinch/programs/config.py
+++ b/rhubarbwinch/programs/config.py
@@ -1,4 +1,4 @@
-"""The settings of all programs, read from flags and the environment."""
+"""Settings of the daemons, which flags and environment variables set."""
 
 from typing import Annotated
 
@@ -10,7 +10,7 @@
 from rhubarbwinch.shared import settingtypes as types
 from rhubarbwinch.shared.events import LogFormat
 from rhubarbwinch.shared.exceptions import SettingError
-from rhubarbwinch.shared.settingtypes import arg
+from rhubarbwinch.shared.settingtypes import setting_arg
 from rhubarbwinch.shared.tls import TlsFiles
 from rhubarbwinch.stores import etcdstore  # noqa: F401 - registers an adapter
 from rhubarbwinch.stores.store import STORES
@@ -20,53 +20,65 @@
 
 @attrs.define(kw_only=True)
 class Settings:
-    """What every program is told.
+    """The settings that all daemons have.
 
     Attributes:
         name: The member's name, unique among all members.
-        data_center: The data centre that it runs in.
+        data_center: The data centre that the member runs in.
         region: The region of the data centre.
-        link: `a.b.c.d:port` at which peers reach it.
-        http: `a.b.c.d:port` of its HTTP interface.
+        link: `a.b.c.d:port` at which peers reach the member.
+        http: `a.b.c.d:port` of the HTTP interface.
         store: `a.b.c.d:port` of the key-value store.
         store_kind: The store adapter's name.
-        store_timeout_ms: The longest wait for the store.
-        peers: Link addresses of some peers, for a start without the store.
-        lease_ms: The life of the member's registration without renewal.
+        store_timeout_ms: The timeout of a call to the store.
+        peers: Link addresses of some peers, for a start while the store is
+            unavailable.
+        lease_ms: The duration of the lease of the member's registration.
         link_public_key: The deployment's CURVE public key.
         link_secret_key: The deployment's CURVE secret key.
-        drain_ms: The longest wait for open streams at the end.
+        drain_ms: The longest wait for open streams at shutdown.
         log_level: The lowest level that is logged.
         log_format: `text` or `json`.
-        statsd: `a.b.c.d:port` of a statsd server; empty for none.
-        traces: `log`, the URL of an OTLP collector, or empty.
-        trace_percent: How many of 100 traces that begin here are recorded.
+        statsd: `a.b.c.d:port` of a statsd server; empty for no metrics.
+        traces: `log`, the URL of an OTLP collector, or empty for no tracing.
+        trace_percent: The percentage of the traces that begin here to record.
     """
 
-    name: Annotated[str, arg("name", "", types.name, "Member name", True)]
+    name: Annotated[
+        str, setting_arg("name", "", types.name, "Member name", True)
+    ]
     data_center: Annotated[
-        str, arg("data-center", "dc", types.name, "Data centre of this VM")
+        str,
+        setting_arg("data-center", "dc", types.name, "Data centre of this VM"),
     ] = "dc"
     region: Annotated[
-        str, arg("region", "region", types.name, "Region of the data centre")
+        str,
+        setting_arg(
+            "region", "region", types.name, "Region of the data centre"
+        ),
     ] = "region"
     link: Annotated[
-        str, arg("link", "", types.address, "Address for peers", True)
+        str, setting_arg("link", "", types.address, "Address for peers", True)
     ]
     http: Annotated[
         str,
-        arg("http", "", types.address, "Address of the HTTP interface", True),
+        setting_arg(
+            "http", "", types.address, "Address of the HTTP interface", True
+        ),
     ]
     store: Annotated[
-        str, arg("store", "", types.address, "Address of the store", True)
+        str,
+        setting_arg("store", "", types.address, "Address of the store", True),
     ]
     store_kind: Annotated[
         str,
-        arg("store-kind", "etcd", types.registered(STORES), "Store adapter"),
+        setting_arg(
+            "store-kind", "etcd", types.registered(STORES), "Store adapter"
+        ),
     ] = "etcd"
     store_timeout_ms: Annotated[
         int,
-        arg(
+        setting_arg(
             "store-timeout-ms",
             1000,
             types.number(10, 60_000),
@@ -75,27 +87,37 @@
     ] = 1000
     peers: Annotated[
         list[str],
-        arg(
+        setting_arg(
             "peers", "", types.addresses, "Link addresses, with commas between"
         ),
     ] = attrs.field(factory=list)
     lease_ms: Annotated[
-        int, arg("lease-ms", 5000, types.number(1000, 600_000), "Member lease")
+        int,
+        setting_arg(
+            "lease-ms", 5000, types.number(1000, 600_000), "Member lease"
+        ),
     ] = 5000
     link_public_key: Annotated[
         str,
-        arg("link-public-key", "", types.curve_key, "CURVE public key, Z85"),
+        setting_arg(
+            "link-public-key", "", types.curve_key, "CURVE public key, Z85"
+        ),
     ] = ""
     link_secret_key: Annotated[
         str,
-        arg("link-secret-key", "", types.curve_secret, "CURVE secret key, Z85"),
+        setting_arg(
+            "link-secret-key", "", types.curve_secret, "CURVE secret key, Z85"
+        ),
     ] = attrs.field(default="", repr=False)
     drain_ms: Annotated[
-        int, arg("drain-ms", 30_000, types.number(0, 3_600_000), "Drain limit")
+        int,
+        setting_arg(
+            "drain-ms", 30_000, types.number(0, 3_600_000), "Drain limit"
+        ),
     ] = 30_000
     log_level: Annotated[
         str,
-        arg(
+        setting_arg(
             "log-level",
             "info",
             types.choice("debug", "info", "warning", "error"),
@@ -103,11 +125,12 @@
         ),
     ] = "info"
     log_format: Annotated[
-        LogFormat, arg("log-format", "text", _log_format, "Form of log lines")
+        LogFormat,
+        setting_arg("log-format", "text", _log_format, "Format of log lines"),
     ] = LogFormat.TEXT
     statsd: Annotated[
         str,
-        arg(
+        setting_arg(
             "statsd",
             "",
             types.optional(types.address),
@@ -116,26 +139,30 @@
     ] = ""
     traces: Annotated[
         str,
-        arg("traces", "", types.traces, "`log`, or URL of an OTLP collector"),
+        setting_arg(
+            "traces", "", types.traces, "`log`, or URL of an OTLP collector"
+        ),
     ] = ""
 
     trace_percent: Annotated[
         int,
-        arg("trace-percent", 100, types.number(0, 100), "Traces recorded"),
+        setting_arg(
+            "trace-percent", 100, types.number(0, 100), "Traces recorded"
+        ),
     ] = 100
 
     @property
     def link_keys(self) -> LinkKeys | None:
-        """The key pair for links, or None without one."""
+        """The key pair for links; None if no key is set."""
         if not self.link_public_key:
             return None
         return LinkKeys(self.link_public_key, self.link_secret_key)
 
     def check(self) -> None:
-        """Checks what depends on several settings.
+        """Checks the settings that depend on each other.
 
         Raises:
-            SettingError: They don't fit together.
+            SettingError: Settings contradict each other.
         """
         if not self.link_public_key and not self.link_secret_key:
             return
@@ -153,34 +180,36 @@
 
 @attrs.define(kw_only=True)
 class EntrySettings(Settings):
-    """What an entry is told besides.
+    """The settings that only an entry has.
 
     Attributes:
         max_body_bytes: The largest request body.
         body_timeout_ms: The longest wait for a request body.
         stream_secret: Signs generation ids, so that only the account that
             started a stream can resume it.
-        permit_timeout_ms: The longest wait for a broker beyond the queue.
-        endpoint_silence_ms: A stream without a byte for so long is resumed.
-        claims_keep_hours: How long claims and counters are kept for audits;
-            no key older than this is accepted.
-        claim_writes_per_s: The most writes of claims in a second.
-        meter_flush_ms: The time between two writes of the counters.
+        permit_timeout_ms: The timeout of a call to a broker, in addition to
+            the wait in the queue.
+        endpoint_silence_ms: A stream that receives no byte from its endpoint
+            for this long is resumed.
+        claims_keep_hours: How long claims and token counters are kept for
+            audits; no key older than this is accepted.
+        claim_writes_per_s: The most store writes for claims per second.
+        meter_flush_ms: The interval between two writes of the token counters.
         resume_grace_ms: How long a generation is kept for a caller that lost
-            its connection and may resume it.
+            its connection and may resume the stream.
         certfile: The certificate for callers, PEM; empty for plain HTTP.
-        keyfile: Its private key, PEM.
+        keyfile: The certificate's private key, PEM.
     """
 
     max_body_bytes: Annotated[
         int,
-        arg(
+        setting_arg(
             "max-body-bytes", 4 << 20, types.number(1024, 1 << 30), "Body limit"
         ),
     ] = 4 << 20
     body_timeout_ms: Annotated[
         int,
-        arg(
+        setting_arg(
             "body-timeout-ms",
             30_000,
             types.number(10, 600_000),
@@ -188,11 +217,12 @@
         ),
     ] = 30_000
     stream_secret: Annotated[
-        str, arg("stream-secret", "", types.secret, "Signs generation ids")
+        str,
+        setting_arg("stream-secret", "", types.secret, "Signs generation ids"),
     ] = attrs.field(default="", repr=False)
     permit_timeout_ms: Annotated[
         int,
-        arg(
+        setting_arg(
             "permit-timeout-ms",
             500,
             types.number(10, 60_000),
@@ -201,7 +231,7 @@
     ] = 500
     endpoint_silence_ms: Annotated[
         int,
-        arg(
+        setting_arg(
             "endpoint-silence-ms",
             2000,
             types.number(100, 600_000),
@@ -210,45 +240,49 @@
     ] = 2000
     claims_keep_hours: Annotated[
         int,
-        arg(
+        setting_arg(
             "claims-keep-hours",
             35 * 24,
             types.number(1, 400 * 24),
-            "How long claims and counters are kept",
+            "How long claims and token counters are kept",
         ),
     ] = 35 * 24
     claim_writes_per_s: Annotated[
         int,
-        arg(
+        setting_arg(
             "claim-writes-per-s",
             50,
             types.number(1, 10_000),
-            "Most store writes for claims in a second",
+            "Maximum store writes for claims per second",
         ),
     ] = 50
     meter_flush_ms: Annotated[
         int,
-        arg(
+        setting_arg(
             "meter-flush-ms",
             5_000,
             types.number(100, 600_000),
-            "Time between two writes of the counters",
+            "Interval between writes of the token counters",
         ),
     ] = 5_000
     resume_grace_ms: Annotated[
         int,
-        arg(
+        setting_arg(
             "resume-grace-ms",
             10_000,
             types.number(0, 600_000),
-            "How long a generation is kept for a caller that left it",
+            "How long a generation is kept for a disconnected caller",
         ),
     ] = 10_000
     certfile: Annotated[
-        str, arg("certfile", "", types.file, "Certificate for callers, PEM")
+        str,
+        setting_arg("certfile", "", types.file, "Certificate for callers, PEM"),
     ] = ""
     keyfile: Annotated[
-        str, arg("keyfile", "", types.file, "Its private key, PEM")
+        str,
+        setting_arg(
+            "keyfile", "", types.file, "Private key of the certificate, PEM"
+        ),
     ] = ""
 
     @property
@@ -259,30 +293,30 @@
         return TlsFiles(self.certfile, self.keyfile)
 
     def check(self) -> None:
-        """Checks what depends on several settings.
+        """Checks the settings that depend on each other.
 
         Raises:
-            SettingError: They don't fit together.
+            SettingError: Settings contradict each other.
         """
         super().check()
         if bool(self.certfile) == bool(self.keyfile):
             return
         missing = "keyfile" if self.certfile else "certfile"
-        raise SettingError(missing, "", "a file, as the other of the two is")
+        raise SettingError(missing, "", "a file, as the other TLS file is set")
 
 
 @attrs.define(kw_only=True)
 class BrokerSettings(Settings):
-    """What a broker is told besides.
+    """The settings that only a broker has.
 
     Attributes:
         placement: The placement policy's name.
-        load_poll_ms: The time between two readings of an endpoint's load.
+        load_poll_ms: The interval at which an endpoint's load is polled.
     """
 
     placement: Annotated[
         str,
-        arg(
+        setting_arg(
             "placement",
             "quantile",
             types.registered(POLICIES),
@@ -291,32 +325,38 @@
     ] = "quantile"
     load_poll_ms: Annotated[
         int,
-        arg(
-            "load-poll-ms", 250, types.number(10, 60_000), "Load reading period"
+        setting_arg(
+            "load-poll-ms", 250, types.number(10, 60_000), "Load poll interval"
         ),
     ] = 250
 
 
 @attrs.define(kw_only=True)
 class ControlSettings(Settings):
-    """What a control is told besides.
+    """The settings that only a control has.
 
     Attributes:
-        engine_adapter: How engines take orders.
-        order_lease_ms: The life of the lease for orders without renewal.
-        order_flight_ms: The longest time from an order to its effect.
-        loads_per_minute: What the weight store carries, for the deployment.
+        engine_adapter: The name of the adapter that sends orders to engines.
+        order_lease_ms: The duration of the lease for orders.
+        order_flight_ms: The longest time from sending an order to its effect.
+        loads_per_minute: How many load orders per minute the weight store
+            sustains, for the whole deployment.
         vm_list: `a.b.c.d:port` of the platform's list of VMs; empty for none.
-        vm_list_kind: The list's adapter.
+        vm_list_kind: The name of the adapter that reads the list of VMs.
     """
 
     engine_adapter: Annotated[
         str,
-        arg("engine-adapter", "http", types.name, "How engines take orders"),
+        setting_arg(
+            "engine-adapter",
+            "http",
+            types.name,
+            "Adapter for orders to engines",
+        ),
     ] = "http"
     order_lease_ms: Annotated[
         int,
-        arg(
+        setting_arg(
             "order-lease-ms",
             10_000,
             types.number(1000, 600_000),
@@ -325,25 +365,25 @@
     ] = 10_000
     order_flight_ms: Annotated[
         int,
-        arg(
+        setting_arg(
             "order-flight-ms",
             2000,
             types.number(100, 60_000),
-            "Longest flight of an order",
+            "Longest time from an order to its effect",
         ),
     ] = 2000
     loads_per_minute: Annotated[
         int,
-        arg(
+        setting_arg(
             "loads-per-minute",
             60,
             types.number(1, 100_000),
-            "Load orders a minute in the whole deployment",
+            "Load orders per minute in the whole deployment",
         ),
     ] = 60
     vm_list: Annotated[
         str,
-        arg(
+        setting_arg(
             "vm-list",
             "",
             types.optional(types.address),
@@ -351,5 +391,5 @@
         ),
     ] = ""
     vm_list_kind: Annotated[
-        str, arg("vm-list-kind", "json", types.name, "VM list adapter")
+        str, setting_arg("vm-list-kind", "json", types.name, "VM list adapter")
     ] = "json"
--- a/rhubarbwinch/programs/entry.py
+++ b/rhubarbwinch/programs/entry.py
@@ -1,4 +1,4 @@
-"""The entry: speaks HTTP with callers."""
+"""The entry program, which serves callers over HTTP."""
 
 import random
 from functools import partial
@@ -10,8 +10,8 @@
 from rhubarbwinch.callers import models
 from rhubarbwinch.callers.calls import parse_call
 from rhubarbwinch.callers.drainlimit import run_until_limit
-from rhubarbwinch.callers.generate import Generator
-from rhubarbwinch.callers.guarded import GuardedGenerator
+from rhubarbwinch.callers.generate import GenerationRunner
+from rhubarbwinch.callers.guarded import GuardedGenerationRunner
 from rhubarbwinch.callers.plain import PREFIX, PlainCaller
 from rhubarbwinch.callers.streams import OpenStreams
 from rhubarbwinch.callers.takeover import Takeover
@@ -20,7 +20,7 @@
 from rhubarbwinch.http.httpapi import App, Handler, Refused, Request, Responder
 from rhubarbwinch.links.messages import PriorityChange, StreamTake
 from rhubarbwinch.membership.members import Role
-from rhubarbwinch.programs.claimparts import ClaimParts
+from rhubarbwinch.programs.claimcomponents import ClaimComponents
 from rhubarbwinch.programs.config import EntrySettings
 from rhubarbwinch.programs.daemon import Daemon
 from rhubarbwinch.programs.surroundings import Surroundings
@@ -33,21 +33,21 @@
 
 
 class Entry:
-    """The entry's program.
+    """The entry program.
 
     Args:
-        settings: What it was told.
-        outside: What it reaches the outside by, if not by a process's own.
-        endpoints: Calls endpoints, if not over HTTP.
+        settings: The entry's settings.
+        dependencies: The program's dependencies; None for those of a process.
+        endpoints: Calls endpoints; None for a client over HTTP.
     """
 
     def __init__(
         self,
         settings: EntrySettings,
-        outside: Surroundings | None = None,
+        dependencies: Surroundings | None = None,
         endpoints: EndpointClient | None = None,
     ) -> None:
-        daemon = Daemon(Role.ENTRY, settings, outside)
+        daemon = Daemon(Role.ENTRY, settings, dependencies)
         self._daemon = daemon
         self._keys = KeyChecker()
         self._endpoints = endpoints or EndpointClient(
@@ -60,7 +60,7 @@
             daemon.metrics,
         )
         ids = identity.IdMaker(daemon.incarnation, settings.stream_secret)
-        self._claims = ClaimParts(daemon, settings)
+        self._claims = ClaimComponents(daemon, settings)
         self._streams = OpenStreams(
             self._permits,
             self._endpoints,
@@ -74,7 +74,7 @@
             daemon.members,
             settings.permit_timeout_ms,
         )
-        self._generator = Generator(
+        self._runner = GenerationRunner(
             self._permits,
             self._endpoints,
             self._streams,
@@ -86,14 +86,14 @@
             settings.name,
             settings.data_center,
         )
-        self._guarded = GuardedGenerator(
-            self._generator,
+        self._guarded_runner = GuardedGenerationRunner(
+            self._runner,
             self._claims.quarantine,
             self._claims.claims,
             self._permits,
             self._endpoints,
         )
-        self._plain = PlainCaller(
+        self._plain_services = PlainCaller(
             self._permits,
             self._endpoints,
             self._claims.claims,
@@ -108,7 +108,7 @@
             daemon.links,
             daemon.clock,
         )
-        self._open = 0
+        self._open_count = 0
         self._tls = settings.tls
         if not settings.stream_secret:
             events.NO_STREAM_SECRET.log()
@@ -116,26 +116,26 @@
 
     @property
     def daemon(self) -> Daemon:
-        """The shared parts, for a program that embeds this one."""
+        """The daemon, for a program that embeds the entry."""
         return self._daemon
 
     @property
     def app(self) -> App:
-        """The ASGI application, for a program that serves it itself."""
+        """The ASGI application, for a program that embeds the entry."""
         return self._app
 
     async def run(self) -> None:
-        """Runs until asked to stop."""
+        """Runs until the program is stopped."""
         daemon = self._daemon
-        generate = self._observed(self._generate)
+        generate = self._instrument(self._generate)
         self._app.route("POST", "/v1/completions", generate)
         self._app.route("POST", "/v1/chat/completions", generate)
-        self._app.route("GET", "/v1/entries", self._entries)
+        self._app.route("GET", "/v1/entries", self._list_entries)
         self._app.route("GET", "/v1/models", self._list_models)
-        self._app.route("*", PREFIX, self._observed(self._call_plain))
-        daemon.server.on(StreamTake, self._streams.take_for_peer)
+        self._app.route("*", PREFIX, self._instrument(self._call_plain))
+        daemon.server.on(StreamTake, self._streams.hand_over)
         daemon.server.on(PriorityChange, self._streams.change_priority)
-        daemon.drain.open_count = lambda: self._open
+        daemon.drain.open_count = lambda: self._open_count
         self._app.is_closing = lambda: daemon.drain.started
         daemon.serve_http(self._app, self._tls)
         daemon.add("reports", self._reporter.run)
@@ -144,8 +144,8 @@
         await daemon.run()
         await self._endpoints.close()
 
-    def _observed(self, handle: Handler) -> Handler:
-        """Returns a handler that is counted and runs in a span."""
+    def _instrument(self, handle: Handler) -> Handler:
+        """Wraps a handler in a span and in metrics."""
         counters = self._daemon.metrics
 
         async def run(request: Request, responder: Responder) -> None:
@@ -155,22 +155,22 @@
                     await handle(request, responder)
                 except Refused as refused:
                     counters.count(metrics.FAILURES)
-                    tracing.mark_failure(refused.failure)
+                    tracing.record_failure(refused.failure)
                     raise
                 finally:
-                    counters.gauge(metrics.OPEN_STREAMS, self._open)
+                    counters.gauge(metrics.OPEN_STREAMS, self._open_count)
 
         return run
 
-    def _account(self, request: Request) -> str:
-        """Returns the caller's account.
+    def _authenticate(self, request: Request) -> str:
+        """Authenticates a request and returns the caller's account.
 
         Raises:
-            Refused: The key is not valid, or the program is draining.
+            Refused: The API key is unknown, or the program is draining.
         """
         if self._daemon.drain.started:
             detail = "this entry is leaving; others: " + ", ".join(
-                self._others()
+                self._other_entries()
             )
             raise Refused(not_run(Reason.DRAINING, detail, RETRY_AFTER_MS))
         snapshot = self._daemon.follower.snapshot
@@ -180,8 +180,8 @@
         self._daemon.metrics.count(metrics.REQUESTS)
         return account
 
-    def _others(self) -> list[str]:
-        """Returns the addresses of the other entries that take new work."""
+    def _other_entries(self) -> list[str]:
+        """Returns the addresses of the other entries that are serving."""
         members = self._daemon.members
         return [
             m.http
@@ -194,51 +194,57 @@
             self._daemon.drain.limit,
             partial(self._start_or_resume, request, responder),
             responder,
-            self._others,
+            self._other_entries,
         )
 
     async def _start_or_resume(
         self, request: Request, responder: Responder
     ) -> None:
-        account = self._account(request)
+        account = self._authenticate(request)
         snapshot = self._daemon.follower.snapshot
-        self._open += 1
+        self._open_count += 1
         try:
-            last = request.headers.get("last-event-id")
-            if last is None:
+            last_event_id = request.headers.get("last-event-id")
+            if last_event_id is None:
                 call = parse_call(account, request, snapshot)
-                await self._guarded.serve(call, snapshot, responder)
+                await self._guarded_runner.serve(call, snapshot, responder)
                 return
-            after = identity.parse_event_id(last)
+            after = identity.parse_event_id(last_event_id)
             if after is None:
                 raise Refused(not_run(Reason.BAD_REQUEST, "Last-Event-ID"))
-            self._generator.check_owner(account, after.generation)
-            permit = await self._takeover.take(after.generation, snapshot)
-            await self._generator.resume(
+            self._runner.check_owner(account, after.generation)
+            permit = await self._takeover.acquire_permit(
+                after.generation, snapshot
+            )
+            await self._runner.resume(
                 account, after, snapshot, responder, permit
             )
         finally:
-            self._open -= 1
+            self._open_count -= 1
 
     async def _call_plain(self, request: Request, responder: Responder) -> None:
         await run_until_limit(
             self._daemon.drain.limit,
             partial(self._forward, request, responder),
             responder,
-            self._others,
+            self._other_entries,
         )
 
     async def _forward(self, request: Request, responder: Responder) -> None:
-        account = self._account(request)
+        account = self._authenticate(request)
         snapshot = self._daemon.follower.snapshot
-        self._open += 1
+        self._open_count += 1
         try:
-            await self._plain.serve(account, request, snapshot, responder)
+            await self._plain_services.serve(
+                account, request, snapshot, responder
+            )
         finally:
-            self._open -= 1
+            self._open_count -= 1
 
-    async def _entries(self, request: Request, responder: Responder) -> None:
-        """Lists the entries, in an order of the account's own."""
+    async def _list_entries(
+        self, request: Request, responder: Responder
+    ) -> None:
+        """Lists the entries, in an order that depends on the account."""
         snapshot = self._daemon.follower.snapshot
         account = self._keys.account_of(request.api_key, snapshot) or ""
         entries = {m.name: m for m in self._daemon.members.serving(Role.ENTRY)}
@@ -257,7 +263,7 @@
     async def _list_models(
         self, request: Request, responder: Responder
     ) -> None:
-        """Lists the account's services that generate, as OpenAI does."""
-        account = self._account(request)
+        """Lists the account's generation services in OpenAI's format."""
+        account = self._authenticate(request)
         snapshot = self._daemon.follower.snapshot
-        await responder.json(models.listing(account, snapshot))
+        await responder.json(models.model_list(account, snapshot))
--- a/rhubarbwinch/programs/explain.py
+++ b/rhubarbwinch/programs/explain.py
@@ -1,8 +1,9 @@
-"""The story of one request, told from the logs of all gateways.
+"""Prints the log events that explain one request, from all gateways' logs.
 
-Reads JSON lines, of one process or of many, in any order. It prints the lines
-of the request, and between them what the gateways learned meanwhile about the
-endpoints that it touched, the store and each other.
+The input is JSON lines of one or several processes, in any order. The output
+is the request's events in order of time. Between them are the events of the
+same gateways about the store, about other gateways and about the endpoints that
+the request used.
 """
 
 import argparse
@@ -16,8 +17,9 @@
 
 from rhubarbwinch.shared.exitstatus import ExitStatus
 
-# Events about what a gateway believes; they explain decisions of requests.
-BELIEFS = frozenset(
+# Events about a gateway's state and its view of the cluster, which explain its
+# decisions on requests.
+STATE_EVENTS = frozenset(
     {
         "store-down",
         "store-up",
@@ -31,19 +33,20 @@
         "started",
     }
 )
-# Fields that name an endpoint.
+# Event fields whose value is an endpoint's name.
 ENDPOINT_FIELDS = ("endpoint", "source", "target")
-# What came shortly before a request may explain its first decision.
-BEFORE_MS = 3_000
+# Events this long before a request are printed too, as they may explain the
+# first decision on the request.
+CONTEXT_BEFORE_MS = 3_000
 
 
 @attrs.frozen
-class Line:
-    """A line of a log.
+class LogEvent:
+    """A log event.
 
     Attributes:
-        time: As it stands in the line; its order is that of time.
-        process: Who wrote it.
+        time: The time as in the log, ISO 8601 in UTC; sorts as a text.
+        process: The name of the process that logged the event.
         name: The event's name.
         fields: The event's fields.
     """
@@ -55,7 +58,7 @@
 
     @property
     def endpoints(self) -> set[str]:
-        """The endpoints that it names."""
+        """The endpoints that the event's fields name."""
         return {
             str(self.fields[name])
             for name in ENDPOINT_FIELDS
@@ -63,26 +66,26 @@
         }
 
     def __str__(self) -> str:
-        told = " ".join(
+        field_text = " ".join(
             f"{name}={value}"
             for name, value in self.fields.items()
             if name not in ("request", "settings")
         )
-        clock = self.time.partition("T")[2].partition("+")[0]
-        return f"{clock} {self.process} {self.name}: {told}"
+        time_of_day = self.time.partition("T")[2].partition("+")[0]
+        return f"{time_of_day} {self.process} {self.name}: {field_text}"
 
 
-def parse(lines: Iterable[bytes]) -> list[Line]:
-    """Returns the events among lines, by time; other lines are passed over."""
-    found = []
+def parse(lines: Iterable[bytes]) -> list[LogEvent]:
+    """Returns the events of JSON lines by time; skips other lines."""
+    events = []
     for line in lines:
         start = line.find(b'{"time"')
         if start < 0:
             continue
         try:
             event = orjson.loads(line[start:])
-            found.append(
-                Line(
+            events.append(
+                LogEvent(
                     event["time"],
                     event["process"],
                     event["name"],
@@ -91,34 +94,36 @@
             )
         except (orjson.JSONDecodeError, KeyError) as error:
             sys.stderr.write(f"not an event ({error!r}): {line[:80]!r}\n")
-    # Lines of one millisecond stay in the order in which they were written.
-    return sorted(found, key=lambda line: line.time)
+    # The sort is stable: events of the same millisecond keep their order.
+    return sorted(events, key=lambda line: line.time)
 
 
-def story(lines: list[Line], request: str) -> list[Line]:
-    """Returns the lines that tell what happened to a request."""
-    own = [line for line in lines if line.fields.get("request") == request]
-    if not own:
+def select_events(lines: list[LogEvent], request: str) -> list[LogEvent]:
+    """Returns the events that explain what happened to a request."""
+    request_lines = [
+        line for line in lines if line.fields.get("request") == request
+    ]
+    if not request_lines:
         return []
-    processes = {line.process for line in own}
-    endpoints = set().union(*(line.endpoints for line in own))
-    first = _earlier(own[0].time, BEFORE_MS)
-    last = own[-1].time
+    processes = {line.process for line in request_lines}
+    endpoints = set().union(*(line.endpoints for line in request_lines))
+    first = _earlier(request_lines[0].time, CONTEXT_BEFORE_MS)
+    last = request_lines[-1].time
     return [
         line
         for line in lines
-        if line in own
+        if line in request_lines
         or (
             first <= line.time <= last
             and line.process in processes
             and "request" not in line.fields
-            and (line.name in BELIEFS or line.endpoints & endpoints)
+            and (line.name in STATE_EVENTS or line.endpoints & endpoints)
         )
     ]
 
 
 def _earlier(time: str, ms: int) -> str:
-    """Returns a time some milliseconds before another."""
+    """Returns the time that is `ms` milliseconds before `time`."""
     moment = datetime.datetime.fromisoformat(time)
     moment -= datetime.timedelta(milliseconds=ms)
     return moment.isoformat(timespec="milliseconds")
@@ -133,9 +138,9 @@
     )
     parser.add_argument("request", help="the id of the request")
     request = parser.parse_args(argv).request
-    found = story(parse(sys.stdin.buffer), request)
-    for line in found:
+    events = select_events(parse(sys.stdin.buffer), request)
+    for line in events:
         print(line)
-    if not found:
+    if not events:
         sys.stderr.write(f"no line of the request {request}\n")
         sys.exit(ExitStatus.FAILED)
--- a/rhubarbwinch/programs/fleetstatus.py
+++ b/rhubarbwinch/programs/fleetstatus.py
@@ -1,4 +1,4 @@
-"""What operators ask about a deployment: who is there and what is in force."""
+"""Reads the state of a deployment: members, pools and active configuration."""
 
 import anyio
 import attrs
@@ -16,18 +16,18 @@
 from rhubarbwinch.stores.store import Store
 
 READ_TIMEOUT_S = 2.0
-MAX_READS_AT_ONCE = 32
+MAX_CONCURRENT_READS = 32
 
 
 @attrs.frozen
 class RecordState:
-    """An operator's record and whether it is in force.
+    """An operator's record and whether it is active.
 
     Attributes:
         record: The record as it is in the store.
-        revision: Its revision there.
-        state: `in force`, `pending` or `rejected`.
-        error: Why it was rejected, or empty.
+        revision: The record's revision in the store.
+        state: `in force` for an active record, `pending` or `rejected`.
+        error: Why the record was rejected; empty otherwise.
     """
 
     record: Record
@@ -42,7 +42,8 @@
 
     Attributes:
         member: The member.
-        generation: The generation in force there; None without an answer.
+        generation: The configuration generation that is active at the member;
+            None if the member did not reply.
     """
 
     member: Member
@@ -51,13 +52,14 @@
 
 @attrs.frozen
 class PoolStatus:
-    """A pool.
+    """The state of a pool.
 
     Attributes:
-        name: Its name.
-        owner: The broker that owns it by the registered members.
-        endpoints: How many endpoints it has.
-        leaving: How many of them are on VMs that records mark as leaving.
+        name: The pool's name.
+        owner: The broker that owns the pool, computed from the registered
+            members.
+        endpoints: The number of endpoints in the pool.
+        leaving: The number of endpoints on VMs that records mark as leaving.
     """
 
     name: str
@@ -68,12 +70,12 @@
 
 @attrs.frozen
 class FleetStatus:
-    """A deployment as the store and its members show it.
+    """The state of a deployment, read from the store and its members.
 
     Attributes:
-        generation: The accepted generation.
+        generation: The accepted configuration generation.
         members: The registered members.
-        pools: The pools in force.
+        pools: The active pools.
         leaving_vms: The VMs that records mark as leaving.
     """
 
@@ -110,7 +112,7 @@
     return FleetStatus(
         snapshot.generation,
         await _read_generations(members),
-        _pools(snapshot, members, leaving),
+        _pool_statuses(snapshot, members, leaving),
         leaving,
     )
 
@@ -120,10 +122,10 @@
 
     Args:
         store: The platform's store.
-        key: `kind/name`.
+        key: The record's key, `kind/name`.
 
     Raises:
-        RecordError: There is no such record.
+        RecordError: The record does not exist.
         StoreError: The store failed.
     """
     entry = await store.get(keys.RECORDS + key)
@@ -152,10 +154,10 @@
     record = Record("vm", host, records.CURRENT_SCHEMA, {"leaving": leaving})
     records.check(record)
     current = await store.get(keys.record("vm", host))
-    await ctl.write(store, record, current.revision if current else 0)
+    await ctl.write_record(store, record, current.revision if current else 0)
 
 
-def _pools(
+def _pool_statuses(
     snapshot: Snapshot, members: list[Member], leaving: list[str]
 ) -> list[PoolStatus]:
     brokers = [
@@ -175,18 +177,20 @@
 
 
 async def _read_generations(members: list[Member]) -> list[MemberStatus]:
-    found: dict[str, int | None] = {}
-    limiter = anyio.CapacityLimiter(MAX_READS_AT_ONCE)
+    generations: dict[str, int | None] = {}
+    limiter = anyio.CapacityLimiter(MAX_CONCURRENT_READS)
     async with httpx.AsyncClient(timeout=READ_TIMEOUT_S) as client:
 
         async def read(member: Member) -> None:
             async with limiter:
-                found[member.name] = await _read_generation(client, member)
+                generations[member.name] = await _read_generation(
+                    client, member
+                )
 
         async with anyio.create_task_group() as tasks:
             for member in members:
                 tasks.start_soon(read, member)
-    return [MemberStatus(m, found[m.name]) for m in members]
+    return [MemberStatus(m, generations[m.name]) for m in members]
 
 
 async def _read_generation(
--- a/rhubarbwinch/programs/probes.py
+++ b/rhubarbwinch/programs/probes.py
@@ -1,4 +1,4 @@
-"""Liveness and readiness over HTTP, at every program."""
+"""HTTP liveness and readiness probes, which every daemon has."""
 
 from collections.abc import Callable
 
@@ -11,12 +11,13 @@
 
 
 @attrs.define
-class Drain:
-    """The state of a shutdown.
+class DrainState:
+    """The state of a program's drain.
 
     Attributes:
-        started: Set when the program must take no new work.
-        limit: Set when the longest wait for open requests is over.
+        started: Whether the drain has begun; the program then accepts no new
+            work.
+        limit: Set when the drain limit has passed.
         open_count: Returns how many requests are still open.
     """
 
@@ -33,7 +34,7 @@
         drain: A program that is draining is not ready.
     """
 
-    def __init__(self, follower: Follower, drain: Drain) -> None:
+    def __init__(self, follower: Follower, drain: DrainState) -> None:
         self._follower = follower
         self._drain = drain
 
--- a/rhubarbwinch/shared/bytebudget.py
+++ b/rhubarbwinch/shared/bytebudget.py
@@ -1,4 +1,4 @@
-"""A bound on bytes over time, with room for bursts."""
+"""A token bucket that limits bytes per second and allows bursts."""
 
 from rhubarbwinch.shared.clock import Clock
 
@@ -8,27 +8,27 @@
 
     Args:
         clock: The source of time.
-        bytes_per_s: What comes back each second.
-        burst: The most that can be saved up.
+        bytes_per_s: The refill rate.
+        burst: The capacity of the bucket, in bytes.
     """
 
     def __init__(self, clock: Clock, bytes_per_s: int, burst: int) -> None:
         self._clock = clock
         self._rate = bytes_per_s
         self._burst = burst
-        self._left = burst
-        self._at = clock.now()
+        self._available = burst
+        self._refilled_ms = clock.now()
 
     @property
     def left(self) -> int:
         """The bytes that may be spent now."""
         now = self._clock.now()
-        earned = (now - self._at) * self._rate // 1000
-        if earned:
-            self._at = now
-            self._left = min(self._burst, self._left + earned)
-        return self._left
+        refill = (now - self._refilled_ms) * self._rate // 1000
+        if refill:
+            self._refilled_ms = now
+            self._available = min(self._burst, self._available + refill)
+        return self._available
 
     def spend(self, count: int) -> None:
-        """Takes bytes out."""
-        self._left = max(0, self.left - count)
+        """Removes bytes from the bucket; it never holds less than 0."""
+        self._available = max(0, self.left - count)
--- a/rhubarbwinch/shared/clock.py
+++ b/rhubarbwinch/shared/clock.py
@@ -1,4 +1,4 @@
-"""Time in whole milliseconds, from the system or set by hand."""
+"""Clocks in whole milliseconds: the system's, and a manual one for tests."""
 
 import heapq
 import itertools
@@ -8,14 +8,14 @@
 import anyio
 import anyio.lowlevel
 
-_SETTLE_TURNS = 30
+_CHECKPOINTS = 30
 
 
 class Clock(Protocol):
     """A source of time in milliseconds.
 
-    `now` never goes back and is compared only with itself. `wall` is the Unix
-    time and is compared with times of other machines.
+    `now` is monotonic; its values are comparable only with each other. `wall`
+    is the Unix time and is comparable with times of other machines.
     """
 
     def now(self) -> int:
@@ -32,7 +32,7 @@
 
 
 class SystemClock:
-    """The machine's clock."""
+    """The system's monotonic clock and wall clock."""
 
     def now(self) -> int:
         """Returns monotonic milliseconds."""
@@ -48,60 +48,60 @@
 
 
 class ManualClock:
-    """A clock that moves only when told to.
+    """A clock that moves only by calls of `set` and `advance`.
 
     Args:
         start_ms: The first value of `now`.
-        wall_offset_ms: What `wall` is ahead of `now`.
+        wall_offset_ms: How far `wall` is ahead of `now`.
     """
 
     def __init__(
         self, start_ms: int = 0, wall_offset_ms: int = 1_700_000_000_000
     ) -> None:
-        self._now = start_ms
-        self._wall_offset = wall_offset_ms
-        self._order = itertools.count()
+        self._now_ms = start_ms
+        self._wall_offset_ms = wall_offset_ms
+        self._sequence = itertools.count()
         self._sleepers: list[tuple[int, int, anyio.Event]] = []
 
     def now(self) -> int:
-        """Returns the time that was set."""
-        return self._now
+        """Returns the current time of this clock."""
+        return self._now_ms
 
     def wall(self) -> int:
-        """Returns the time that was set, as Unix time."""
-        return self._now + self._wall_offset
+        """Returns the current time of this clock as Unix time."""
+        return self._now_ms + self._wall_offset_ms
 
     async def sleep(self, ms: int) -> None:
-        """Waits until `advance` has moved the clock `ms` milliseconds on."""
+        """Waits until `advance` has moved the clock by `ms` milliseconds."""
         if ms <= 0:
             await anyio.lowlevel.checkpoint()
             return
         event = anyio.Event()
-        due = self._now + ms
-        heapq.heappush(self._sleepers, (due, next(self._order), event))
+        due_ms = self._now_ms + ms
+        heapq.heappush(self._sleepers, (due_ms, next(self._sequence), event))
         await event.wait()
 
     def set(self, now_ms: int) -> None:
-        """Moves the clock without waking sleepers; for code without tasks."""
-        self._now = now_ms
+        """Sets the clock without waking sleepers; for code without tasks."""
+        self._now_ms = now_ms
 
     async def advance(self, ms: int) -> None:
-        """Moves the clock on, waking each sleeper at its own time."""
-        end = self._now + ms
-        await _settle()
+        """Advances the clock and wakes each sleeper at its due time."""
+        end = self._now_ms + ms
+        await _run_until_blocked()
         while self._sleepers and self._sleepers[0][0] <= end:
-            self._now = max(self._now, self._sleepers[0][0])
-            while self._sleepers and self._sleepers[0][0] <= self._now:
+            self._now_ms = max(self._now_ms, self._sleepers[0][0])
+            while self._sleepers and self._sleepers[0][0] <= self._now_ms:
                 heapq.heappop(self._sleepers)[2].set()
-            await _settle()
-        self._now = end
-        await _settle()
+            await _run_until_blocked()
+        self._now_ms = end
+        await _run_until_blocked()
 
 
-async def _settle() -> None:
-    """Lets all tasks run until each of them waits for something."""
-    # The wait for blocked tasks sleeps for real when it finds one that is not;
-    # after some turns of the event loop there is none as a rule.
-    for _ in range(_SETTLE_TURNS):
+async def _run_until_blocked() -> None:
+    """Runs all tasks until each of them is blocked."""
+    # wait_all_tasks_blocked sleeps in real time if it finds a task that is not
+    # blocked. After some turns of the event loop all tasks usually are.
+    for _ in range(_CHECKPOINTS):
         await anyio.lowlevel.checkpoint()
     await anyio.wait_all_tasks_blocked()
--- a/rhubarbwinch/shared/logoutput.py
+++ b/rhubarbwinch/shared/logoutput.py
@@ -1,23 +1,25 @@
-"""Writes log lines to a descriptor without ever waiting for its reader."""
+"""Writes log lines to a descriptor without blocking."""
 
 import os
 from collections.abc import Callable
 
 from rhubarbwinch.shared.clock import Clock
 
-# Lines of one event in each window; enough for each request of a busy VM, and
-# a bound on what a fault in a loop can write.
-LINES_PER_WINDOW = 400
+# The limit of lines of one event in each window. It suffices for the requests
+# of a busy VM and bounds the output of an error in a loop.
+MAX_LINES_PER_WINDOW = 400
 WINDOW_MS = 1_000
 
 
 class LineOutput:
-    """A bounded output of log lines.
+    """A rate-limited, non-blocking output of log lines.
+
+    A line over the limit, or one that the reader has no space for, is dropped.
 
     Args:
-        descriptor: Where lines go; it is set to not block.
+        descriptor: The output's descriptor; it is set to non-blocking mode.
         clock: The source of time.
-        on_dropped: Told of each line that was left out.
+        on_dropped: Called for each dropped line.
     """
 
     def __init__(
@@ -29,40 +31,45 @@
         self._on_dropped = on_dropped
         self._window = 0
         self._counts: dict[int, int] = {}
-        self._rest = b""
-        self._dropped = 0
+        self._unwritten = b""
+        self._dropped_count = 0
 
     def take_dropped(self) -> int:
-        """Returns how many lines were left out since the last call."""
-        dropped, self._dropped = self._dropped, 0
+        """Returns how many lines were dropped since the last call."""
+        dropped, self._dropped_count = self._dropped_count, 0
         return dropped
 
     def write(self, number: int, line: bytes) -> None:
-        """Writes a line of an event, or leaves it out."""
+        """Writes a line, or drops it.
+
+        Args:
+            number: The number of the line's event, which has its own limit.
+            line: The line with its line break.
+        """
         window = self._clock.now() // WINDOW_MS
         if window != self._window:
             self._window = window
             self._counts.clear()
         count = self._counts.get(number, 0) + 1
         self._counts[number] = count
-        if count > LINES_PER_WINDOW or not self._flush():
+        if count > MAX_LINES_PER_WINDOW or not self._flush():
             self._drop()
             return
-        self._rest = line
+        self._unwritten = line
         self._flush()
 
     def _flush(self) -> bool:
-        """Writes what is left of a line; False if the reader is behind."""
-        if not self._rest:
+        """Writes the rest of a line; returns False if some of it remains."""
+        if not self._unwritten:
             return True
         try:
-            written = os.write(self._descriptor, self._rest)
+            written = os.write(self._descriptor, self._unwritten)
         except BlockingIOError:
-            # The rest goes out with a later line.
+            # The rest is written before the next line.
             return False
-        self._rest = self._rest[written:]
-        return not self._rest
+        self._unwritten = self._unwritten[written:]
+        return not self._unwritten
 
     def _drop(self) -> None:
-        self._dropped += 1
+        self._dropped_count += 1
         self._on_dropped()
--- a/rhubarbwinch/shared/registry.py
+++ b/rhubarbwinch/shared/registry.py
@@ -1,4 +1,4 @@
-"""Registries of named implementations, filled by decorators."""
+"""Registry of named implementations that decorators add."""
 
 from collections.abc import Callable, Iterator
 from typing import Generic, TypeVar
@@ -10,37 +10,41 @@
     """Maps names to implementations of one interface.
 
     Args:
-        what: What is registered, for error messages: `placement policy`.
+        item_kind: What the registry holds, for error messages, such as
+            `placement policy`.
     """
 
-    def __init__(self, what: str) -> None:
-        self._what = what
+    def __init__(self, item_kind: str) -> None:
+        self._item_kind = item_kind
         self._items: dict[str, T] = {}
 
     def register(self, name: str) -> Callable[[T], T]:
         """Returns a decorator that registers its argument under `name`.
 
         Raises:
-            ValueError: The name is taken.
+            ValueError: The name is already registered.
         """
 
         def add(item: T) -> T:
             if name in self._items:
-                raise ValueError(f"{self._what} {name!r} is registered twice")
+                raise ValueError(
+                    f"{self._item_kind} {name!r} is registered twice"
+                )
             self._items[name] = item
             return item
 
         return add
 
     def get(self, name: str) -> T:
-        """Returns the implementation called `name`.
+        """Returns the implementation registered under `name`.
 
         Raises:
-            KeyError: No such name; the message lists the known ones.
+            KeyError: The name is not registered; the message lists the known
+                names.
         """
         if name not in self._items:
             known = ", ".join(sorted(self._items))
-            raise KeyError(f"no {self._what} {name!r}; known: {known}")
+            raise KeyError(f"no {self._item_kind} {name!r}; known: {known}")
         return self._items[name]
 
     def __contains__(self, name: str) -> bool:
--- a/tests/callers/test_generate.py
+++ b/tests/callers/test_generate.py
@@ -1,4 +1,4 @@
-"""Streams through separate processes, with real kills and pauses."""
+"""Tests of streams through separate processes that are killed or paused."""
 
 import json
 import signal
@@ -9,17 +9,17 @@
 from tests.helpers import GoldTestCase, wait_until
 
 LENGTH = 60
-SOME = 10
-MANY = 8
+PARTIAL_TOKENS = 10
+REQUEST_COUNT = 8
 
 
-class Reading:
-    """A caller's reading of one stream, over several connections.
+class StreamReader:
+    """A caller that reads one stream, over several connections.
 
     Args:
         fleet: The deployment.
-        entry: The index of the entry to ask first.
-        length: The tokens to ask for.
+        entry: The index of the entry to connect to first.
+        length: The number of tokens to request.
     """
 
     def __init__(self, fleet, entry=0, length=LENGTH):
@@ -35,7 +35,7 @@
         self._context = None
 
     def open(self):
-        """Connects, to resume if something has been read."""
+        """Connects; resumes the stream if an event has been read."""
         headers = dict(AUTHORIZATION)
         body = {"model": "chat", "prompt": self._prompt, "stream": True}
         if self.last_id:
@@ -50,24 +50,24 @@
         self._events = _split(response)
         return self
 
-    def move(self, entry):
+    def resume_at(self, entry):
         """Resumes at another entry."""
         self._client.close()
         self._entry = entry
         return self.open()
 
     def read(self, count=None):
-        """Reads a number of events, or all."""
+        """Reads up to `count` events, or to the end of the stream."""
         try:
             for event in self._events:
-                self._take(event)
+                self._record(event)
                 if len(self.indexes) == count:
                     break
         except httpx.TransportError:
             self.end = "cut"
         return self
 
-    def _take(self, event):
+    def _record(self, event):
         if event == "data: [DONE]":
             self.end = "done"
         elif event.startswith("event: error"):
@@ -89,7 +89,7 @@
         return self.last_id.rpartition(":")[0].partition("~")[2]
 
     def describe(self, title, length=LENGTH):
-        """Returns the reading as text that is the same in each run."""
+        """Returns what was read as text that is the same in each run."""
         expected = list(range(len(self.tokens)))
         in_order = self.tokens == expected and self.indexes == expected
         count = "all" if len(self.tokens) == length else "some"
@@ -111,7 +111,7 @@
 
 
 class GenerateTest(GoldTestCase):
-    """Callers' whole sessions against a deployment that loses parts."""
+    """Streams while connections, engines, entries and brokers fail."""
 
     def test_streams_that_lose_their_link_or_engine_match_the_gold(self):
         text = ""
@@ -124,44 +124,44 @@
                 "freeze_at",
                 "foreign_at",
             ):
-                _set_faults(fleet, {fault: SOME})
-                text += Reading(fleet).open().read().describe(fault)
+                _set_faults(fleet, {fault: PARTIAL_TOKENS})
+                text += StreamReader(fleet).open().read().describe(fault)
                 _set_faults(fleet, {fault: None})
             url = f"http://{fleet.engines[0]}/faults"
             httpx.post(url, json={"refuse": 3})
-            text += _describe_many("one engine refuses with 503", fleet)
+            text += _describe_requests("one engine refuses with 503", fleet)
             text += _describe_logs(fleet)
             text += self._lose_engines(fleet)
         self.assert_gold("streams_engines", text)
 
     def _lose_engines(self, fleet):
-        """Kills the engine of a stream, then asks while one is gone."""
-        reading = Reading(fleet, length=4000).open().read(SOME)
-        fleet.kill(reading.engine)
-        reading.read()
-        text = reading.describe("engine killed after the first token", 4000)
-        return text + _describe_many("engine gone before the start", fleet)
+        """Kills a stream's engine, then sends requests while it is down."""
+        reader = StreamReader(fleet, length=4000).open().read(PARTIAL_TOKENS)
+        fleet.kill(reader.engine)
+        reader.read()
+        text = reader.describe("engine killed after the first token", 4000)
+        return text + _describe_requests("engine gone before the start", fleet)
 
     def test_streams_that_lose_their_entry_or_broker_match_the_gold(self):
         length = 300
         with Fleet(entries=2, engines=2, speed=2) as fleet:
-            moved = Reading(fleet, 0, length).open().read(SOME)
-            moved.move(1).read()
+            moved = StreamReader(fleet, 0, length).open().read(PARTIAL_TOKENS)
+            moved.resume_at(1).read()
             text = moved.describe("the caller moves to another entry", length)
-            frozen = Reading(fleet, 1, length).open().read(SOME)
+            frozen = StreamReader(fleet, 1, length).open().read(PARTIAL_TOKENS)
             fleet.signal("broker-0", signal.SIGSTOP)
             frozen.read()
             fleet.signal("broker-0", signal.SIGCONT)
             text += frozen.describe("broker frozen", length)
             fleet.wait_ready(fleet.entries[0])
-            killed = Reading(fleet, 0, length).open().read(SOME)
-            lost = Reading(fleet, 1, length).open().read(SOME)
+            killed = StreamReader(fleet, 0, length).open().read(PARTIAL_TOKENS)
+            lost = StreamReader(fleet, 1, length).open().read(PARTIAL_TOKENS)
             fleet.kill("broker-0")
             killed.read()
             text += killed.describe("broker killed", length)
             fleet.kill("entry-1")
             lost.read()
-            lost.move(0).read()
+            lost.resume_at(0).read()
             text += lost.describe("broker and entry killed", length)
         self.assert_gold("streams_entries", text)
 
@@ -171,16 +171,16 @@
         httpx.post(f"http://{address}/faults", json=faults)
 
 
-def _describe_many(title, fleet):
-    """Returns how many of some requests were answered whole."""
+def _describe_requests(title, fleet):
+    """Returns how many of `REQUEST_COUNT` requests got a complete stream."""
     whole = 0
-    for _ in range(MANY):
-        whole += Reading(fleet).open().read().end == "done"
-    return f"# {title}\nwhole {whole} of {MANY}\n"
+    for _ in range(REQUEST_COUNT):
+        whole += StreamReader(fleet).open().read().end == "done"
+    return f"# {title}\nwhole {whole} of {REQUEST_COUNT}\n"
 
 
 def _describe_logs(fleet):
-    """Returns how many generations of a fault session the engines ran."""
+    """Returns how many generations the engines ran in the fault session."""
 
     def count():
         logs = [httpx.get(f"http://{a}/log").json() for a in fleet.engines]
@@ -189,6 +189,7 @@
         ]
         return len(wanted)
 
-    # Six faults and the requests that an engine refused at first.
-    wait_until(lambda: count() >= 6 + MANY, "the engines' logs")
+    # One generation for each of the six faults, and one for each of the
+    # `REQUEST_COUNT` requests, some of which an engine first refused.
+    wait_until(lambda: count() >= 6 + REQUEST_COUNT, "the engines' logs")
     return f"# the engines' logs\ngenerations started {count()}\n"
--- a/tests/callers/test_plain.py
+++ b/tests/callers/test_plain.py
@@ -1,4 +1,4 @@
-"""Calls of plain services through separate processes with real signals."""
+"""Tests of plain service calls through processes that get real signals."""
 
 import datetime
 import json
@@ -18,15 +18,15 @@
 from tests.helpers import ROOT, GoldTestCase, asynchronous, wait_until
 
 SLOW_MS = 1500
-REPLACED = ("service/booking", "account/acme")
+REPLACED_RECORDS = ("service/booking", "account/acme")
 
 
-class Desks(Fleet):
-    """A deployment whose bookings are not repeatable."""
+class BookingFleet(Fleet):
+    """A deployment whose booking calls are not repeatable."""
 
     def records(self):
         return [
-            *(r for r in super().records() if r.key not in REPLACED),
+            *(r for r in super().records() if r.key not in REPLACED_RECORDS),
             builders.plain_service(not_repeatable=["POST /book"]),
             builders.generate_service(
                 "draft", not_repeatable=["POST /v1/completions"]
@@ -35,11 +35,15 @@
         ]
 
     def book(self, entry, key, delay_ms=0):
-        """Makes a call; returns its status and verdict, or None if cut."""
+        """Makes a booking call.
+
+        Returns:
+            The status and the verdict; None if the connection broke.
+        """
         url = f"http://{self.entries[entry]}/services/booking/book"
         headers = AUTHORIZATION | {"idempotency-key": key}
         try:
-            answer = httpx.post(
+            response = httpx.post(
                 f"{url}?delay_ms={delay_ms}",
                 headers=headers,
                 json={},
@@ -47,16 +51,16 @@
             )
         except httpx.HTTPError:
             return None
-        verdict = answer.headers.get("x-verdict", "ran")
-        return f"{answer.status_code} {verdict}"
+        verdict = response.headers.get("x-verdict", "ran")
+        return f"{response.status_code} {verdict}"
 
     def ran(self, key):
-        """Returns how often the endpoint ran a key."""
+        """Returns how often the endpoint ran the call with a key."""
         log = httpx.get(f"http://{self.service}/log").json()
         return [call["key"] for call in log].count(key)
 
     def audit(self, listed):
-        """Returns what the command line lists for the hours around now."""
+        """Returns the audit's rows for the hours around the current time."""
         now = datetime.datetime.now(datetime.UTC).replace(
             minute=0, second=0, microsecond=0
         )
@@ -71,18 +75,18 @@
         return json.loads(done.stdout)
 
     def faults(self, **fields):
-        """Sets what goes wrong with the store."""
+        """Sets the faults that the store stand-in injects."""
         httpx.post(f"http://{self.store}/faults", json=fields)
 
 
 class PlainTest(GoldTestCase):
-    """At most once with real processes, kills and pauses."""
+    """At-most-once calls through processes that are killed or paused."""
 
     def test_a_booking_runs_at_most_once_through_real_failures(self):
         now = int(time.time() * 1000)
         keys = [uuid7(now, number) for number in range(5)]
         lines = []
-        with Desks(entries=3) as fleet:
+        with BookingFleet(entries=3) as fleet:
             lines.append(f"plain: {fleet.book(0, keys[0])}")
             lines.append(f"again at another: {fleet.book(1, keys[0])}")
 
@@ -121,48 +125,55 @@
     def test_a_generation_that_is_not_repeatable_runs_once(self):
         key = uuid7(int(time.time() * 1000), 1)
         lines = []
-        with Desks(entries=2) as fleet:
+        with BookingFleet(entries=2) as fleet:
             for entry, headers in (
                 (0, {}),
                 (0, {"idempotency-key": key}),
                 (1, {"idempotency-key": key}),
             ):
-                answer = httpx.post(
+                response = httpx.post(
                     f"http://{fleet.entries[entry]}/v1/completions",
                     json={"model": "draft", "prompt": "len=7"},
                     headers=AUTHORIZATION | headers,
                     timeout=20,
                 )
-                again = answer.headers.get("idempotency-replayed", "")
-                lines.append(f"{answer.status_code} recorded {again or 'no'}")
+                again = response.headers.get("idempotency-replayed", "")
+                lines.append(f"{response.status_code} recorded {again or 'no'}")
             log = httpx.get(f"http://{fleet.engines[0]}/log").json()
             runs = [row for row in log if row["tokens"] == 7]
             lines.append(f"engine ran {len(runs)}")
             rows = fleet.audit("calls")
             lines += [f"audit: {r['service']} ran {r['ran']}" for r in rows]
-            wait_until(lambda: _drafts(fleet), "the counters")
-            lines.append(f"audit: tokens {_drafts(fleet)}")
+            wait_until(lambda: _draft_tokens(fleet), "the counters")
+            lines.append(f"audit: tokens {_draft_tokens(fleet)}")
         self.assert_gold("claims-generation", "\n".join(lines) + "\n")
 
     def _start(self, fleet, key, entry=0):
-        """Starts a slow call and waits until the endpoint has it."""
+        """Starts a slow call and waits until the endpoint runs it."""
         call = threading.Thread(target=fleet.book, args=(entry, key, SLOW_MS))
         call.start()
         wait_until(lambda: fleet.ran(key), "the call")
         return call
 
 
-def _drafts(fleet):
-    """Returns the tokens of drafts in the audit."""
+def _draft_tokens(fleet):
+    """Returns the number of tokens that the audit lists for drafts."""
     rows = fleet.audit("tokens")
     return sum(row["tokens"] for row in rows if row["service"] == "draft")
 
 
 class RetriedCallTest(unittest.TestCase):
-    """A repeatable call whose first send broke."""
+    """A repeatable call whose first attempt broke after it was sent."""
+
+    async def _response_to_retry(self, fail_retry):
+        """Returns the response to a call whose endpoint dies at first.
+
+        Args:
+            fail_retry: Called before the second attempt, to make it fail.
 
-    async def _told(self, second):
-        """Returns what the caller is told if the second try meets `second`."""
+        Returns:
+            The response's verdict and reason, and how often the call ran.
+        """
         async with World() as world:
             entry = world.entries[0]
             world.desk.dies = True
@@ -170,27 +181,27 @@
 
             async def ask(request, pools, new_id):
                 if request.avoid:
-                    second(world, entry)
+                    fail_retry(world, entry)
                 return await ask_any(request, pools, new_id)
 
             entry.permits.ask_any = ask
-            told = await world.call(0, path="/services/booking/slots")
-            return told, len(world.desk.ran)
+            response = await world.call(0, path="/services/booking/slots")
+            return response, len(world.desk.ran)
 
     @asynchronous
-    async def test_no_place_for_the_second_try_is_not_called_not_run(self):
+    async def test_a_retry_without_a_permit_still_may_have_run(self):
         def refuse(_, entry):
             entry.permits.failure = not_run(Reason.QUEUE_FULL, "full")
 
-        told, ran = await self._told(refuse)
+        response, ran = await self._response_to_retry(refuse)
         self.assertEqual(ran, 1)
-        self.assertEqual(told, "may-have-run endpoint-failed")
+        self.assertEqual(response, "may-have-run endpoint-failed")
 
     @asynchronous
-    async def test_later_tries_that_were_not_sent_do_not_undo_the_first(self):
+    async def test_unsent_retries_keep_the_first_attempts_verdict(self):
         def go_away(world, _):
             world.desk.refuses = 9
 
-        told, ran = await self._told(go_away)
+        response, ran = await self._response_to_retry(go_away)
         self.assertEqual(ran, 1)
-        self.assertEqual(told, "may-have-run endpoint-failed")
+        self.assertEqual(response, "may-have-run endpoint-failed")
--- a/tests/shared/test_rendezvous.py
+++ b/tests/shared/test_rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: spread, agreement and little movement."""
+"""Tests of rendezvous hashing: balance, agreement and minimal movement."""
 
 import unittest
 from collections import Counter
@@ -10,7 +10,7 @@
 
 
 class RendezvousTest(unittest.TestCase):
-    """Owners and rankings of many keys."""
+    """The owners and rankings of many keys."""
 
     def test_keys_are_spread_over_all_members(self):
         counts = Counter(rendezvous.owner(key, MEMBERS) for key in KEYS)
@@ -18,7 +18,7 @@
         fair = len(KEYS) / len(MEMBERS)
         self.assertLess(max(counts.values()), 1.2 * fair)
 
-    def test_the_order_in_which_members_are_named_does_not_matter(self):
+    def test_the_order_of_the_members_does_not_matter(self):
         for key in KEYS[:50]:
             ranked = rendezvous.ranking(key, MEMBERS)
             self.assertEqual(ranked, rendezvous.ranking(key, MEMBERS[::-1]))
