--- a/lab/soak/__init__.py
+++ b/lab/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized run of the real gateways under faults from outside them."""
+"""A randomized fault-injection test of real gateway processes."""
--- a/lab/soak/__main__.py
+++ b/lab/soak/__main__.py
@@ -1,8 +1,9 @@
-"""Plays seeds of the soak: `python -m lab.soak --seeds 1-50`.
+"""Runs seeds of the soak: `python -m lab.soak --seeds 1-50`.
 
-Without seeds it plays those that once broke a promise. For each that breaks
-one, prints what broke, where the logs are and the command that plays it again.
-The exit status is 1 if there was any.
+Without --seeds, the seeds of regressions.txt run, which once violated a
+guarantee. For each seed with violations, the program prints them, the directory
+of the logs and the command to repeat the run. The exit status is 1 if any seed
+had a violation.
 """
 
 import argparse
@@ -25,13 +26,13 @@
 
 
 def regression_seeds() -> list[int]:
-    """Returns the seeds that once broke a promise."""
+    """Returns the seeds that once violated a guarantee."""
     lines = REGRESSIONS.read_text().splitlines()
     return [int(line.split()[0]) for line in lines if line[:1].isdigit()]
 
 
 def describe(seed: int, journal: Journal) -> str:
-    """Returns a line on what happened."""
+    """Returns a one-line summary of a run."""
     statuses = Counter(a.status for a in journal.attempts)
     faults = sum(line.endswith(" begins") for line in journal.faults)
     return (
@@ -43,7 +44,7 @@
 
 
 def keep(journal: Journal, folder: pathlib.Path) -> None:
-    """Writes what happened beside the logs, to trace what broke."""
+    """Writes the records to the directory of the logs, for diagnosis."""
     for name, rows in (
         ("faults.txt", journal.faults),
         ("attempts.txt", journal.attempts),
@@ -53,7 +54,7 @@
 
 
 def _play(seed: int, size: Size) -> bool:
-    """Plays a seed; keeps its folder only if a promise was broken."""
+    """Runs a seed; keeps its directory only if there are violations."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
     journal = anyio.run(play, seed, folder, size)
     broken = broken_promises(journal, with_times=True)
@@ -71,7 +72,7 @@
 
 
 def main() -> None:
-    """Plays the seeds."""
+    """Runs the seeds."""
     usual = Size()
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=parse_seeds, default=regression_seeds())
@@ -83,7 +84,7 @@
     size = Size(
         options.seconds, options.gateways, options.engines, options.callers
     )
-    # The stand-ins' own errors are part of the faults.
+    # Errors that the stand-ins log are a result of the injected faults.
     logging.set_verbosity(logging.FATAL)
     good = [_play(seed, size) for seed in options.seeds]
     sys.exit(0 if all(good) else 1)
--- a/lab/soak/callers.py
+++ b/lab/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak: kept connections, retries as told, some who leave."""
+"""Soak callers that keep connections, retry, and sometimes disconnect."""
 
 import itertools
 import random
@@ -15,13 +15,13 @@
 HOST = "h.example"
 DEADLINE_MS = 5_000
 LOOKUP_S = 1.0
-# How long an answer of the directory is used.
+# A response of the directory is cached for this time.
 LOOKUP_MS = 2_000
-# A gateway that failed is left out for so long.
+# A gateway that gave no response is avoided for this time.
 AVOID_MS = 500
 MAX_ATTEMPTS = 3
 PAUSE_S = 0.05
-# A caller that leaves does so within so many seconds.
+# A caller that disconnects early does so within this time.
 PATIENCE_S = 0.8
 LEAVE_SHARE = 0.08
 STRANGER_SHARE = 0.02
@@ -33,13 +33,13 @@
 
 
 class Callers:
-    """What all callers of a run share.
+    """State that all callers of a run share.
 
     Args:
-        fronts: The proxies before the gateways, by the gateways' addresses.
-        directories: The gateways' directory addresses.
-        keys: Returns the API keys in force, by client account.
-        journal: Where attempts are noted.
+        fronts: The proxies in front of the gateways, by gateway address.
+        directories: The addresses of the gateways' directories.
+        keys: Returns the active API keys by client account.
+        journal: Attempts are recorded here.
         clock: The source of time.
     """
 
@@ -63,17 +63,17 @@
         return next(self._numbers)
 
     def reach(self, address: str) -> tuple[int, str]:
-        """Returns the number of a gateway and where it is reached."""
+        """Returns the number of a gateway and the address of its proxy."""
         number = list(self._fronts).index(address)
         return number, self._fronts[address].address
 
 
 class Caller:
-    """One caller, which makes requests one after another.
+    """A caller that sends requests one after another.
 
     Args:
-        shared: What all callers share.
-        rng: The source of chance.
+        shared: The state that all callers share.
+        rng: The random number generator.
     """
 
     def __init__(self, shared: Callers, rng: random.Random) -> None:
@@ -86,7 +86,7 @@
         self.is_stopping = False
 
     async def run(self) -> None:
-        """Makes requests until `is_stopping`."""
+        """Sends requests until `is_stopping` is set."""
         async with self._client:
             while not self.is_stopping:
                 await self._request()
@@ -137,7 +137,7 @@
                 return
 
     async def _attempt(self, kind: Kind, address: str) -> Attempt:
-        """Sends a request and notes what comes of it."""
+        """Sends a request and records its outcome."""
         clock = self._shared.clock
         number, reached = self._shared.reach(address)
         account, key = self._rng.choice(sorted(self._shared.keys().items()))
@@ -183,5 +183,5 @@
                     attempt.answer += data
                 attempt.is_complete = True
         except httpx.TransportError:
-            # What came before is in the record, which is not complete.
+            # The record keeps what was received and stays incomplete.
             return
--- a/lab/soak/check.py
+++ b/lab/soak/check.py
@@ -1,4 +1,4 @@
-"""The checker: names each promise that the records of a run break."""
+"""Checks the records of a soak run against the gateway's guarantees."""
 
 import itertools
 from collections import Counter, defaultdict
@@ -14,14 +14,14 @@
 PROMISES = frozenset({408, 421, 429, 503})
 OK = 200
 UNAUTHORIZED = 401
-# Two engines may work on one run for so long, the time of a stop and its
-# messages.
+# Two engines may execute one run at the same time for at most this long: the
+# time to stop the first engine, including the messages that this takes.
 OVERLAP_MS = 400
-# An engine may notice so late that its caller has left.
+# An engine may notice this late that its caller has disconnected.
 LEAVE_MS = 1_000
-# Of the requests of the calm end, so many have to be served.
+# The share of the requests after recovery that must succeed.
 SERVED_SHARE = 0.95
-# What the settings of the soak allow of sends beyond the first.
+# The retry budget and the memory limit in the gateways' settings.
 WINDOW_MS = 10_000
 REPEAT_RATIO = 0.2
 REPEAT_EXTRA = 56
@@ -29,12 +29,12 @@
 
 
 def broken_promises(journal: Journal, *, with_times: bool) -> list[str]:
-    """Returns a line for each promise that was broken; none is good.
+    """Returns a line for each violated guarantee; an empty list if all hold.
 
     Args:
         journal: The records of a run.
-        with_times: Whether promises that have a time in them are checked. A
-            machine that is too slow for its load breaks them by itself.
+        with_times: Whether to run the checks that depend on timing. These
+            also fail on a machine that is too slow for its load.
     """
     return [
         f"{name}: {line}"
@@ -53,27 +53,27 @@
 
 @CHECKS.register("asked")
 def check_asked(journal: Journal) -> list[str]:
-    """Engines run only what a caller sent, as the caller's account."""
+    """Engines run only what a caller sent, for the caller's account."""
     sent = {attempt.id: attempt for attempt in journal.attempts}
     found = []
     for run in journal.runs:
         attempt = sent.get(run.id)
         if attempt is None:
-            found.append(f"{run.id} ran and nobody sent it")
+            found.append(f"{run.id} ran but no caller sent it")
         elif not attempt.is_allowed:
-            found.append(f"{run.id} ran with a key that never was")
+            found.append(f"{run.id} ran with a key that was never valid")
         elif run.account != attempt.account:
-            found.append(f"{run.id} ran for account {run.account!r}")
+            found.append(f"{run.id} ran for the wrong account {run.account!r}")
         elif run.has_key:
-            found.append(f"{run.id} came with the caller's key")
+            found.append(f"{run.id} reached the engine with the caller's key")
         elif (run.kind, run.body) != (attempt.kind.value, attempt.body):
-            found.append(f"{run.id} ran with another path or body")
+            found.append(f"{run.id} ran with a different path or body")
     return found
 
 
 @CHECKS.register("once")
 def check_once(journal: Journal) -> list[str]:
-    """What may not be repeated runs once; a stream goes on from its copy."""
+    """Non-idempotent requests run once; streams may resume from a copy."""
     kinds = {attempt.id: attempt.kind for attempt in journal.attempts}
     found = []
     for request_id, runs in _by_id(journal).items():
@@ -88,7 +88,7 @@
 
 @CHECKS.register("one at a time")
 def check_overlap(journal: Journal) -> list[str]:
-    """A run goes on elsewhere only when the engine before has stopped."""
+    """A run resumes elsewhere only after the previous engine has stopped."""
     found = []
     for request_id, runs in _by_id(journal).items():
         for before, after in itertools.pairwise(runs):
@@ -96,16 +96,18 @@
                 continue
             overlap = before.ended_ms - after.started_ms
             if overlap > OVERLAP_MS:
-                found.append(f"{request_id} ran twice for {overlap} ms")
+                found.append(
+                    f"{request_id} ran at two engines for {overlap} ms"
+                )
     return found
 
 
 @CHECKS.register("true refusals")
 def check_refusals(journal: Journal) -> list[str]:
-    """What was told not to have run has not run."""
+    """A request that its caller was told did not run has not run."""
     ran = {run.id for run in journal.runs}
     return [
-        f"{attempt.id} was told {attempt.status}, and it ran"
+        f"{attempt.id} got status {attempt.status}, but it ran"
         for attempt in journal.attempts
         if attempt.status in PROMISES
         and attempt.kind is not Kind.CALL
@@ -115,13 +117,13 @@
 
 @CHECKS.register("own answer")
 def check_answers(journal: Journal) -> list[str]:
-    """A complete success is the whole answer of an engine to this request."""
+    """A complete success is an engine's full response to this request."""
     found = []
     for attempt in journal.attempts:
         if attempt.status != OK or not attempt.is_complete:
             continue
         if not attempt.is_signed:
-            found.append(f"{attempt.id}: a success without an engine")
+            found.append(f"{attempt.id}: success without an engine's signature")
         elif attempt.kind is not Kind.DRAFT:
             wanted = whole_answer(attempt.id, attempt.body)
             if attempt.answer != wanted:
@@ -131,7 +133,7 @@
 
 @CHECKS.register("order")
 def check_streams(journal: Journal) -> list[str]:
-    """Each event once and in order; a complete stream has all of them."""
+    """Events arrive once and in order; a complete stream has all of them."""
     found = []
     for attempt in journal.attempts:
         if attempt.kind is not Kind.DRAFT or attempt.status != OK:
@@ -139,7 +141,7 @@
         total = int(attempt.body)
         wanted = b"".join(event(attempt.id, n) for n in range(1, total + 1))
         if attempt.is_complete and attempt.answer != wanted:
-            found.append(f"{attempt.id}: whole, but not its {total} events")
+            found.append(f"{attempt.id}: complete, but not its {total} events")
         elif not wanted.startswith(attempt.answer):
             found.append(f"{attempt.id}: {attempt.answer[-60:]!r}")
     return found
@@ -147,7 +149,7 @@
 
 @CHECKS.register("budget")
 def check_budget(journal: Journal) -> list[str]:
-    """Sends beyond the first of each request keep to the common budget."""
+    """Retries, over all requests, stay within the retry budget."""
     first: set[str] = set()
     repeats: Counter[int] = Counter()
     for run in journal.runs:
@@ -157,23 +159,23 @@
     sent = Counter(a.sent_ms // WINDOW_MS for a in journal.attempts)
     found = []
     for window, count in repeats.items():
-        # The budget counts the requests of this window or the one before.
+        # The budget depends on the requests of this or the previous window.
         most = max(sent[window], sent[window - 1])
         if count > REPEAT_RATIO * most + REPEAT_EXTRA:
-            found.append(f"{count} repeats beside {most} requests")
+            found.append(f"{count} retries for {most} requests")
     return found
 
 
 @CHECKS.register("gone")
 def check_gone(journal: Journal) -> list[str]:
-    """In the calm end, no engine works on for a caller who has left."""
+    """After recovery, no engine works on for a caller that disconnected."""
     left = {
         attempt.id: attempt.ended_ms
         for attempt in _calm_attempts(journal)
         if attempt.has_left
     }
     return [
-        f"{run.id} ran on for {run.ended_ms - left[run.id]} ms"
+        f"{run.id} ran {run.ended_ms - left[run.id]} ms after a disconnect"
         for run in journal.runs
         if run.id in left and run.ended_ms > left[run.id] + LEAVE_MS
     ]
@@ -181,7 +183,7 @@
 
 @CHECKS.register("recovery")
 def check_recovery(journal: Journal) -> list[str]:
-    """When all faults are over, requests are served again."""
+    """After the last fault, requests are served again."""
     owed = [
         attempt
         for attempt in _calm_attempts(journal)
@@ -196,9 +198,9 @@
 
 @CHECKS.register("keys")
 def check_keys(journal: Journal) -> list[str]:
-    """In the calm end, a key that never was gets its 401 and no other."""
+    """After recovery, a key that was never valid gets status 401 only."""
     return [
-        f"{attempt.id}: {attempt.status} for a key that never was"
+        f"{attempt.id}: status {attempt.status} for an invalid key"
         for attempt in _calm_attempts(journal)
         if not attempt.is_allowed
         and not attempt.has_left
@@ -208,17 +210,19 @@
 
 @CHECKS.register("processes")
 def check_processes(journal: Journal) -> list[str]:
-    """No process ends unasked, or takes more memory than it may."""
+    """No process exits unexpectedly or exceeds its memory limit."""
     found = list(journal.ended)
     if journal.peak_mb > MEMORY_MB:
-        found.append(f"a gateway took {journal.peak_mb:.0f} MB")
+        found.append(f"a gateway used {journal.peak_mb:.0f} MB")
     return found
 
 
 @CHECKS.register("grace")
 def check_grace(journal: Journal) -> list[str]:
-    """A gateway that is asked to end does so within its grace."""
-    return [f"{name} was still there" for name in journal.overdue]
+    """A gateway that is told to stop exits within its grace period."""
+    return [
+        f"{name} still ran after its grace period" for name in journal.overdue
+    ]
 
 
 def _calm_attempts(journal: Journal) -> list[Attempt]:
--- a/lab/soak/engines.py
+++ b/lab/soak/engines.py
@@ -1,4 +1,4 @@
-"""Engines of the soak: they run requests, copy memory, and can be harmed."""
+"""Soak engines that run requests, migrate KV caches and can fail."""
 
 import random
 import urllib.parse
@@ -24,19 +24,19 @@
 
 EVENT_MS = 25
 CALL_MS = 40
-# What copying a run takes on the link between two engines.
+# The time to copy the KV cache of a run to another engine.
 MOVE_MS = 60
 NOT_FOUND, BUSY, NO_ROOM = 404, 409, 503
 
 
 @attrs.define
 class Copy:
-    """A run's memory at another engine.
+    """A copy of a run's KV cache at another engine.
 
     Attributes:
         engine: The address of the engine that holds it.
-        made: The events that it covers.
-        source: The address of the engine that runs it.
+        made: The number of events that it covers.
+        source: The address of the engine that executes the run.
     """
 
     engine: str
@@ -49,11 +49,11 @@
     """A run in progress at an engine.
 
     Attributes:
-        run: Its record.
-        made: The events made so far.
-        scope: Cancelled to stop it.
-        is_moving: Whether a copy of it is being made.
-        backup: The copy that follows it.
+        run: The record of the run.
+        made: The number of events generated so far.
+        scope: Cancelled to stop the run.
+        is_moving: Whether its KV cache is being copied.
+        backup: The replicated copy at the hot standby, if there is one.
     """
 
     run: Run
@@ -65,14 +65,15 @@
 
 @attrs.define
 class Fabric:
-    """What the engines of a deployment share.
+    """State that the engines of a deployment share.
 
     Attributes:
-        copies: All copies, by handle; a backup's is the request's id.
-        engines: The engines by the address that they announce.
-        journal: Where runs are noted.
+        copies: All KV cache copies by handle. The handle of a copy at a hot
+            standby is the id of the request.
+        engines: The engines by the address that they register.
+        journal: Runs are recorded here.
         clock: The source of time.
-        rng: The source of chance.
+        rng: The random number generator.
     """
 
     copies: dict[str, Copy]
@@ -83,14 +84,14 @@
 
 
 class SoakEngine(ScriptedEngine):
-    """An engine behind a proxy; gateways know the proxy's address.
+    """An engine behind a proxy; it registers the proxy's address.
 
     Args:
         name: The engine's id in the store.
         address: `a.b.c.d:port` to listen on.
         service: The service that it runs.
-        proxy: What stands before it.
-        fabric: What it shares with the others.
+        proxy: The proxy through which it is reached.
+        fabric: The state that it shares with the other engines.
     """
 
     def __init__(
@@ -112,13 +113,13 @@
         fabric.engines[self.address] = self
 
     def crash(self) -> None:
-        """Loses all runs and copies, and takes no connection."""
+        """Drops all runs and copies and refuses connections."""
         self.proxy.condition.is_refusing = True
         self.proxy.reset()
         self.forget()
 
     def forget(self) -> None:
-        """Ends all runs and drops what is kept of others."""
+        """Ends all runs and drops the copies that this engine holds."""
         for work in list(self._work.values()):
             work.scope.cancel()
         copies = self._fabric.copies
@@ -149,7 +150,7 @@
                 await self._answer(arrival, responder)
 
     def _first_event(self, arrival: Arrival) -> int | None:
-        """Returns where a run starts; None if the copy it needs is not here."""
+        """Returns a run's first event; None if this engine lacks its copy."""
         source = arrival.headers.get(headers.RESUME_FROM.decode())
         if source is None:
             return 1
@@ -157,7 +158,7 @@
         copy = self._fabric.copies.get(handle)
         if copy is None or copy.engine != self.address:
             return None
-        # A copy is used once.
+        # A copy can be used only once.
         del self._fabric.copies[handle]
         return int(arrival.headers.get(headers.LAST_EVENT.decode(), "0")) + 1
 
--- a/lab/soak/faults.py
+++ b/lab/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults from outside the gateways, in series and overlapping."""
+"""The faults that the soak injects; several can overlap."""
 
 import random
 import signal
@@ -15,15 +15,15 @@
 Fault = Callable[[World, random.Random], Awaitable[None]]
 FAULTS: Registry[Fault] = Registry("fault")
 
-# Lengths of what ends by itself, in seconds.
+# The range of durations of temporary faults.
 SHORTEST_S, LONGEST_S = 0.2, 3.0
 MOST_DELAY_MS = 400
-# An engine's notice before it ends, and the heartbeats after which an entry
-# whose engine is silent is removed.
+# The time from an engine's leaving notice to its end, and the time without
+# heartbeats after which an engine's entry in the store is removed.
 NOTICE_S = 2.0
 LAPSE_S = 1.5
 SERIES = 4
-# What a gateway that is to end is sent.
+# Further signals for a gateway that was told to stop.
 ENDING = (signal.SIGTERM, signal.SIGTERM, signal.SIGHUP, signal.SIGKILL)
 
 
@@ -32,7 +32,7 @@
 
 
 async def _harm(proxy: LoopbackProxy, rng: random.Random) -> None:
-    """Delays, cuts one way, silences or resets, and heals after a while."""
+    """Delays, cuts, refuses or resets connections, then heals the proxy."""
     condition = proxy.condition
     match rng.randrange(6):
         case 0:
@@ -63,13 +63,13 @@
 
 @FAULTS.register("store link")
 async def harm_store_link(world: World, rng: random.Random) -> None:
-    """The way from one gateway to the store."""
+    """Disturbs the connections from one gateway to the store."""
     await _harm(_gateway(world, rng).store, rng)
 
 
 @FAULTS.register("store links")
 async def harm_store_links(world: World, rng: random.Random) -> None:
-    """The ways from all gateways to the store, each in its own manner."""
+    """Disturbs the store connections of all gateways independently."""
     async with anyio.create_task_group() as tasks:
         for gateway in world.gateways:
             tasks.start_soon(_harm, gateway.store, rng)
@@ -77,7 +77,7 @@
 
 @FAULTS.register("store")
 async def harm_store(world: World, rng: random.Random) -> None:
-    """The store refuses, is silent, loses answers or forgets its history."""
+    """The store fails, hangs, loses responses or compacts its history."""
     faults = world.store.faults
     match rng.randrange(4):
         case 0:
@@ -94,7 +94,7 @@
 
 @FAULTS.register("foreign entry")
 async def write_foreign_entry(world: World, rng: random.Random) -> None:
-    """Another writer leaves what can't be read where engines register."""
+    """Writes an invalid entry under the prefix where engines register."""
     key = f"{platformfiles.ENDPOINT_PREFIX}x-{rng.randrange(100)}"
     rubbish = (b"\xff\xfe", b"[]", b"{}", b'{"service": 7}', b"")
     await world.store.put(key, rng.choice(rubbish))
@@ -102,19 +102,19 @@
 
 @FAULTS.register("caller link")
 async def harm_caller_link(world: World, rng: random.Random) -> None:
-    """The way from callers to one gateway."""
+    """Disturbs the connections from callers to one gateway."""
     await _harm(_gateway(world, rng).front, rng)
 
 
 @FAULTS.register("engine link")
 async def harm_engine_link(world: World, rng: random.Random) -> None:
-    """The way from the gateways to one engine."""
+    """Disturbs the connections from the gateways to one engine."""
     await _harm(_engine(world, rng).proxy, rng)
 
 
 @FAULTS.register("late answer")
 async def add_answer(world: World, rng: random.Random) -> None:
-    """An engine sends bytes after an answer that belong to no request."""
+    """An engine sends extra bytes after a response."""
     extra = (
         b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray",
         b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nshort",
@@ -125,7 +125,7 @@
 
 @FAULTS.register("engine crash")
 async def crash_engine(world: World, rng: random.Random) -> None:
-    """An engine ends without notice and is back under a new id."""
+    """An engine crashes and is replaced by one with a new id."""
     engine = _engine(world, rng)
     engine.crash()
     await anyio.sleep(rng.uniform(SHORTEST_S, 2 * LAPSE_S))
@@ -134,7 +134,7 @@
 
 @FAULTS.register("engine leaves")
 async def drain_engine(world: World, rng: random.Random) -> None:
-    """An engine gives notice, or just leaves the list, and ends later."""
+    """An engine registers as draining or deregisters, and ends later."""
     engine = _engine(world, rng)
     if rng.random() < 0.5:
         await world.announce(engine, "draining")
@@ -148,7 +148,7 @@
 
 @FAULTS.register("failing engine")
 async def fail_engine(world: World, rng: random.Random) -> None:
-    """An engine fails a share of its calls."""
+    """An engine answers a random share of its calls with status 500."""
     engine = _engine(world, rng)
     engine.failing = rng.random()
     await _last(rng)
@@ -157,7 +157,7 @@
 
 @FAULTS.register("full engine")
 async def fill_engine(world: World, rng: random.Random) -> None:
-    """An engine has next to no places."""
+    """An engine has only one slot for a while."""
     engine = _engine(world, rng)
     usual, engine.slots = engine.slots, 1
     await _last(rng)
@@ -166,7 +166,7 @@
 
 @FAULTS.register("configuration")
 async def change_configuration(world: World, rng: random.Random) -> None:
-    """New versions one after another, with other API keys."""
+    """Publishes new configuration versions with changed API keys."""
     for _ in range(rng.randrange(1, SERIES + 1)):
         world.version += rng.randrange(1, 4)
         world.keys["b"] = f"key-b-{world.version}"
@@ -176,7 +176,7 @@
 
 @FAULTS.register("pause")
 async def pause_gateway(world: World, rng: random.Random) -> None:
-    """A gateway is stopped for a while and goes on."""
+    """A gateway's process is paused for a while and continued."""
     gateway = _gateway(world, rng)
     world.signal(gateway, signal.SIGSTOP)
     await _last(rng)
@@ -185,7 +185,7 @@
 
 @FAULTS.register("restart")
 async def restart_gateway(world: World, rng: random.Random) -> None:
-    """A gateway is asked to end, more than once, or killed, or both."""
+    """A gateway gets SIGTERM, maybe further signals, and is restarted."""
     gateway = _gateway(world, rng)
     world.signal(gateway, signal.SIGTERM)
     for _ in range(rng.randrange(SERIES)):
@@ -196,7 +196,7 @@
 
 @FAULTS.register("rolling restart")
 async def restart_in_turn(world: World, rng: random.Random) -> None:
-    """All gateways are asked to end, one after another."""
+    """All gateways are stopped and restarted, one after another."""
     for gateway in list(world.gateways):
         world.signal(gateway, signal.SIGTERM)
         await world.bring_back(gateway, rng.uniform(0, SHORTEST_S))
@@ -204,7 +204,7 @@
 
 @FAULTS.register("all killed")
 async def kill_all(world: World, rng: random.Random) -> None:
-    """All gateways are killed at once and come back."""
+    """All gateways are killed at the same time and restarted."""
     async with anyio.create_task_group() as tasks:
         for gateway in world.gateways:
             world.signal(gateway, signal.SIGKILL)
@@ -214,7 +214,7 @@
 
 @FAULTS.register("settings")
 async def change_settings(world: World, rng: random.Random) -> None:
-    """The settings file changes, with SIGHUP or without, again and again."""
+    """The settings file changes repeatedly, with or without SIGHUP."""
     gateway = _gateway(world, rng)
     for _ in range(SERIES):
         world.write_settings(gateway, memory_mb=rng.randrange(180, 230))
--- a/lab/soak/proxy.py
+++ b/lab/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A proxy on loopback that delays, resets, cuts one way and silences."""
+"""A loopback TCP proxy that injects network faults."""
 
 import contextlib
 import socket
@@ -11,22 +11,22 @@
 from rhubarbwinch.shared import misc
 
 CHUNK_BYTES = 65_536
-# How often a direction that is cut looks whether it is open again.
+# How often a cut direction is checked for being open again.
 POLL_S = 0.02
-# Closing sends a reset instead of what is still to be sent.
+# With this linger option, closing a socket drops unsent data and sends RST.
 _ABORT = struct.pack("ii", 1, 0)
 
 
 @attrs.define
 class Condition:
-    """The state of what the proxy stands before.
+    """The network faults that the proxy applies.
 
     Attributes:
-        delay_ms: What each chunk waits, each way.
-        is_cut_there: Nothing reaches the target.
-        is_cut_back: Nothing comes back.
-        is_refusing: New connections are closed at once.
-        extra: Bytes to add after the next chunk that comes back.
+        delay_ms: The delay of each chunk in both directions.
+        is_cut_there: Data to the target is held back.
+        is_cut_back: Data from the target is held back.
+        is_refusing: New connections are closed immediately.
+        extra: Bytes to add after the next chunk from the target.
     """
 
     delay_ms: int = 0
@@ -41,7 +41,7 @@
 
     Args:
         address: `a.b.c.d:port` to listen on.
-        target: Where connections go.
+        target: The address to forward connections to.
     """
 
     def __init__(self, address: str, target: str) -> None:
@@ -52,19 +52,19 @@
 
     @property
     def is_sound(self) -> bool:
-        """Whether nothing is wrong now."""
+        """Whether no fault is active."""
         return self.condition == Condition()
 
     def heal(self) -> None:
-        """Ends what is wrong."""
+        """Clears all faults."""
         self.condition = Condition()
 
     def reset(self) -> None:
-        """Resets all open connections, both sides."""
+        """Resets both sides of all open connections."""
         for scope, streams in list(self._open.items()):
             for stream in streams:
                 link = stream.extra(anyio.abc.SocketAttribute.raw_socket)
-                # A side that has closed already has no descriptor any more.
+                # A side that is already closed has no file descriptor.
                 if link.fileno() >= 0:
                     link.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _ABORT)
             scope.cancel()
@@ -86,7 +86,7 @@
             try:
                 target = await anyio.connect_tcp(host, port)
             except OSError:
-                # The caller sees what it would see of the target.
+                # The caller's connection closes, as if the target refused it.
                 return
             async with target:
                 await self._forward(caller, target)
@@ -122,7 +122,7 @@
                     data += self.condition.extra
                     self.condition.extra = b""
                 await sink.send(data)
-        # Either side's end ends both; a cut hides it until it heals.
+        # When one side closes, both close. A cut delays this until it heals.
         while self._is_cut(is_back):
             await anyio.sleep(POLL_S)
         scope.cancel()
--- a/lab/soak/records.py
+++ b/lab/soak/records.py
@@ -1,4 +1,4 @@
-"""What callers and engines saw, the only input of the checker."""
+"""Records of what callers and engines observed, the checker's only input."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class Kind(enum.Enum):
-    """The kinds of requests, by the name of their route."""
+    """The kinds of requests; the values are the names of their routes."""
 
     CALL = "call"
     ONCE = "once"
@@ -15,22 +15,22 @@
 
 @attrs.define
 class Attempt:
-    """A caller's request.
+    """One attempt of a caller to send a request.
 
     Attributes:
-        id: Its id.
-        kind: Its kind.
-        account: The client account of the key.
-        is_allowed: Whether a configuration ever knew the key.
-        gateway: The gateway that it was sent to.
-        body: What was sent.
-        sent_ms: When.
-        ended_ms: When the last byte came or the connection ended.
-        status: The answer's status; 0 without one.
-        is_signed: Whether the answer is an engine's.
-        answer: The bytes of the answer's body.
-        is_complete: Whether the answer ended as HTTP demands.
-        has_left: Whether the caller gave it up.
+        id: The id of the attempt.
+        kind: The kind of the request.
+        account: The client account of the API key.
+        is_allowed: Whether the API key is valid in any configuration.
+        gateway: The number of the gateway that it was sent to.
+        body: The request body.
+        sent_ms: When it was sent.
+        ended_ms: When the response or the connection ended.
+        status: The HTTP status of the response; 0 without a response.
+        is_signed: Whether the response has an engine's signature.
+        answer: The received bytes of the response body.
+        is_complete: Whether the response was complete in terms of HTTP.
+        has_left: Whether the caller disconnected before the end.
     """
 
     id: str
@@ -50,20 +50,20 @@
 
 @attrs.define
 class Run:
-    """A request's work at an engine.
+    """The execution of a request at an engine.
 
     Attributes:
-        id: The request's id.
-        kind: The kind by the path on which it came.
-        engine: The engine's id.
-        account: The client account that the engine was told.
-        body: What the engine received.
-        has_key: Whether the caller's key was passed on.
-        is_resumed: Whether it goes on from a copy.
+        id: The id of the request.
+        kind: The kind of the request, taken from the path of the request.
+        engine: The id of the engine.
+        account: The client account in the request to the engine.
+        body: The request body that the engine received.
+        has_key: Whether the request to the engine had the caller's API key.
+        is_resumed: Whether it resumed from a copy of the KV cache.
         first_event: The number of its first event.
-        started_ms: When it began.
+        started_ms: When it started.
         ended_ms: When it ended; 0 while it runs.
-        is_cut_off: Whether the engine was out of reach of gateways meanwhile.
+        is_cut_off: Whether the proxy of the engine applied a fault during it.
     """
 
     id: str
@@ -81,17 +81,17 @@
 
 @attrs.define
 class Journal:
-    """All records of one run of the soak.
+    """All records of one seed of the soak.
 
     Attributes:
-        attempts: Requests of callers.
-        runs: Work at engines, arrivals that engines refuse left out.
-        calm_from_ms: When the last fault had ended.
-        sound_from_ms: From when everything has to be served again.
-        ended: Processes that ended unasked, with status.
-        overdue: Processes that were still there when their grace was over.
-        peak_mb: The largest peak of memory of a gateway.
-        faults: What was done, as text.
+        attempts: The attempts of callers.
+        runs: The runs at engines, without requests that engines refused.
+        calm_from_ms: When the last fault ended.
+        sound_from_ms: When all requests must be served again.
+        ended: Gateways that exited unexpectedly, with their exit status.
+        overdue: Gateways that still ran after their grace period.
+        peak_mb: The highest memory peak of any gateway.
+        faults: The steps of the injected faults, as text.
     """
 
     attempts: list[Attempt] = attrs.field(factory=list)
@@ -105,10 +105,10 @@
 
 
 def event(request_id: str, number: int) -> bytes:
-    """Returns an event of the stream of a request."""
+    """Returns one event of the stream for a request."""
     return b"id: %d\ndata: %s/%d\n\n" % (number, request_id.encode(), number)
 
 
 def whole_answer(request_id: str, body: bytes) -> bytes:
-    """Returns the answer to a call that is no stream."""
+    """Returns the full response to a request that is not streamed."""
     return b"%s of %d bytes" % (request_id.encode(), len(body))
--- a/lab/soak/run.py
+++ b/lab/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays one seed: callers, faults and a calm end."""
+"""Runs one seed: callers, faults, recovery and a phase without faults."""
 
 import pathlib
 import random
@@ -13,23 +13,23 @@
 from lab.soak.world import World
 
 READY_S = 3.0
-# The time in which everything has to be served again after the last fault.
+# After this time from the last fault, all requests must be served again.
 RECOVER_S = 5.0
 CALM_S = 3.0
-# The mean time from one fault to the next.
+# The mean time between two faults.
 FAULT_EVERY_S = 0.7
 WATCH_S = 0.1
 
 
 @attrs.frozen
 class Size:
-    """How large a run is.
+    """The size of a run.
 
     Attributes:
-        faults_s: For how long faults come.
-        gateways: How many gateways there are.
-        engines: How many engines, and how many plain endpoints there are.
-        callers: How many callers there are.
+        faults_s: How long faults are injected.
+        gateways: The number of gateways.
+        engines: The number of engines, and of plain endpoints.
+        callers: The number of callers.
     """
 
     faults_s: float = 12.0
@@ -39,7 +39,7 @@
 
 
 async def play(seed: int, folder: pathlib.Path, size: Size) -> Journal:
-    """Plays a seed; `folder` keeps the logs of the gateways."""
+    """Runs a seed; the gateways write their logs to `folder`."""
     rng = random.Random(seed)
     world = World(folder, rng, size.gateways, size.engines)
     try:
@@ -61,7 +61,7 @@
 
 
 def make_callers(world: World, rng: random.Random, count: int) -> list[Caller]:
-    """Returns callers of the gateways of a world."""
+    """Returns callers of a deployment's gateways."""
     shared = Callers(
         world.fronts,
         world.directories,
@@ -88,7 +88,7 @@
 
 
 async def _play_faults(world: World, rng: random.Random, last_s: float) -> None:
-    """Starts faults for some time and waits for the end of the last."""
+    """Starts faults for `last_s` seconds and waits until all have ended."""
     end = anyio.current_time() + last_s
     async with anyio.create_task_group() as tasks:
         while anyio.current_time() < end:
--- a/lab/soak/world.py
+++ b/lab/soak/world.py
@@ -1,4 +1,4 @@
-"""The deployment of a soak: stand-ins, proxies and gateway processes."""
+"""The deployment under test: stand-ins, proxies and gateway processes."""
 
 import pathlib
 import random
@@ -18,13 +18,13 @@
 from lab.standins.platformstore import PlatformStoreServer
 from rhubarbwinch.shared.clock import Clock, SystemClock
 
-# One port for each thing that a gateway listens on, and its internal ports.
+# The ports of a gateway: one for each listener, and its internal ports.
 PORTS = 16
 GRACE_S = 8
-# A gateway that has to end may take so long beyond its grace.
+# The tolerance for the exit of a gateway after its grace period.
 SLACK_S = 2.0
-# Until the interpreter runs the first line of the program, which it does
-# within this time on a busy machine, a signal has its default effect.
+# Before the interpreter runs the first line of the program, signals have their
+# default effect. On a busy machine, the interpreter starts within this time.
 INTERPRETER_MS = 1_000
 POLL_S = 0.02
 ENGINE_SERVICE, PLAIN_SERVICE = "engines", "plain"
@@ -32,19 +32,19 @@
 
 @attrs.define
 class Gateway:
-    """A gateway's process and what stands around it.
+    """A gateway process and its proxies.
 
     Attributes:
-        name: Its name.
-        ip: Its own address.
-        store: The proxy between it and the store.
-        front: The proxy between callers and it.
-        is_asked_to_end: Whether it was sent a signal that ends it.
-        is_killed: Whether that was SIGKILL.
-        was_starting: Whether it did not listen yet when it was asked to end.
+        name: The name of the gateway.
+        ip: Its IP address.
+        store: The proxy between the gateway and the store.
+        front: The proxy between callers and the gateway.
+        is_asked_to_end: Whether it was sent SIGTERM or SIGKILL.
+        is_killed: Whether it was sent SIGKILL.
+        was_starting: Whether it got SIGTERM before it listened.
         started_ms: When its process was started.
-        is_coming_back: Whether somebody sees to its restart.
-        was_paused: Whether it was stopped since it was asked to end.
+        is_coming_back: Whether a fault is about to restart it.
+        was_paused: Whether it was sent SIGSTOP since its start.
     """
 
     name: str
@@ -60,14 +60,14 @@
 
 
 class World:
-    """Everything that a run consists of, but for callers and faults.
+    """The deployment of a run, without callers and faults.
 
     Args:
-        folder: For settings files and logs.
-        rng: The source of chance.
-        gateways: How many gateways there are.
-        engines: How many engines and how many plain endpoints there are.
-        options: More flags of the gateways.
+        folder: The directory for settings files and logs.
+        rng: The random number generator.
+        gateways: The number of gateways.
+        engines: The number of engines, and of plain endpoints.
+        options: Additional command-line flags for the gateways.
     """
 
     def __init__(
@@ -110,12 +110,12 @@
         return SoakEngine(self.new_id(), address, service, proxy, fabric)
 
     def new_id(self) -> str:
-        """Returns an id that no engine has had."""
+        """Returns a new id for an engine."""
         return f"i-{next(self._names)}"
 
     @property
     def proxies(self) -> Iterator[LoopbackProxy]:
-        """All proxies."""
+        """The proxies of all gateways and engines."""
         for gateway in self.gateways:
             yield gateway.store
             yield gateway.front
@@ -124,12 +124,12 @@
 
     @property
     def fronts(self) -> dict[str, LoopbackProxy]:
-        """The proxies before the gateways, by what the directory names."""
+        """The proxies in front of the gateways, by gateway address."""
         return {f"{g.ip}:{self._first_port}": g.front for g in self.gateways}
 
     @property
     def directories(self) -> list[str]:
-        """Where callers ask which gateways there are."""
+        """The addresses of the gateways' directories."""
         return [f"{g.ip}:{self._first_port + 2}" for g in self.gateways]
 
     async def start(self, tasks: anyio.abc.TaskGroup) -> None:
@@ -176,16 +176,16 @@
         await self.store.put(platformfiles.CONFIG_KEY, text)
 
     async def announce(self, engine: SoakEngine, state: str = "ready") -> None:
-        """Writes an engine's entry."""
+        """Writes an engine's entry to the store."""
         key = platformfiles.ENDPOINT_PREFIX + engine.name
         await self.store.put(key, engine.registration(state))
 
     async def withdraw(self, engine: SoakEngine) -> None:
-        """Removes an engine's entry."""
+        """Removes an engine's entry from the store."""
         await self.store.remove(platformfiles.ENDPOINT_PREFIX + engine.name)
 
     async def replace(self, engine: SoakEngine) -> None:
-        """Starts a new incarnation of an engine at its address."""
+        """Starts a new incarnation of an engine at the same address."""
         await self.withdraw(engine)
         engine.name = self.new_id()
         engine.proxy.heal()
@@ -229,11 +229,11 @@
         self._settings_path(gateway).write_text(text)
 
     def note(self, what: str) -> None:
-        """Notes a step of a fault."""
+        """Records a step of a fault."""
         self.journal.faults.append(f"{self.clock.now()} {what}")
 
     def signal(self, gateway: Gateway, number: signal.Signals) -> None:
-        """Sends a signal to a gateway, if it runs."""
+        """Sends a signal to a gateway if it is running."""
         if self._processes.status(gateway.name) is not None:
             return
         age_ms = self.clock.now() - gateway.started_ms
@@ -254,9 +254,9 @@
             return not probe.connect_ex((gateway.ip, self._first_port))
 
     async def bring_back(self, gateway: Gateway, pause_s: float) -> None:
-        """Waits for the end of a gateway that was asked to, and starts it."""
+        """Restarts a gateway that was told to stop, after its exit."""
         if gateway.is_coming_back or not gateway.is_asked_to_end:
-            # Another fault has started it again, or is about to.
+            # Another fault has restarted this gateway or is about to.
             return
         gateway.is_coming_back = True
         try:
@@ -281,20 +281,20 @@
         status = self._processes.status(gateway.name)
         wanted = {0, -signal.SIGKILL} if gateway.is_killed else {0}
         if gateway.was_starting:
-            # A program that has not set up its signals ends by them.
+            # Without its signal handlers, the program ends by the signal.
             wanted.add(-signal.SIGTERM)
         if status is not None and status not in wanted:
             self.journal.ended.append(f"{gateway.name}: status {status}")
 
     def check_processes(self) -> None:
-        """Notes gateways that ended unasked."""
+        """Records and restarts gateways that exited unexpectedly."""
         for gateway in self.gateways:
             self._note_memory(gateway)
             if gateway.is_coming_back or gateway.is_asked_to_end:
                 continue
             status = self._processes.status(gateway.name)
             if status is not None:
-                line = f"{gateway.name} ended unasked: status {status}"
+                line = f"{gateway.name} exited unexpectedly: status {status}"
                 self.journal.ended.append(line)
                 self.start_gateway(gateway)
 
@@ -303,9 +303,9 @@
         self.journal.peak_mb = max(self.journal.peak_mb, peak)
 
     def cpu_s(self, gateway: Gateway) -> float:
-        """Returns the processor time that a gateway has taken."""
+        """Returns the CPU time that a gateway has used."""
         return self._processes.cpu_s(gateway.name)
 
     def close(self) -> None:
-        """Ends all processes."""
+        """Stops all processes."""
         self._processes.__exit__()
--- a/tests/soak/test_check.py
+++ b/tests/soak/test_check.py
@@ -1,4 +1,4 @@
-"""Each promise of the soak's checker, broken by one forged record."""
+"""Tests of the soak's checker with records that violate a guarantee."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 
 
 def attempt(request_id="q1", kind=Kind.CALL, **fields):
-    """Returns a request that was served."""
+    """Returns an attempt that succeeded."""
     body = b"3" if kind is Kind.DRAFT else b"body"
     answer = whole_answer(request_id, body)
     if kind is Kind.DRAFT:
@@ -28,7 +28,7 @@
 
 
 def run(request_id="q1", kind="call", **fields):
-    """Returns the work that serves it."""
+    """Returns the run that served such an attempt."""
     base = {
         "engine": "i-1",
         "account": "a",
@@ -43,10 +43,10 @@
 
 
 class CheckTest(unittest.TestCase):
-    """The checker before records of one request."""
+    """The violations that are found in records of one or a few requests."""
 
     def broken(self, attempts, runs, **fields):
-        """Returns the names of the promises that records break."""
+        """Returns the names of the checks that fail for these records."""
         journal = Journal(attempts, runs, **fields)
         found = broken_promises(journal, with_times=True)
         return {line.partition(":")[0] for line in found}
--- a/tests/soak/test_proxy.py
+++ b/tests/soak/test_proxy.py
@@ -1,4 +1,4 @@
-"""Tests of the proxy that harms connections."""
+"""Tests of the proxy that injects network faults."""
 
 import contextlib
 import unittest
@@ -8,14 +8,14 @@
 from lab.soak.proxy import LoopbackProxy
 from tests.helpers import asynchronous, free_address
 
-# Nothing is expected to come in this time; what comes later fails a test that
-# waits for it without a limit.
+# A held-back direction delivers nothing in this time. The tests then wait
+# without a time limit for the data to arrive.
 QUIET_S = 0.1
 
 
 @contextlib.asynccontextmanager
 async def echo_behind_proxy():
-    """Yields a proxy before a server that echoes, and a connection."""
+    """Yields a proxy in front of an echo server, and a connection to it."""
     target, address = free_address(), free_address()
 
     async def echo(stream):
@@ -41,14 +41,14 @@
 
 
 async def is_silent(stream):
-    """Tells whether nothing comes for a while."""
+    """Returns whether nothing arrives for QUIET_S."""
     with anyio.move_on_after(QUIET_S) as scope:
         await stream.receive()
     return scope.cancelled_caught
 
 
 class LoopbackProxyTest(unittest.TestCase):
-    """A connection through the proxy."""
+    """Connections through the proxy to an echo server."""
 
     @asynchronous
     async def test_what_is_sound_passes_both_ways(self):
@@ -86,7 +86,7 @@
         async with echo_behind_proxy() as (proxy, stream):
             await stream.send(b"abc")
             await stream.receive()
-            # The proxy has not heard yet that its caller's side is closed.
+            # The caller's side is closed, but the proxy has not noticed yet.
             for streams in proxy._open.values():
                 await streams[0].aclose()
             proxy.reset()
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded run of the real gateways under faults."""
+"""Tests of real gateway processes in a short seeded run with faults."""
 
 import pathlib
 import tempfile
@@ -13,7 +13,7 @@
 
 
 class SoakTest(unittest.TestCase):
-    """Promises that have no time in them, as callers and engines see them."""
+    """The guarantees that do not depend on timing."""
 
     @asynchronous
     async def test_a_short_run_breaks_no_promise(self):
