--- a/lab/soak/__main__.py
+++ b/lab/soak/__main__.py
@@ -17,12 +17,12 @@
 from absl import logging
 
 from lab.seeded.__main__ import parse_seeds
-from lab.soak.check import broken_promises
+from lab.soak.check import find_violations
 from lab.soak.records import Journal
-from lab.soak.run import Size, play
+from lab.soak.run import Size, run_seed
 
 REGRESSIONS = pathlib.Path(__file__).parent / "regressions.txt"
-MOST_LINES = 20
+MAX_LINES = 20
 
 
 def regression_seeds() -> list[int]:
@@ -43,7 +43,7 @@
     )
 
 
-def keep(journal: Journal, folder: pathlib.Path) -> None:
+def write_records(journal: Journal, folder: pathlib.Path) -> None:
     """Writes the records to the directory of the logs, for diagnosis."""
     for name, rows in (
         ("faults.txt", journal.faults),
@@ -53,41 +53,41 @@
         (folder / name).write_text("".join(f"{row}\n" for row in rows))
 
 
-def _play(seed: int, size: Size) -> bool:
+def _run_one(seed: int, size: Size) -> bool:
     """Runs a seed; keeps its directory only if there are violations."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
-    journal = anyio.run(play, seed, folder, size)
-    broken = broken_promises(journal, with_times=True)
+    journal = anyio.run(run_seed, seed, folder, size)
+    violations = find_violations(journal, with_times=True)
     sys.stdout.write(describe(seed, journal))
-    if broken:
-        keep(journal, folder)
-        lines = [f"  broken: {line}\n" for line in broken[:MOST_LINES]]
+    if violations:
+        write_records(journal, folder)
+        lines = [f"  broken: {line}\n" for line in violations[:MAX_LINES]]
         lines.append(f"  logs: {folder}\n")
         lines.append(f"  again: python -m lab.soak --seeds {seed}\n")
         sys.stdout.writelines(lines)
     else:
         shutil.rmtree(folder)
     sys.stdout.flush()
-    return not broken
+    return not violations
 
 
 def main() -> None:
     """Runs the seeds."""
-    usual = Size()
+    defaults = Size()
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=parse_seeds, default=regression_seeds())
-    parser.add_argument("--seconds", type=float, default=usual.faults_s)
-    parser.add_argument("--gateways", type=int, default=usual.gateways)
-    parser.add_argument("--engines", type=int, default=usual.engines)
-    parser.add_argument("--callers", type=int, default=usual.callers)
+    parser.add_argument("--seconds", type=float, default=defaults.faults_s)
+    parser.add_argument("--gateways", type=int, default=defaults.gateways)
+    parser.add_argument("--engines", type=int, default=defaults.engines)
+    parser.add_argument("--callers", type=int, default=defaults.callers)
     options = parser.parse_args()
     size = Size(
         options.seconds, options.gateways, options.engines, options.callers
     )
     # Errors that the stand-ins log are a result of the injected faults.
     logging.set_verbosity(logging.FATAL)
-    good = [_play(seed, size) for seed in options.seeds]
-    sys.exit(0 if all(good) else 1)
+    passed = [_run_one(seed, size) for seed in options.seeds]
+    sys.exit(0 if all(passed) else 1)
 
 
 if __name__ == "__main__":
--- a/lab/soak/engines.py
+++ b/lab/soak/engines.py
@@ -22,49 +22,49 @@
 from rhubarbwinch.platform import headers
 from rhubarbwinch.shared.clock import Clock
 
-EVENT_MS = 25
-CALL_MS = 40
+EVENT_INTERVAL_MS = 25
+CALL_DURATION_MS = 40
 # The time to copy the KV cache of a run to another engine.
-MOVE_MS = 60
+MIGRATION_MS = 60
 NOT_FOUND, BUSY, NO_ROOM = 404, 409, 503
 
 
 @attrs.define
-class Copy:
+class KvCacheCopy:
     """A copy of a run's KV cache at another engine.
 
     Attributes:
         engine: The address of the engine that holds it.
-        made: The number of events that it covers.
+        event_count: The number of events that it covers.
         source: The address of the engine that executes the run.
     """
 
     engine: str
-    made: int
+    event_count: int
     source: str
 
 
 @attrs.define
-class Work:
+class ActiveRun:
     """A run in progress at an engine.
 
     Attributes:
         run: The record of the run.
-        made: The number of events generated so far.
+        event_count: The number of events generated so far.
         scope: Cancelled to stop the run.
-        is_moving: Whether its KV cache is being copied.
-        backup: The replicated copy at the hot standby, if there is one.
+        is_migrating: Whether its KV cache is being copied.
+        standby_copy: The replicated copy at the hot standby, if there is one.
     """
 
     run: Run
-    made: int
+    event_count: int
     scope: anyio.CancelScope
-    is_moving: bool = False
-    backup: Copy | None = None
+    is_migrating: bool = False
+    standby_copy: KvCacheCopy | None = None
 
 
 @attrs.define
-class Fabric:
+class EngineContext:
     """State that the engines of a deployment share.
 
     Attributes:
@@ -76,7 +76,7 @@
         rng: The random number generator.
     """
 
-    copies: dict[str, Copy]
+    copies: dict[str, KvCacheCopy]
     engines: dict[str, "SoakEngine"]
     journal: Journal
     clock: Clock
@@ -91,7 +91,7 @@
         address: `a.b.c.d:port` to listen on.
         service: The service that it runs.
         proxy: The proxy through which it is reached.
-        fabric: The state that it shares with the other engines.
+        context: The state that it shares with the other engines.
     """
 
     def __init__(
@@ -100,29 +100,29 @@
         address: str,
         service: str,
         proxy: LoopbackProxy,
-        fabric: Fabric,
+        context: EngineContext,
     ) -> None:
         super().__init__(name, address, service)
         self.address = proxy.address
         self.proxy = proxy
         self.behaviour = self._serve
-        self.failing = 0.0
+        self.failure_rate = 0.0
         self.slots = 24
-        self._fabric = fabric
-        self._work: dict[str, Work] = {}
-        fabric.engines[self.address] = self
+        self._context = context
+        self._active_runs: dict[str, ActiveRun] = {}
+        context.engines[self.address] = self
 
     def crash(self) -> None:
         """Drops all runs and copies and refuses connections."""
-        self.proxy.condition.is_refusing = True
+        self.proxy.faults.is_refusing = True
         self.proxy.reset()
-        self.forget()
+        self.drop_state()
 
-    def forget(self) -> None:
+    def drop_state(self) -> None:
         """Ends all runs and drops the copies that this engine holds."""
-        for work in list(self._work.values()):
-            work.scope.cancel()
-        copies = self._fabric.copies
+        for active_run in list(self._active_runs.values()):
+            active_run.scope.cancel()
+        copies = self._context.copies
         for handle in [
             h for h, c in copies.items() if c.engine == self.address
         ]:
@@ -139,15 +139,18 @@
 
     async def _serve(self, arrival: Arrival, responder: EdgeResponder) -> None:
         first = self._first_event(arrival)
-        full = len(self._work) >= self.slots or arrival.id in self._work
-        if first is None or full:
+        is_full = (
+            len(self._active_runs) >= self.slots
+            or arrival.id in self._active_runs
+        )
+        if first is None or is_full:
             await refuse(arrival, responder)
             return
-        with self._working(arrival, first) as work:
-            if work.run.kind == records.Kind.DRAFT.value:
-                await self._stream(arrival, responder, work)
+        with self._track_run(arrival, first) as active_run:
+            if active_run.run.kind == records.RequestKind.DRAFT.value:
+                await self._stream(arrival, responder, active_run)
             else:
-                await self._answer(arrival, responder)
+                await self._respond(arrival, responder)
 
     def _first_event(self, arrival: Arrival) -> int | None:
         """Returns a run's first event; None if this engine lacks its copy."""
@@ -155,105 +158,111 @@
         if source is None:
             return 1
         handle = source.partition("/")[2]
-        copy = self._fabric.copies.get(handle)
+        copy = self._context.copies.get(handle)
         if copy is None or copy.engine != self.address:
             return None
         # A copy can be used only once.
-        del self._fabric.copies[handle]
+        del self._context.copies[handle]
         return int(arrival.headers.get(headers.LAST_EVENT.decode(), "0")) + 1
 
     @contextmanager
-    def _working(self, arrival: Arrival, first: int) -> Iterator[Work]:
-        names = arrival.headers
+    def _track_run(self, arrival: Arrival, first: int) -> Iterator[ActiveRun]:
+        fields = arrival.headers
         run = Run(
             id=arrival.id,
             kind=arrival.request.target.decode().split("/")[1],
             engine=self.name,
-            account=names.get(headers.ACCOUNT.decode(), ""),
+            account=fields.get(headers.ACCOUNT.decode(), ""),
             body=arrival.request.body,
-            has_key=headers.AUTHORIZATION.decode() in names,
-            is_resumed=headers.RESUME_FROM.decode() in names,
+            has_key=headers.AUTHORIZATION.decode() in fields,
+            is_resumed=headers.RESUME_FROM.decode() in fields,
             first_event=first,
-            started_ms=self._fabric.clock.now(),
+            started_ms=self._context.clock.now(),
         )
-        self._fabric.journal.runs.append(run)
-        work = Work(run, first - 1, anyio.CancelScope())
-        self._work[run.id] = work
-        address = names.get(headers.BACKUP.decode())
-        if address in self._fabric.engines:
-            work.backup = Copy(str(address), 0, self.address)
-            self._fabric.copies[run.id] = work.backup
+        self._context.journal.runs.append(run)
+        active_run = ActiveRun(run, first - 1, anyio.CancelScope())
+        self._active_runs[run.id] = active_run
+        address = fields.get(headers.BACKUP.decode())
+        if address in self._context.engines:
+            active_run.standby_copy = KvCacheCopy(str(address), 0, self.address)
+            self._context.copies[run.id] = active_run.standby_copy
         try:
-            with work.scope:
-                yield work
+            with active_run.scope:
+                yield active_run
         finally:
-            run.ended_ms = self._fabric.clock.now()
-            self._work.pop(run.id, None)
+            run.ended_ms = self._context.clock.now()
+            self._active_runs.pop(run.id, None)
 
-    async def _answer(self, arrival: Arrival, responder: EdgeResponder) -> None:
-        await self._fabric.clock.sleep(CALL_MS)
-        self._note_reach(arrival.id)
-        if self._fabric.rng.random() < self.failing:
+    async def _respond(
+        self, arrival: Arrival, responder: EdgeResponder
+    ) -> None:
+        await self._context.clock.sleep(CALL_DURATION_MS)
+        self._record_reachability(arrival.id)
+        if self._context.rng.random() < self.failure_rate:
             await responder.send(500, head_of(arrival), b"failed")
             return
-        body = records.whole_answer(arrival.id, arrival.request.body)
+        body = records.full_response(arrival.id, arrival.request.body)
         await responder.send(200, head_of(arrival), body)
 
     async def _stream(
-        self, arrival: Arrival, responder: EdgeResponder, work: Work
+        self, arrival: Arrival, responder: EdgeResponder, active_run: ActiveRun
     ) -> None:
         total = int(arrival.request.body or b"1")
         kind = (b"Content-Type", b"text/event-stream")
         await responder.start_stream(200, [*head_of(arrival), kind])
-        while work.made < total:
-            await self._fabric.clock.sleep(EVENT_MS)
-            self._note_reach(arrival.id)
-            work.made += 1
-            if work.backup is not None:
-                work.backup.made = work.made
-            await responder.write(records.event(arrival.id, work.made))
-        self._fabric.copies.pop(arrival.id, None)
+        while active_run.event_count < total:
+            await self._context.clock.sleep(EVENT_INTERVAL_MS)
+            self._record_reachability(arrival.id)
+            active_run.event_count += 1
+            if active_run.standby_copy is not None:
+                active_run.standby_copy.event_count = active_run.event_count
+            await responder.write(
+                records.event(arrival.id, active_run.event_count)
+            )
+        self._context.copies.pop(arrival.id, None)
         await responder.end_stream()
 
-    def _note_reach(self, request_id: str) -> None:
-        if not self.proxy.is_sound and request_id in self._work:
-            self._work[request_id].run.is_cut_off = True
+    def _record_reachability(self, request_id: str) -> None:
+        if not self.proxy.is_healthy and request_id in self._active_runs:
+            self._active_runs[request_id].run.was_unreachable = True
 
     def _free(self, handle: str) -> int:
         name = urllib.parse.unquote(handle)
-        copy = self._fabric.copies.get(name)
+        copy = self._context.copies.get(name)
         if copy is None or self.address not in (copy.source, copy.engine):
             return NOT_FOUND
-        del self._fabric.copies[name]
+        del self._context.copies[name]
         return 200
 
     async def _move(
         self, request: EdgeRequest, responder: EdgeResponder
     ) -> None:
         body = orjson.loads(request.body)
-        status, answer = await self._copy(
+        status, response = await self._migrate(
             body["id"], body["to"], bool(body.get("last"))
         )
-        await responder.send(status, [], orjson.dumps(answer))
+        await responder.send(status, [], orjson.dumps(response))
 
-    async def _copy(
+    async def _migrate(
         self, request_id: str, to: str, is_last: bool
     ) -> tuple[int, dict[str, object]]:
-        work = self._work.get(request_id)
-        if work is None:
+        active_run = self._active_runs.get(request_id)
+        if active_run is None:
             return NOT_FOUND, {}
-        if work.is_moving:
+        if active_run.is_migrating:
             return BUSY, {}
-        other = self._fabric.engines.get(to)
-        if other is None or other.proxy.condition.is_refusing:
+        target = self._context.engines.get(to)
+        if target is None or target.proxy.faults.is_refusing:
             return NO_ROOM, {}
-        work.is_moving = True
+        active_run.is_migrating = True
         try:
             if is_last:
-                work.scope.cancel()
-            await self._fabric.clock.sleep(MOVE_MS)
+                active_run.scope.cancel()
+            await self._context.clock.sleep(MIGRATION_MS)
         finally:
-            work.is_moving = False
+            active_run.is_migrating = False
         handle = f"h-{request_id}-{to}"
-        self._fabric.copies[handle] = Copy(to, work.made, self.address)
-        return 200, {"handle": handle, "created": work.made}
+        self._context.copies[handle] = KvCacheCopy(
+            to, active_run.event_count, self.address
+        )
+        return 200, {"handle": handle, "created": active_run.event_count}
--- a/lab/soak/proxy.py
+++ b/lab/soak/proxy.py
@@ -14,26 +14,26 @@
 # How often a cut direction is checked for being open again.
 POLL_S = 0.02
 # With this linger option, closing a socket drops unsent data and sends RST.
-_ABORT = struct.pack("ii", 1, 0)
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 @attrs.define
-class Condition:
+class ProxyFaults:
     """The network faults that the proxy applies.
 
     Attributes:
         delay_ms: The delay of each chunk in both directions.
-        is_cut_there: Data to the target is held back.
-        is_cut_back: Data from the target is held back.
+        is_cut_to_target: Data to the target is held back.
+        is_cut_from_target: Data from the target is held back.
         is_refusing: New connections are closed immediately.
-        extra: Bytes to add after the next chunk from the target.
+        extra_bytes: Bytes to add after the next chunk from the target.
     """
 
     delay_ms: int = 0
-    is_cut_there: bool = False
-    is_cut_back: bool = False
+    is_cut_to_target: bool = False
+    is_cut_from_target: bool = False
     is_refusing: bool = False
-    extra: bytes = b""
+    extra_bytes: bytes = b""
 
 
 class LoopbackProxy:
@@ -46,27 +46,31 @@
 
     def __init__(self, address: str, target: str) -> None:
         self.address = address
-        self.condition = Condition()
+        self.faults = ProxyFaults()
         self._target = target
-        self._open: dict[anyio.CancelScope, list[anyio.abc.ByteStream]] = {}
+        self._connections: dict[
+            anyio.CancelScope, list[anyio.abc.ByteStream]
+        ] = {}
 
     @property
-    def is_sound(self) -> bool:
+    def is_healthy(self) -> bool:
         """Whether no fault is active."""
-        return self.condition == Condition()
+        return self.faults == ProxyFaults()
 
     def heal(self) -> None:
         """Clears all faults."""
-        self.condition = Condition()
+        self.faults = ProxyFaults()
 
     def reset(self) -> None:
         """Resets both sides of all open connections."""
-        for scope, streams in list(self._open.items()):
+        for scope, streams in list(self._connections.items()):
             for stream in streams:
-                link = stream.extra(anyio.abc.SocketAttribute.raw_socket)
+                sock = stream.extra(anyio.abc.SocketAttribute.raw_socket)
                 # A side that is already closed has no file descriptor.
-                if link.fileno() >= 0:
-                    link.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _ABORT)
+                if sock.fileno() >= 0:
+                    sock.setsockopt(
+                        socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE
+                    )
             scope.cancel()
 
     async def run(self) -> None:
@@ -80,7 +84,7 @@
 
     async def _serve(self, caller: anyio.abc.ByteStream) -> None:
         async with caller:
-            if self.condition.is_refusing:
+            if self.faults.is_refusing:
                 return
             host, port = misc.split_address(self._target)
             try:
@@ -95,38 +99,42 @@
         self, caller: anyio.abc.ByteStream, target: anyio.abc.ByteStream
     ) -> None:
         with anyio.CancelScope() as scope:
-            self._open[scope] = [caller, target]
+            self._connections[scope] = [caller, target]
             try:
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(self._pump, caller, target, False, scope)
                     tasks.start_soon(self._pump, target, caller, True, scope)
             finally:
-                del self._open[scope]
+                del self._connections[scope]
 
     async def _pump(
         self,
         source: anyio.abc.ByteReceiveStream,
         sink: anyio.abc.ByteSendStream,
-        is_back: bool,
+        from_target: bool,
         scope: anyio.CancelScope,
     ) -> None:
         broken = (anyio.BrokenResourceError, anyio.ClosedResourceError)
         with contextlib.suppress(anyio.EndOfStream, *broken):
             while True:
                 data = await source.receive(CHUNK_BYTES)
-                if self.condition.delay_ms:
-                    await anyio.sleep(self.condition.delay_ms / 1000)
-                while self._is_cut(is_back):
+                if self.faults.delay_ms:
+                    await anyio.sleep(self.faults.delay_ms / 1000)
+                while self._is_cut(from_target):
                     await anyio.sleep(POLL_S)
-                if is_back and self.condition.extra:
-                    data += self.condition.extra
-                    self.condition.extra = b""
+                if from_target and self.faults.extra_bytes:
+                    data += self.faults.extra_bytes
+                    self.faults.extra_bytes = b""
                 await sink.send(data)
         # When one side closes, both close. A cut delays this until it heals.
-        while self._is_cut(is_back):
+        while self._is_cut(from_target):
             await anyio.sleep(POLL_S)
         scope.cancel()
 
-    def _is_cut(self, is_back: bool) -> bool:
-        condition = self.condition
-        return condition.is_cut_back if is_back else condition.is_cut_there
+    def _is_cut(self, from_target: bool) -> bool:
+        faults = self.faults
+        return (
+            faults.is_cut_from_target
+            if from_target
+            else faults.is_cut_to_target
+        )
--- a/lab/soak/records.py
+++ b/lab/soak/records.py
@@ -5,7 +5,7 @@
 import attrs
 
 
-class Kind(enum.Enum):
+class RequestKind(enum.Enum):
     """The kinds of requests; the values are the names of their routes."""
 
     CALL = "call"
@@ -28,13 +28,13 @@
         ended_ms: When the response or the connection ended.
         status: The HTTP status of the response; 0 without a response.
         is_signed: Whether the response has an engine's signature.
-        answer: The received bytes of the response body.
+        response: The received bytes of the response body.
         is_complete: Whether the response was complete in terms of HTTP.
-        has_left: Whether the caller disconnected before the end.
+        has_disconnected: Whether the caller disconnected before the end.
     """
 
     id: str
-    kind: Kind
+    kind: RequestKind
     account: str
     is_allowed: bool
     gateway: int
@@ -43,9 +43,9 @@
     ended_ms: int = 0
     status: int = 0
     is_signed: bool = False
-    answer: bytes = b""
+    response: bytes = b""
     is_complete: bool = False
-    has_left: bool = False
+    has_disconnected: bool = False
 
 
 @attrs.define
@@ -63,7 +63,7 @@
         first_event: The number of its first event.
         started_ms: When it started.
         ended_ms: When it ended; 0 while it runs.
-        is_cut_off: Whether the proxy of the engine applied a fault during it.
+        was_unreachable: Whether the engine's proxy had a fault meanwhile.
     """
 
     id: str
@@ -76,7 +76,7 @@
     first_event: int
     started_ms: int
     ended_ms: int = 0
-    is_cut_off: bool = False
+    was_unreachable: bool = False
 
 
 @attrs.define
@@ -86,20 +86,20 @@
     Attributes:
         attempts: The attempts of callers.
         runs: The runs at engines, without requests that engines refused.
-        calm_from_ms: When the last fault ended.
-        sound_from_ms: When all requests must be served again.
-        ended: Gateways that exited unexpectedly, with their exit status.
-        overdue: Gateways that still ran after their grace period.
+        faults_ended_ms: When the last fault ended.
+        recovered_from_ms: When all requests must be served again.
+        unexpected_exits: Gateways that exited unexpectedly, with status.
+        overdue_gateways: Gateways that still ran after their grace period.
         peak_mb: The highest memory peak of any gateway.
         faults: The steps of the injected faults, as text.
     """
 
     attempts: list[Attempt] = attrs.field(factory=list)
     runs: list[Run] = attrs.field(factory=list)
-    calm_from_ms: int = 0
-    sound_from_ms: int = 0
-    ended: list[str] = attrs.field(factory=list)
-    overdue: list[str] = attrs.field(factory=list)
+    faults_ended_ms: int = 0
+    recovered_from_ms: int = 0
+    unexpected_exits: list[str] = attrs.field(factory=list)
+    overdue_gateways: list[str] = attrs.field(factory=list)
     peak_mb: float = 0.0
     faults: list[str] = attrs.field(factory=list)
 
@@ -109,6 +109,6 @@
     return b"id: %d\ndata: %s/%d\n\n" % (number, request_id.encode(), number)
 
 
-def whole_answer(request_id: str, body: bytes) -> bytes:
+def full_response(request_id: str, body: bytes) -> bytes:
     """Returns the full response to a request that is not streamed."""
     return b"%s of %d bytes" % (request_id.encode(), len(body))
--- a/lab/soak/world.py
+++ b/lab/soak/world.py
@@ -11,9 +11,9 @@
 import attrs
 
 from lab.processes import Processes, free_address, free_ports
-from lab.soak.engines import Fabric, SoakEngine
+from lab.soak.engines import EngineContext, SoakEngine
 from lab.soak.proxy import LoopbackProxy
-from lab.soak.records import Journal, Kind
+from lab.soak.records import Journal, RequestKind
 from lab.standins import platformfiles
 from lab.standins.platformstore import PlatformStoreServer
 from rhubarbwinch.shared.clock import Clock, SystemClock
@@ -22,10 +22,10 @@
 PORTS = 16
 GRACE_S = 8
 # The tolerance for the exit of a gateway after its grace period.
-SLACK_S = 2.0
+EXIT_TOLERANCE_S = 2.0
 # Before the interpreter runs the first line of the program, signals have their
 # default effect. On a busy machine, the interpreter starts within this time.
-INTERPRETER_MS = 1_000
+INTERPRETER_START_MS = 1_000
 POLL_S = 0.02
 ENGINE_SERVICE, PLAIN_SERVICE = "engines", "plain"
 
@@ -39,11 +39,11 @@
         ip: Its IP address.
         store: The proxy between the gateway and the store.
         front: The proxy between callers and the gateway.
-        is_asked_to_end: Whether it was sent SIGTERM or SIGKILL.
+        is_told_to_stop: Whether it was sent SIGTERM or SIGKILL.
         is_killed: Whether it was sent SIGKILL.
         was_starting: Whether it got SIGTERM before it listened.
         started_ms: When its process was started.
-        is_coming_back: Whether a fault is about to restart it.
+        is_restarting: Whether a fault is about to restart it.
         was_paused: Whether it was sent SIGSTOP since its start.
     """
 
@@ -51,11 +51,11 @@
     ip: str
     store: LoopbackProxy
     front: LoopbackProxy
-    is_asked_to_end: bool = False
+    is_told_to_stop: bool = False
     is_killed: bool = False
     was_starting: bool = False
     started_ms: int = 0
-    is_coming_back: bool = False
+    is_restarting: bool = False
     was_paused: bool = False
 
 
@@ -86,32 +86,34 @@
         self._folder = folder
         self._options = options
         self._first_port = free_ports(PORTS)
-        self._network = rng.randrange(10, 250), rng.randrange(1, 250)
+        self._ip_bytes = rng.randrange(10, 250), rng.randrange(1, 250)
         self._processes = Processes(folder)
-        self._names = iter(range(1, 1_000_000))
-        fabric = Fabric({}, {}, self.journal, self.clock, rng)
+        self._engine_numbers = iter(range(1, 1_000_000))
+        context = EngineContext({}, {}, self.journal, self.clock, rng)
         self.gateways = [self._new_gateway(i + 1) for i in range(gateways)]
         self.engines = [
-            self._new_engine(service, fabric)
+            self._new_engine(service, context)
             for service in (ENGINE_SERVICE, PLAIN_SERVICE)
             for _ in range(engines)
         ]
 
     def _new_gateway(self, number: int) -> Gateway:
-        high, low = self._network
+        high, low = self._ip_bytes
         ip = f"127.{high}.{low}.{number}"
         store = LoopbackProxy(free_address(), self.store.address)
         front = LoopbackProxy(free_address(), f"{ip}:{self._first_port}")
         return Gateway(f"g{number}", ip, store, front)
 
-    def _new_engine(self, service: str, fabric: Fabric) -> SoakEngine:
+    def _new_engine(self, service: str, context: EngineContext) -> SoakEngine:
         address = free_address()
         proxy = LoopbackProxy(free_address(), address)
-        return SoakEngine(self.new_id(), address, service, proxy, fabric)
+        return SoakEngine(
+            self.new_engine_id(), address, service, proxy, context
+        )
 
-    def new_id(self) -> str:
+    def new_engine_id(self) -> str:
         """Returns a new id for an engine."""
-        return f"i-{next(self._names)}"
+        return f"i-{next(self._engine_numbers)}"
 
     @property
     def proxies(self) -> Iterator[LoopbackProxy]:
@@ -140,21 +142,23 @@
         for engine in self.engines:
             tasks.start_soon(engine.run)
         await anyio.wait_all_tasks_blocked()
-        await self.configure()
+        await self.publish_configuration()
         for engine in self.engines:
-            await self.announce(engine)
+            await self.register_engine(engine)
         for gateway in self.gateways:
             self.start_gateway(gateway)
 
-    async def configure(self) -> None:
+    async def publish_configuration(self) -> None:
         """Writes the configuration that `version` and `keys` describe."""
         routes = [
-            platformfiles.route(Kind.CALL.value, PLAIN_SERVICE, "idempotent"),
             platformfiles.route(
-                Kind.ONCE.value, PLAIN_SERVICE, "non_idempotent"
+                RequestKind.CALL.value, PLAIN_SERVICE, "idempotent"
+            ),
+            platformfiles.route(
+                RequestKind.ONCE.value, PLAIN_SERVICE, "non_idempotent"
             ),
             platformfiles.route(
-                Kind.DRAFT.value,
+                RequestKind.DRAFT.value,
                 ENGINE_SERVICE,
                 "stream",
                 target_gap_ms=180,
@@ -175,30 +179,32 @@
         text = platformfiles.config(self.version, routes, services, keys)
         await self.store.put(platformfiles.CONFIG_KEY, text)
 
-    async def announce(self, engine: SoakEngine, state: str = "ready") -> None:
+    async def register_engine(
+        self, engine: SoakEngine, state: str = "ready"
+    ) -> None:
         """Writes an engine's entry to the store."""
         key = platformfiles.ENDPOINT_PREFIX + engine.name
         await self.store.put(key, engine.registration(state))
 
-    async def withdraw(self, engine: SoakEngine) -> None:
+    async def deregister_engine(self, engine: SoakEngine) -> None:
         """Removes an engine's entry from the store."""
         await self.store.remove(platformfiles.ENDPOINT_PREFIX + engine.name)
 
-    async def replace(self, engine: SoakEngine) -> None:
+    async def replace_engine(self, engine: SoakEngine) -> None:
         """Starts a new incarnation of an engine at the same address."""
-        await self.withdraw(engine)
-        engine.name = self.new_id()
+        await self.deregister_engine(engine)
+        engine.name = self.new_engine_id()
         engine.proxy.heal()
-        await self.announce(engine)
+        await self.register_engine(engine)
 
     def start_gateway(self, gateway: Gateway) -> None:
         """Starts a gateway's process."""
         self.write_settings(gateway)
-        gateway.is_asked_to_end = gateway.is_killed = False
+        gateway.is_told_to_stop = gateway.is_killed = False
         gateway.was_paused = gateway.was_starting = False
         gateway.started_ms = self.clock.now()
         path = self._settings_path(gateway)
-        self.note(f"start of {gateway.name}")
+        self.record_step(f"start of {gateway.name}")
         self._processes.start(
             gateway.name,
             "rhubarbwinch gateway",
@@ -228,77 +234,81 @@
         )
         self._settings_path(gateway).write_text(text)
 
-    def note(self, what: str) -> None:
+    def record_step(self, step: str) -> None:
         """Records a step of a fault."""
-        self.journal.faults.append(f"{self.clock.now()} {what}")
+        self.journal.faults.append(f"{self.clock.now()} {step}")
 
     def signal(self, gateway: Gateway, number: signal.Signals) -> None:
         """Sends a signal to a gateway if it is running."""
         if self._processes.status(gateway.name) is not None:
             return
         age_ms = self.clock.now() - gateway.started_ms
-        if number is signal.SIGHUP and age_ms < INTERPRETER_MS:
+        if number is signal.SIGHUP and age_ms < INTERPRETER_START_MS:
             return
         if number in (signal.SIGTERM, signal.SIGKILL):
-            gateway.is_asked_to_end = True
-        if number is signal.SIGTERM and not self._listens(gateway):
+            gateway.is_told_to_stop = True
+        if number is signal.SIGTERM and not self._is_listening(gateway):
             gateway.was_starting = True
         gateway.is_killed |= number is signal.SIGKILL
         gateway.was_paused |= number is signal.SIGSTOP
-        self._note_memory(gateway)
-        self.note(f"{number.name} to {gateway.name}")
+        self._record_memory(gateway)
+        self.record_step(f"{number.name} to {gateway.name}")
         self._processes.signal(gateway.name, number)
 
-    def _listens(self, gateway: Gateway) -> bool:
+    def _is_listening(self, gateway: Gateway) -> bool:
         with socket.socket() as probe:
             return not probe.connect_ex((gateway.ip, self._first_port))
 
-    async def bring_back(self, gateway: Gateway, pause_s: float) -> None:
+    async def restart_after_exit(
+        self, gateway: Gateway, pause_s: float
+    ) -> None:
         """Restarts a gateway that was told to stop, after its exit."""
-        if gateway.is_coming_back or not gateway.is_asked_to_end:
+        if gateway.is_restarting or not gateway.is_told_to_stop:
             # Another fault has restarted this gateway or is about to.
             return
-        gateway.is_coming_back = True
+        gateway.is_restarting = True
         try:
-            await self._await_end(gateway)
+            await self._wait_for_exit(gateway)
             await anyio.sleep(pause_s)
             self.start_gateway(gateway)
         finally:
-            gateway.is_coming_back = False
+            gateway.is_restarting = False
 
-    async def _await_end(self, gateway: Gateway) -> None:
-        with anyio.move_on_after(GRACE_S + SLACK_S) as scope:
+    async def _wait_for_exit(self, gateway: Gateway) -> None:
+        with anyio.move_on_after(GRACE_S + EXIT_TOLERANCE_S) as scope:
             while self._processes.status(gateway.name) is None:
                 await anyio.sleep(POLL_S)
         if scope.cancelled_caught:
             if not gateway.was_paused:
-                self.journal.overdue.append(gateway.name)
+                self.journal.overdue_gateways.append(gateway.name)
             gateway.is_killed = True
             self._processes.signal(gateway.name, signal.SIGKILL)
-        self._note_end(gateway)
+        self._record_exit(gateway)
 
-    def _note_end(self, gateway: Gateway) -> None:
+    def _record_exit(self, gateway: Gateway) -> None:
         status = self._processes.status(gateway.name)
-        wanted = {0, -signal.SIGKILL} if gateway.is_killed else {0}
+        expected = {0, -signal.SIGKILL} if gateway.is_killed else {0}
         if gateway.was_starting:
             # Without its signal handlers, the program ends by the signal.
-            wanted.add(-signal.SIGTERM)
-        if status is not None and status not in wanted:
-            self.journal.ended.append(f"{gateway.name}: status {status}")
+            expected.add(-signal.SIGTERM)
+        if status is not None and status not in expected:
+            self.journal.unexpected_exits.append(
+                f"{gateway.name}: status {status}"
+            )
 
     def check_processes(self) -> None:
         """Records and restarts gateways that exited unexpectedly."""
         for gateway in self.gateways:
-            self._note_memory(gateway)
-            if gateway.is_coming_back or gateway.is_asked_to_end:
+            self._record_memory(gateway)
+            if gateway.is_restarting or gateway.is_told_to_stop:
                 continue
             status = self._processes.status(gateway.name)
             if status is not None:
                 line = f"{gateway.name} exited unexpectedly: status {status}"
-                self.journal.ended.append(line)
+                self.journal.unexpected_exits.append(line)
                 self.start_gateway(gateway)
 
-    def _note_memory(self, gateway: Gateway) -> None:
+    def _record_memory(self, gateway: Gateway) -> None:
         peak = self._processes.peak_mb(gateway.name)
         self.journal.peak_mb = max(self.journal.peak_mb, peak)
 
--- a/tests/soak/test_check.py
+++ b/tests/soak/test_check.py
@@ -2,16 +2,23 @@
 
 import unittest
 
-from lab.soak.check import CHECKS, broken_promises
-from lab.soak.records import Attempt, Journal, Kind, Run, event, whole_answer
-
-
-def attempt(request_id="q1", kind=Kind.CALL, **fields):
+from lab.soak.check import CHECKS, find_violations
+from lab.soak.records import (
+    Attempt,
+    Journal,
+    RequestKind,
+    Run,
+    event,
+    full_response,
+)
+
+
+def attempt(request_id="q1", kind=RequestKind.CALL, **fields):
     """Returns an attempt that succeeded."""
-    body = b"3" if kind is Kind.DRAFT else b"body"
-    answer = whole_answer(request_id, body)
-    if kind is Kind.DRAFT:
-        answer = b"".join(event(request_id, n) for n in (1, 2, 3))
+    body = b"3" if kind is RequestKind.DRAFT else b"body"
+    response = full_response(request_id, body)
+    if kind is RequestKind.DRAFT:
+        response = b"".join(event(request_id, n) for n in (1, 2, 3))
     base = {
         "account": "a",
         "is_allowed": True,
@@ -21,7 +28,7 @@
         "ended_ms": 1_100,
         "status": 200,
         "is_signed": True,
-        "answer": answer,
+        "response": response,
         "is_complete": True,
     }
     return Attempt(request_id, kind, **(base | fields))
@@ -45,21 +52,21 @@
 class CheckTest(unittest.TestCase):
     """The violations that are found in records of one or a few requests."""
 
-    def broken(self, attempts, runs, **fields):
+    def failed_checks(self, attempts, runs, **fields):
         """Returns the names of the checks that fail for these records."""
         journal = Journal(attempts, runs, **fields)
-        found = broken_promises(journal, with_times=True)
+        found = find_violations(journal, with_times=True)
         return {line.partition(":")[0] for line in found}
 
-    def test_a_request_that_was_served_breaks_nothing(self):
-        for kind in Kind:
+    def test_records_of_a_served_request_pass(self):
+        for kind in RequestKind:
             with self.subTest(kind=kind):
-                found = self.broken(
+                found = self.failed_checks(
                     [attempt(kind=kind)], [run(kind=kind.value)]
                 )
                 self.assertEqual(found, set())
 
-    def test_work_that_nobody_asked_for(self):
+    def test_a_run_without_a_matching_request_is_reported(self):
         wrong = (
             run("q9"),
             run(account="b"),
@@ -67,88 +74,97 @@
             run(body=b"other"),
             run(kind="once"),
         )
-        for work in wrong:
-            with self.subTest(work=work):
-                self.assertEqual(self.broken([attempt()], [work]), {"asked"})
-        stranger = attempt(is_allowed=False, status=401)
+        for wrong_run in wrong:
+            with self.subTest(wrong_run=wrong_run):
+                self.assertEqual(
+                    self.failed_checks([attempt()], [wrong_run]), {"asked"}
+                )
+        invalid = attempt(is_allowed=False, status=401)
         self.assertEqual(
-            self.broken([stranger], [run()]) - {"recovery"}, {"asked"}
+            self.failed_checks([invalid], [run()]) - {"recovery"}, {"asked"}
         )
 
-    def test_what_may_not_be_repeated_runs_again(self):
-        once = attempt(kind=Kind.ONCE)
+    def test_a_repeated_non_idempotent_run_is_reported(self):
+        once = attempt(kind=RequestKind.ONCE)
         twice = [run(kind="once"), run(kind="once", engine="i-2")]
-        self.assertEqual(self.broken([once], twice), {"once"})
+        self.assertEqual(self.failed_checks([once], twice), {"once"})
 
-    def test_a_stream_that_goes_on_while_it_still_runs(self):
+    def test_a_stream_that_resumes_while_it_still_runs_is_reported(self):
         runs = [
             run(kind="draft", ended_ms=2_000),
             run(kind="draft", is_resumed=True, started_ms=1_500),
         ]
-        draft = [attempt(kind=Kind.DRAFT)]
-        self.assertEqual(self.broken(draft, runs), {"one at a time"})
-        runs[0].is_cut_off = True
-        self.assertEqual(self.broken(draft, runs), set())
-
-    def test_a_refusal_of_what_has_run(self):
-        refused = attempt(kind=Kind.ONCE, status=503, sent_ms=0)
-        found = self.broken(
-            [refused, attempt("q2")], [run(kind="once")], sound_from_ms=500
+        draft = [attempt(kind=RequestKind.DRAFT)]
+        self.assertEqual(self.failed_checks(draft, runs), {"one at a time"})
+        runs[0].was_unreachable = True
+        self.assertEqual(self.failed_checks(draft, runs), set())
+
+    def test_a_not_run_status_for_a_request_that_ran_is_reported(self):
+        refused = attempt(kind=RequestKind.ONCE, status=503, sent_ms=0)
+        found = self.failed_checks(
+            [refused, attempt("q2")], [run(kind="once")], recovered_from_ms=500
         )
         self.assertEqual(found, {"true refusals"})
 
-    def test_a_success_that_is_not_the_whole_answer_to_the_request(self):
-        for fields in ({"is_signed": False}, {"answer": b"q2 of 4 bytes"}):
+    def test_a_success_without_the_full_response_is_reported(self):
+        for fields in ({"is_signed": False}, {"response": b"q2 of 4 bytes"}):
             with self.subTest(fields=fields):
-                found = self.broken([attempt(**fields)], [run()])
+                found = self.failed_checks([attempt(**fields)], [run()])
                 self.assertEqual(found, {"own answer"})
 
-    def test_events_that_are_missing_or_come_twice(self):
+    def test_missing_or_duplicated_events_are_reported(self):
         one, two, three = (event("q1", n) for n in (1, 2, 3))
-        for answer in (one + three, one + one, one + two, event("q2", 1)):
-            with self.subTest(answer=answer):
-                draft = attempt(kind=Kind.DRAFT, answer=answer)
-                found = self.broken([draft], [run(kind="draft")])
+        for response in (one + three, one + one, one + two, event("q2", 1)):
+            with self.subTest(response=response):
+                draft = attempt(kind=RequestKind.DRAFT, response=response)
+                found = self.failed_checks([draft], [run(kind="draft")])
                 self.assertEqual(found, {"order"})
 
-    def test_more_repeats_than_the_budget_allows(self):
+    def test_retries_beyond_the_budget_are_reported(self):
         attempts = [attempt(f"q{i}") for i in range(10)]
         runs = [run(f"q{i % 10}") for i in range(10 + 2 + 56 + 1)]
-        self.assertEqual(self.broken(attempts, runs), {"budget"})
-        self.assertEqual(self.broken(attempts, runs[1:]), set())
+        self.assertEqual(self.failed_checks(attempts, runs), {"budget"})
+        self.assertEqual(self.failed_checks(attempts, runs[1:]), set())
 
-    def test_work_for_a_caller_who_has_left(self):
-        left = attempt(has_left=True, is_complete=False, ended_ms=1_050)
-        found = self.broken(
-            [left, attempt("q2")], [run(ended_ms=2_100), run("q2")]
+    def test_a_run_long_after_its_caller_disconnected_is_reported(self):
+        disconnected = attempt(
+            has_disconnected=True, is_complete=False, ended_ms=1_050
+        )
+        found = self.failed_checks(
+            [disconnected, attempt("q2")], [run(ended_ms=2_100), run("q2")]
         )
         self.assertEqual(found, {"gone"})
 
-    def test_requests_that_fail_after_all_faults(self):
+    def test_failures_after_recovery_are_reported(self):
         failed = attempt(status=502)
-        self.assertEqual(self.broken([failed], []), {"recovery"})
+        self.assertEqual(self.failed_checks([failed], []), {"recovery"})
         early = attempt(status=502, sent_ms=100)
-        found = self.broken(
-            [early, attempt("q2")], [run("q2")], sound_from_ms=500
+        found = self.failed_checks(
+            [early, attempt("q2")], [run("q2")], recovered_from_ms=500
         )
         self.assertEqual(found, set())
 
-    def test_a_strange_key_that_is_not_refused(self):
-        stranger = attempt(is_allowed=False, status=503)
-        found = self.broken([stranger, attempt("q2")], [run("q2")])
+    def test_an_invalid_key_without_a_401_is_reported(self):
+        invalid = attempt(is_allowed=False, status=503)
+        found = self.failed_checks([invalid, attempt("q2")], [run("q2")])
         self.assertEqual(found, {"keys"})
 
-    def test_a_process_that_ends_or_takes_too_much_memory(self):
-        for fields in ({"ended": ["g1: status 1"]}, {"peak_mb": 300.0}):
+    def test_an_unexpected_exit_or_too_much_memory_is_reported(self):
+        for fields in (
+            {"unexpected_exits": ["g1: status 1"]},
+            {"peak_mb": 300.0},
+        ):
             with self.subTest(fields=fields):
-                found = self.broken([attempt()], [run()], **fields)
+                found = self.failed_checks([attempt()], [run()], **fields)
                 self.assertEqual(found, {"processes"})
 
-    def test_a_gateway_that_outlives_its_grace(self):
-        found = self.broken([attempt()], [run()], overdue=["g1"])
+    def test_a_gateway_that_exceeds_its_grace_period_is_reported(self):
+        found = self.failed_checks(
+            [attempt()], [run()], overdue_gateways=["g1"]
+        )
         self.assertEqual(found, {"grace"})
 
-    def test_each_check_is_broken_above(self):
+    def test_each_check_has_a_test_above(self):
         names = {
             "asked",
             "budget",
--- a/tests/soak/test_proxy.py
+++ b/tests/soak/test_proxy.py
@@ -51,23 +51,23 @@
     """Connections through the proxy to an echo server."""
 
     @asynchronous
-    async def test_what_is_sound_passes_both_ways(self):
+    async def test_data_passes_both_ways_without_faults(self):
         async with echo_behind_proxy() as (_, stream):
             await stream.send(b"abc")
             self.assertEqual(await stream.receive(), b"abc")
 
     @asynchronous
-    async def test_a_cut_either_way_is_silent_until_it_heals(self):
-        for side in ("is_cut_there", "is_cut_back"):
+    async def test_a_cut_direction_holds_data_back_until_it_heals(self):
+        for side in ("is_cut_to_target", "is_cut_from_target"):
             async with echo_behind_proxy() as (proxy, stream):
-                setattr(proxy.condition, side, True)
+                setattr(proxy.faults, side, True)
                 await stream.send(b"abc")
                 self.assertTrue(await is_silent(stream))
                 proxy.heal()
                 self.assertEqual(await stream.receive(), b"abc")
 
     @asynchronous
-    async def test_a_reset_ends_what_is_open_and_nothing_else(self):
+    async def test_a_reset_closes_only_open_connections(self):
         async with echo_behind_proxy() as (proxy, stream):
             await stream.send(b"abc")
             await stream.receive()
@@ -82,12 +82,12 @@
                 self.assertEqual(await other.receive(), b"def")
 
     @asynchronous
-    async def test_a_reset_passes_over_a_side_that_has_closed(self):
+    async def test_a_reset_skips_a_side_that_is_already_closed(self):
         async with echo_behind_proxy() as (proxy, stream):
             await stream.send(b"abc")
             await stream.receive()
             # The caller's side is closed, but the proxy has not noticed yet.
-            for streams in proxy._open.values():
+            for streams in proxy._connections.values():
                 await streams[0].aclose()
             proxy.reset()
             with self.assertRaises(
@@ -96,9 +96,9 @@
                 await stream.receive()
 
     @asynchronous
-    async def test_extra_bytes_follow_the_next_that_come_back(self):
+    async def test_extra_bytes_follow_the_next_chunk_from_the_target(self):
         async with echo_behind_proxy() as (proxy, stream):
-            proxy.condition.extra = b"stray"
+            proxy.faults.extra_bytes = b"stray"
             await stream.send(b"abc")
             self.assertEqual(await stream.receive(), b"abcstray")
-            self.assertTrue(proxy.is_sound)
+            self.assertTrue(proxy.is_healthy)
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -5,8 +5,8 @@
 import unittest
 
 from lab.soak.__main__ import regression_seeds
-from lab.soak.check import broken_promises
-from lab.soak.run import Size, play
+from lab.soak.check import find_violations
+from lab.soak.run import Size, run_seed
 from tests.helpers import asynchronous
 
 SIZE = Size(faults_s=4.0, gateways=3, engines=2, callers=8)
@@ -16,9 +16,9 @@
     """The guarantees that do not depend on timing."""
 
     @asynchronous
-    async def test_a_short_run_breaks_no_promise(self):
+    async def test_a_short_run_violates_no_guarantee(self):
         seed = regression_seeds()[0]
         with tempfile.TemporaryDirectory() as folder:
-            journal = await play(seed, pathlib.Path(folder), SIZE)
-        self.assertEqual(broken_promises(journal, with_times=False), [])
+            journal = await run_seed(seed, pathlib.Path(folder), SIZE)
+        self.assertEqual(find_violations(journal, with_times=False), [])
         self.assertTrue(any(a.status == 200 for a in journal.attempts))
