--- a/lab/seeded/__init__.py
+++ b/lab/seeded/__init__.py
@@ -1,1 +1,1 @@
-"""A seeded run of faults, together and twice, against all that must hold."""
+"""Seeded fault-injection runs of entries and brokers in one process."""
--- a/lab/seeded/__main__.py
+++ b/lab/seeded/__main__.py
@@ -1,7 +1,7 @@
-"""Runs seeds of all faults at once: `python -m lab.seeded --seeds 1-20`.
+"""Runs seeded fault-injection runs: `python -m lab.seeded --seeds 1-20`.
 
-For each seed that breaks a promise, prints what broke and the command that
-shows it again. The exit status is 1 if there was any.
+For each seed with violated guarantees, prints them and the command that repeats
+the run. The exit status is 1 if any seed had a violation.
 """
 
 import argparse
@@ -13,7 +13,7 @@
 
 
 def parse_seeds(text: str) -> list[int]:
-    """Returns the seeds in `3,7,10-20`."""
+    """Parses a list of seeds and ranges such as `3,7,10-20`."""
     found: list[int] = []
     for part in text.split(","):
         first, _, last = part.partition("-")
@@ -22,7 +22,7 @@
 
 
 def describe(report: Report) -> str:
-    """Returns a report as text."""
+    """Formats a report as text."""
     lines = [
         f"seed {report.seed}: {report.requests} requests, "
         f"{report.settled} settled, {report.injected} faults"
--- a/lab/seeded/callers.py
+++ b/lab/seeded/callers.py
@@ -1,4 +1,4 @@
-"""Callers that try again as the documentation tells them to."""
+"""Callers that retry and resume as documented for clients."""
 
 import uuid
 from typing import Any
@@ -17,15 +17,16 @@
 
 
 class Call:
-    """One attempt's connection to an entry, as an ASGI server would hold it.
+    """An attempt's connection to an entry, in the role of the ASGI server.
 
     Args:
-        attempt: Where what comes is noted.
-        headers: The request's headers.
+        attempt: The response is recorded here.
+        headers: The request headers.
         method: The HTTP method.
-        path: The path.
-        body: The body.
-        hang_up_after: The event after which the caller goes away, or None.
+        path: The request path.
+        body: The request body.
+        hang_up_after: The number of events after which the caller
+            disconnects, or None.
     """
 
     def __init__(
@@ -53,10 +54,10 @@
         self._is_stream = False
 
     async def run(self, program: Program) -> None:
-        """Makes the attempt; the entry's death cuts it."""
+        """Makes the attempt; a kill of the entry cuts it off."""
         daemon = program.daemon
         if not isinstance(daemon, Entry):
-            raise TypeError("callers call entries")
+            raise TypeError("callers can only call entries, not brokers")
         if not program.dead:
             await program.within(
                 lambda: daemon.app(self._scope, self._receive, self._send)
@@ -103,12 +104,12 @@
 
 
 class Caller:
-    """One request and all its attempts.
+    """A caller with one request, which it retries until settled.
 
     Args:
-        world: The world to call.
-        number: The request's number.
-        kind: What is asked for.
+        world: The deployment to call.
+        number: The number of the request.
+        kind: The kind of the request.
     """
 
     def __init__(self, world: World, number: int, kind: Kind) -> None:
@@ -121,7 +122,7 @@
             self._key = _uuid7(world)
 
     async def run(self) -> Attempt:
-        """Makes attempts until the request is settled; returns the last."""
+        """Retries until the request is settled; returns the last attempt."""
         for _ in range(MAX_ATTEMPTS):
             attempt = await self._attempt()
             if self._is_settled(attempt):
@@ -131,7 +132,7 @@
 
     @property
     def _last_event_id(self) -> str:
-        """The id of the last event of any attempt, or empty."""
+        """The id of the last event that any attempt received, or empty."""
         for attempt in reversed(self._world.journal.attempts):
             if attempt.request == self._number and attempt.events:
                 head = attempt.events[-1].split(b"\n", 1)[0].decode()
@@ -169,12 +170,12 @@
 
     def _is_settled(self, attempt: Attempt) -> bool:
         if DONE in attempt.events:
-            # A caller that went away with the last event has all of them.
+            # A caller that disconnected after the last event has all events.
             return True
         if attempt.end is End.ANSWERED:
             return self._kind is not Kind.STREAM
         if self._kind is Kind.STREAM and self._last_event_id:
-            # Its tokens may still be had, unless the engine has lost them.
+            # The stream can be resumed unless the engine lost its tokens.
             return attempt.end is End.REFUSED and attempt.verdict != "not-run"
         if self._kind is Kind.BOOKING:
             return attempt.verdict == "may-have-run"
@@ -182,6 +183,6 @@
 
 
 def _uuid7(world: World) -> str:
-    """Returns a UUIDv7 of the present time."""
+    """Returns a UUIDv7 for the current time of the clock."""
     value = world.clock.wall() << 80 | 0x7 << 76 | 0b10 << 62
     return str(uuid.UUID(int=value | world.rng.getrandbits(60)))
--- a/lab/seeded/check.py
+++ b/lab/seeded/check.py
@@ -1,4 +1,4 @@
-"""The checker: reads a journal and names everything that must not be."""
+"""Checks the journal of a seeded run against the guarantees to callers."""
 
 from collections import Counter, defaultdict
 
@@ -9,7 +9,7 @@
 
 
 def faults_of(journal: Journal) -> list[str]:
-    """Returns a line for each promise that was broken; none is good."""
+    """Returns a line per violated guarantee; an empty list if all hold."""
     return [
         *_check_streams(journal),
         *_check_refusals(journal),
@@ -19,7 +19,10 @@
 
 
 def _check_streams(journal: Journal) -> list[str]:
-    """Each token once, in order, of one generation; a whole answer is whole."""
+    """A request gets each token of one generation once and in order.
+
+    A stream that ended has all tokens.
+    """
     found = []
     by_request: dict[int, list[Attempt]] = defaultdict(list)
     for attempt in journal.attempts:
@@ -32,12 +35,12 @@
         tokens = [event for event in events if event.startswith(b"id:")]
         names = [_generation_and_index(event) for event in tokens]
         if len({name for name, _ in names}) > 1:
-            found.append(f"request {request}: two generations")
+            found.append(f"request {request}: tokens of two generations")
         if [index for _, index in names] != list(range(len(names))):
             found.append(f"request {request}: tokens {names}")
         wanted = lengths.get(names[0][0]) if names else 0
         if done and len(tokens) != wanted:
-            found.append(f"request {request}: {len(tokens)} of {wanted}")
+            found.append(f"request {request}: {len(tokens)} of {wanted} tokens")
     return found
 
 
@@ -48,20 +51,20 @@
 
 
 def _check_refusals(journal: Journal) -> list[str]:
-    """What was told not to have run is in no endpoint's log."""
+    """A request whose every verdict is not-run ran at no endpoint."""
     ran = {run.marker for run in journal.runs}
     told = defaultdict(set)
     for attempt in journal.attempts:
         told[attempt.marker].add(attempt.verdict)
     return [
-        f"{marker}: told not-run, but it ran"
+        f"{marker}: verdict not-run, but it ran"
         for marker, verdicts in told.items()
         if verdicts == {"not-run"} and marker in ran
     ]
 
 
 def _check_bookings(journal: Journal) -> list[str]:
-    """A call under a key runs at most once; all are told the same outcome."""
+    """A call with a key runs at most once; its responses show that run."""
     found = []
     runs: dict[str, list[Run]] = defaultdict(list)
     for run in journal.runs:
@@ -76,12 +79,12 @@
         answer = orjson.loads(attempt.body)
         numbers = [run.number for run in runs[attempt.key]]
         if answer["number"] not in numbers or answer["key"] != attempt.key:
-            found.append(f"key {attempt.key}: told {answer}, ran {numbers}")
+            found.append(f"key {attempt.key}: got {answer}, runs {numbers}")
     return found
 
 
 def _check_answers(journal: Journal) -> list[str]:
-    """An answer holds its own request's marker and nothing of another's."""
+    """A response holds the marker of its own request and no other marker."""
     found = []
     for attempt in journal.attempts:
         if attempt.end is not End.ANSWERED or attempt.status != 200:
@@ -89,7 +92,7 @@
         if attempt.kind is Kind.LOOKUP:
             marker = orjson.loads(attempt.body)["marker"]
             if marker != attempt.marker:
-                found.append(f"{attempt.marker}: answer of {marker}")
+                found.append(f"{attempt.marker}: response for {marker}")
         if attempt.kind is Kind.WHOLE:
             found += _check_whole(attempt)
     return found
--- a/lab/seeded/endpoints.py
+++ b/lab/seeded/endpoints.py
@@ -1,4 +1,4 @@
-"""Engines and a plain service without a network, which fail by a seed."""
+"""In-memory engines and plain services that fail at random."""
 
 import random
 from collections.abc import AsyncIterator
@@ -24,7 +24,7 @@
 
 @attrs.define
 class Generation:
-    """A generation at an engine."""
+    """A generation that an engine holds."""
 
     name: str
     marker: str
@@ -33,7 +33,7 @@
     cancelled: bool = False
 
     def event(self, index: int) -> StreamEvent:
-        """Returns the event of a token; its text names the attempt."""
+        """Returns the event of a token; its text contains the marker."""
         finish = '"stop"' if index + 1 == self.length else "null"
         text = f"{self.marker}.{index} "
         data = (
@@ -46,13 +46,13 @@
 
 @attrs.define
 class Endpoint:
-    """An engine or a plain service.
+    """The state of an engine or a plain service.
 
     Attributes:
-        name: Its name.
-        down_until: It refuses connections until then.
-        generations: What it holds in memory; lost when it dies.
-        calls: How many plain calls it has run.
+        name: The name of the endpoint.
+        down_until: Until this time it refuses connections.
+        generations: The generations by id; lost when it is killed.
+        calls: The number of plain calls that it has run.
     """
 
     name: str
@@ -62,12 +62,12 @@
 
 
 class Field:
-    """All endpoints, by address.
+    """All endpoints of a seeded run by address.
 
     Args:
         clock: The source of time.
         rng: Draws faults and lengths.
-        journal: Where runs are noted.
+        journal: Runs are recorded here.
         addresses: The endpoints' names by address.
     """
 
@@ -87,20 +87,20 @@
         }
 
     def kill(self, address: str) -> None:
-        """Makes an endpoint lose all it holds and be down for a while."""
+        """Drops an endpoint's generations and takes it down for DOWN_MS."""
         endpoint = self._endpoints[address]
         endpoint.down_until = self._clock.now() + DOWN_MS
         endpoint.generations.clear()
 
     def draw(self) -> bool:
-        """Tells whether something goes wrong now."""
+        """Returns whether a fault happens now."""
         return self._rng.random() < self.fault_rate
 
     def find(self, address: str) -> Endpoint:
-        """Returns a live endpoint.
+        """Returns an endpoint that is up.
 
         Raises:
-            EndpointError: It is down; nothing was sent.
+            EndpointError: The endpoint is down; nothing was sent.
         """
         endpoint = self._endpoints[address]
         if self._clock.now() < endpoint.down_until:
@@ -126,7 +126,7 @@
     async def read(
         self, endpoint: Endpoint, generation: Generation, index: int
     ) -> EventStream:
-        """Yields a generation's events as they come, with faults."""
+        """Yields the events of a generation as they arrive, with faults."""
         while True:
             await self._clock.sleep(TOKEN_MS)
             held = endpoint.generations.get(generation.name)
@@ -148,7 +148,7 @@
     async def _spoil(
         self, arrived: list[StreamEvent], generation: Generation
     ) -> list[StreamEvent]:
-        """Does one of the things that a stream may do wrong."""
+        """Applies a random fault to the arrived events of a stream."""
         choice = self._rng.randrange(5)
         if choice == 0:
             raise EndpointError("the connection broke", sent=True)
@@ -182,14 +182,14 @@
 
 
 class SeededEndpoints(EndpointClient):
-    """What one program reaches endpoints by; silent once it is dead.
+    """The endpoint client of one program; its calls fail after a kill.
 
     Args:
-        field: The endpoints.
+        field: The endpoints of the run.
     """
 
     def __init__(self, field: Field) -> None:
-        # No connection is made, so the HTTP client is left out.
+        # The base class's HTTP client is not created: there is no network.
         self.dead = False
         self._field = field
 
@@ -204,8 +204,8 @@
         generation: str,
         priority: int,
     ) -> AbstractAsyncContextManager[EventStream]:
-        """Starts a generation; returns a context with its events."""
-        del path, priority  # They change nothing here.
+        """Starts a generation; the returned context yields its events."""
+        del path, priority  # Without effect here.
         return self._start(address, body, generation)
 
     @asynccontextmanager
@@ -220,7 +220,7 @@
     async def resume(
         self, address: str, generation: str, index: int
     ) -> AsyncIterator[EventStream]:
-        """Reads a generation again from an index."""
+        """Resumes reading a generation at a token index."""
         self._check_alive()
         endpoint = self._field.find(address)
         held = endpoint.generations.get(generation)
@@ -229,7 +229,7 @@
         yield self._field.read(endpoint, held, index)
 
     async def cancel(self, address: str, generation: str) -> None:
-        """Ends a generation."""
+        """Cancels a generation; does nothing if the endpoint is down."""
         if self.dead:
             return
         try:
@@ -243,7 +243,7 @@
     async def set_priority(
         self, address: str, generation: str, priority: int
     ) -> None:
-        """Does nothing; priorities change nothing here."""
+        """Does nothing; priorities have no effect here."""
 
     async def call(
         self, method: str, url: str, body: bytes, headers: dict[str, str]
@@ -255,7 +255,7 @@
         return await self._field.run_call(address, method, body, key)
 
     async def read_json(self, url: str) -> Any:
-        """Returns an engine's load."""
+        """Returns the load report of an engine."""
         self._check_alive()
         address = url.removeprefix("http://").partition("/")[0]
         held = self._field.find(address).generations
@@ -271,4 +271,4 @@
 
     def _check_alive(self) -> None:
         if self.dead:
-            raise EndpointError("the process is dead", sent=False)
+            raise EndpointError("the program was killed", sent=False)
--- a/lab/seeded/links.py
+++ b/lab/seeded/links.py
@@ -1,4 +1,4 @@
-"""Links in memory that delay, reorder and lose messages by a seed."""
+"""In-memory links that delay, reorder and lose messages at random."""
 
 import itertools
 import random
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class _Handler:
-    """A message's class and the function that takes it."""
+    """A message class and the function that handles its messages."""
 
     kind: type
     take: Callable[[Any], Awaitable[Any]]
@@ -31,20 +31,20 @@
 
 @attrs.define
 class _Waiting:
-    """A call without an answer."""
+    """A call that waits for its reply."""
 
     done: anyio.Event = attrs.field(factory=anyio.Event)
     answer: Any = None
 
 
 class SeededNetwork:
-    """Carries messages; what it delays overtakes and is overtaken.
+    """Delivers messages with random delays, so that they can be reordered.
 
     Args:
         clock: The source of time.
         rng: Draws delays and losses.
-        tasks: Carries each message in a task of its own, so that a callee
-            goes on after its caller has given up.
+        tasks: Runs a task for each message, so that the callee continues
+            after its caller has timed out.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
         self._nodes: dict[str, SeededLinks] = {}
 
     def add(self, address: str) -> "SeededLinks":
-        """Adds a node; the one that had the address before is cut for good."""
+        """Adds a node; a former node of the address is cut off permanently."""
         old = self._nodes.get(address)
         if old is not None:
             old.is_cut = True
@@ -68,12 +68,12 @@
         return self._nodes[address]
 
     def find(self, address: str) -> "SeededLinks | None":
-        """Returns the node of an address unless it is cut."""
+        """Returns the node of an address; None if absent or cut off."""
         node = self._nodes.get(address)
         return None if node is None or node.is_cut else node
 
     async def travel(self) -> bool:
-        """Waits for a message's way; returns False if it was lost."""
+        """Waits for the delay of a message; returns False if it is lost."""
         wait = self._rng.randint(1, LATENCY_MS)
         if self._rng.random() < DELAY_CHANCE:
             wait = self._rng.randint(LATENCY_MS, DELAYED_MS)
@@ -82,10 +82,10 @@
 
 
 class SeededLinks:
-    """One node: calls others and answers them.
+    """A node that calls other nodes and replies to their calls.
 
     Args:
-        network: Carries its messages.
+        network: Delivers its messages.
     """
 
     def __init__(self, network: SeededNetwork) -> None:
@@ -97,24 +97,24 @@
         self._late: dict[str, _Handler] = {}
 
     def on(self, kind: type[T], answer: Callable[[T], Awaitable[Any]]) -> None:
-        """Sets the function that answers messages of a class."""
+        """Sets the handler for messages of a class."""
         self._handlers[kind.__name__] = _Handler(kind, answer)
 
     def on_late(
         self, kind: type[T], handle: Callable[[T], Awaitable[None]]
     ) -> None:
-        """Sets what is done with answers whose call has been given up."""
+        """Sets the handler for replies whose call has timed out."""
         self._late[kind.__name__] = _Handler(kind, handle)
 
     async def run(self) -> None:
-        """Waits; there are no connections to keep."""
+        """Waits until cancelled; there are no connections to keep."""
         await anyio.sleep_forever()
 
     def forget(self, address: str) -> None:
         """Does nothing; there are no connections."""
 
     async def send(self, address: str, message: Any) -> None:
-        """Sends a message that has no answer."""
+        """Sends a message without waiting for a reply."""
         self._network.tasks.start_soon(
             self._deliver, address, codec.encode(message), type(message), 0
         )
@@ -122,10 +122,10 @@
     async def call(
         self, address: str, message: Any, answer: type[T], timeout_ms: int
     ) -> T:
-        """Sends a message and returns the peer's answer.
+        """Sends a message and returns the peer's reply.
 
         Raises:
-            LinkTimeout: No answer came in time.
+            LinkTimeout: No reply arrived in time.
         """
         number = next(self._numbers)
         waiting = self._waiting[number] = _Waiting()
@@ -138,7 +138,7 @@
         finally:
             del self._waiting[number]
         if waiting.answer is None:
-            raise LinkTimeout(f"{address} gave no answer in {timeout_ms} ms")
+            raise LinkTimeout(f"{address} sent no reply within {timeout_ms} ms")
         return waiting.answer
 
     async def _time_out(self, waiting: _Waiting, timeout_ms: int) -> None:
@@ -148,7 +148,7 @@
     async def _deliver(
         self, address: str, data: bytes, kind: type, number: int
     ) -> None:
-        """Carries a message there and its answer back."""
+        """Delivers a message and, for a call, its reply."""
         if self.is_cut or not await self._network.travel():
             return
         node = self._network.find(address)
--- a/lab/seeded/log.py
+++ b/lab/seeded/log.py
@@ -1,4 +1,4 @@
-"""What callers were told and what endpoints ran: all that the checker reads."""
+"""Records of what callers received and endpoints ran, for the checker."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class Kind(enum.StrEnum):
-    """What a caller asks for."""
+    """The kind of a caller's request."""
 
     STREAM = "stream"
     WHOLE = "whole"
@@ -15,7 +15,7 @@
 
 
 class End(enum.StrEnum):
-    """How an attempt ended for its caller."""
+    """How an attempt ended, as its caller sees it."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -24,19 +24,20 @@
 
 @attrs.define
 class Attempt:
-    """One attempt of a caller at one entry.
+    """One attempt of a caller to send a request to an entry.
 
     Attributes:
-        request: The number of the request; its attempts share it.
-        kind: What was asked for.
-        marker: Stands in the body, so that endpoints' logs name the attempt.
+        request: The number of the request, shared by all its attempts.
+        kind: The kind of the request.
+        marker: A text in the request body that identifies the request in the
+            records of endpoints.
         key: The idempotency key, or empty.
-        entry: The entry that was asked.
-        end: How it ended; None while it runs.
-        status: The HTTP status, 0 if none came.
-        verdict: The verdict that was told, or empty.
-        events: The raw events of a stream, in the order they came.
-        body: The body of an answer that is not a stream.
+        entry: The name of the entry that it was sent to.
+        end: How it ended; None while it is open.
+        status: The HTTP status of the response; 0 without a response.
+        verdict: The verdict in the response, or empty.
+        events: The raw events of a stream in the order received.
+        body: The body of a response that is not a stream.
     """
 
     request: int
@@ -53,13 +54,14 @@
 
 @attrs.frozen
 class Run:
-    """Something that an endpoint ran.
+    """A generation or a plain call that an endpoint ran.
 
     Attributes:
-        endpoint: The endpoint's name.
-        marker: Of the attempt that it came from.
+        endpoint: The name of the endpoint.
+        marker: The marker in the request body.
         key: The idempotency key, or empty.
-        number: The call's number at its endpoint, or the tokens to generate.
+        number: The number of the call at its endpoint, or the number of tokens
+            of the generation.
         generation: The generation id, or empty.
     """
 
@@ -72,7 +74,7 @@
 
 @attrs.define
 class Journal:
-    """The whole log of a run, and the faults for whoever reads it."""
+    """All records of a seeded run; the faults are for diagnosis only."""
 
     attempts: list[Attempt] = attrs.field(factory=list)
     runs: list[Run] = attrs.field(factory=list)
--- a/lab/seeded/run.py
+++ b/lab/seeded/run.py
@@ -1,4 +1,4 @@
-"""One seeded run: callers under faults, then quiet, then the checks."""
+"""One seeded run: callers under faults, recovery, probes and checks."""
 
 import anyio
 import attrs
@@ -24,15 +24,15 @@
 
 @attrs.frozen
 class Report:
-    """What a seed showed.
+    """The result of a seeded run.
 
     Attributes:
         seed: The seed.
-        requests: How many requests callers made.
-        settled: How many of them were answered in the end.
-        injected: How many faults there were.
-        broken: A line for each promise that was broken.
-        faults: The faults, with their times.
+        requests: The number of requests that callers sent.
+        settled: The number of requests whose last attempt was answered.
+        injected: The number of injected faults.
+        broken: A line for each violated guarantee.
+        faults: The faults with their times.
     """
 
     seed: int
@@ -44,10 +44,10 @@
 
 
 class Injector:
-    """Draws faults and takes them back.
+    """Injects random faults, each of which ends by itself.
 
     Args:
-        world: The world to disturb.
+        world: The deployment to inject faults into.
     """
 
     def __init__(self, world: World) -> None:
@@ -55,7 +55,7 @@
         self.active = True
 
     async def run(self) -> None:
-        """Injects faults, now and then two at once, until told to stop."""
+        """Injects faults, sometimes two at a time, while `active` is set."""
         world = self._world
         async with anyio.create_task_group() as tasks:
             while True:
@@ -73,7 +73,7 @@
 
 
 def _pick(world: World, programs: dict[str, Program]) -> str | None:
-    """Returns the name of a live program, but never the last one."""
+    """Returns a random live program's name; None if only one is left."""
     alive = sorted(name for name, p in programs.items() if not p.dead)
     return world.rng.choice(alive) if len(alive) > 1 else None
 
@@ -133,7 +133,7 @@
 
 
 async def run_seed(seed: int) -> Report:
-    """Runs a seed and checks what came of it."""
+    """Runs a seed and checks its records."""
     async with anyio.create_task_group() as tasks:
         world = World(seed, tasks)
         await world.publish()
@@ -174,7 +174,7 @@
 async def _call_all(
     world: World, tasks: anyio.abc.TaskGroup, last: list[Attempt]
 ) -> None:
-    """Lets all callers come and waits until each has finished."""
+    """Starts all callers and waits until they have finished."""
 
     async def call(number: int) -> None:
         kind = world.rng.choice(KINDS)
@@ -189,7 +189,7 @@
 
 
 async def _probe(world: World, tasks: anyio.abc.TaskGroup) -> list[str]:
-    """Requests after the faults must all succeed at once."""
+    """Checks that requests after the faults all succeed without a retry."""
     found: list[Attempt] = []
 
     async def call(number: int) -> None:
@@ -206,7 +206,7 @@
         if a.end is not End.ANSWERED and DONE not in a.events
     ]
     if len(found) < PROBES:
-        broken.append(f"{PROBES - len(found)} probes without an answer")
+        broken.append(f"{PROBES - len(found)} probes without a response")
         broken += [
             f"  {a.kind} at {a.entry}: {a.end} {a.status} {a.verdict} "
             f"{len(a.events)} events {a.body.decode()}"
--- a/lab/seeded/world.py
+++ b/lab/seeded/world.py
@@ -1,4 +1,4 @@
-"""Entries and brokers in one process, each of which can be killed."""
+"""The deployment of a seeded run: entries and brokers in one process."""
 
 import random
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -68,10 +68,10 @@
 
 
 class MortalStore:
-    """The store as one program reaches it; silent once that is dead.
+    """The store as one program reaches it; unavailable after its kill.
 
     Args:
-        store: The store of the whole world.
+        store: The store that all programs share.
     """
 
     def __init__(self, store: MemoryStore) -> None:
@@ -106,12 +106,12 @@
         return await self._store.grant_lease(ttl_ms)
 
     async def keep_lease(self, lease: int) -> int:
-        """Renews a lease."""
+        """Renews a lease and returns the time left."""
         self._check()
         return await self._store.keep_lease(lease)
 
     async def revoke_lease(self, lease: int) -> None:
-        """Ends a lease."""
+        """Revokes a lease."""
         self._check()
         await self._store.revoke_lease(lease)
 
@@ -126,18 +126,18 @@
 
     def _check(self) -> None:
         if self.dead:
-            raise StoreUnavailable("the process is dead")
+            raise StoreUnavailable("the program was killed")
 
 
 class Program:
-    """An entry or a broker that runs until it is killed.
+    """An entry or a broker that can be killed.
 
     Args:
-        build: Builds it from its surroundings and endpoints.
-        surroundings: What it reaches the outside by.
-        store: Its way to the store.
-        endpoints: Its way to endpoints.
-        link: Its address for peers.
+        build: Builds it from its dependencies and its endpoint client.
+        surroundings: Its dependencies, such as the clock, store and links.
+        store: Its view of the store, which a kill makes unavailable.
+        endpoints: Its endpoint client, which a kill disables.
+        link: Its link address for peers.
     """
 
     def __init__(
@@ -160,7 +160,7 @@
         await self.within(self.daemon.run)
 
     async def within(self, work: Callable[[], Awaitable[Any]]) -> None:
-        """Does work that ends with the program."""
+        """Awaits `work`, which is cancelled when the program is killed."""
         with anyio.CancelScope() as scope:
             self._scopes.append(scope)
             try:
@@ -169,7 +169,7 @@
                 self._scopes.remove(scope)
 
     def kill(self) -> None:
-        """Ends everything at once; what it still tries has no effect."""
+        """Cancels all work; later attempts to reach the outside fail."""
         self.dead = True
         self._store.dead = True
         self._endpoints.dead = True
@@ -181,7 +181,7 @@
     """The programs, the store, the network and the endpoints of a run.
 
     Args:
-        seed: Draws everything that is drawn.
+        seed: The seed of the random number generator.
         tasks: Runs the programs.
     """
 
@@ -205,7 +205,7 @@
         await self.store.swap(keys.ACCEPTED_HEAD, 0, head.to_bytes())
 
     def start_entry(self, name: str) -> None:
-        """Starts an entry, again if it was killed."""
+        """Starts an entry, or restarts it after a kill."""
         settings = EntrySettings(
             name=name, link=f"{name}:1", http="", store="", stream_secret="s"
         )
@@ -216,7 +216,7 @@
         self.entries[name] = self._start(build, settings.link)
 
     def start_broker(self, name: str) -> None:
-        """Starts a broker, again if it was killed."""
+        """Starts a broker, or restarts it after a kill."""
         settings = BrokerSettings(
             name=name, link=f"{name}:1", http="", store=""
         )
@@ -227,15 +227,15 @@
         self.brokers[name] = self._start(build, settings.link)
 
     def cut(self, program: Program) -> None:
-        """Cuts a program off its peers."""
+        """Cuts off a program from its peers."""
         self.network.node_at(program.link).is_cut = True
 
     def mend(self, program: Program) -> None:
-        """Joins a program to its peers again."""
+        """Reconnects a program to its peers."""
         self.network.node_at(program.link).is_cut = False
 
     def kill(self, program: Program) -> None:
-        """Kills a program."""
+        """Cuts off a program from its peers and kills it."""
         self.cut(program)
         program.kill()
 
--- a/tests/lab/test_seeded.py
+++ b/tests/lab/test_seeded.py
@@ -1,4 +1,4 @@
-"""Seeded runs of all faults at once, and the checker that judges them."""
+"""Tests of seeded fault-injection runs and of their checker."""
 
 import unittest
 
@@ -10,13 +10,14 @@
 from lab.seeded.run import run_seed
 from rhubarbwinch.http.sse import DONE
 
-# 31 left a request without an answer, for a wait by another clock; with 10 a
-# pool refused all work, for a prediction that no engine could meet.
+# With seed 31 a request got no response, because a wait used a different clock.
+# With seed 10 a pool refused all work, because of a prediction that no engine
+# could meet.
 SEEDS = (1, 10, 31)
 
 
 def _stream(*tokens, generation="g", **fields):
-    """Returns an attempt that was sent tokens with these indexes."""
+    """Returns an attempt that received tokens with these indexes."""
     raw = [b"id: %s:%d\n\n" % (generation.encode(), i) for i in tokens]
     return Attempt(1, Kind.STREAM, "m1", "", "entry", events=raw, **fields)
 
@@ -26,7 +27,7 @@
 
 
 class SeededTest(unittest.TestCase):
-    """Whole runs in one process under a manual clock."""
+    """Complete runs in one process with a manual clock."""
 
     def test_no_seed_of_the_list_breaks_a_promise(self):
         for seed in SEEDS:
@@ -36,7 +37,7 @@
 
 
 class CheckTest(unittest.TestCase):
-    """Journals that the checker must object to, and one that it must not."""
+    """The violations that are found in journals of one or two attempts."""
 
     def test_a_good_journal_passes(self):
         run = Run("e", "m1", "", 3, "g")
