--- a/lab/seeded/__main__.py
+++ b/lab/seeded/__main__.py
@@ -25,10 +25,10 @@
     """Formats a report as text."""
     lines = [
         f"seed {report.seed}: {report.requests} requests, "
-        f"{report.settled} settled, {report.injected} faults"
+        f"{report.settled} settled, {report.fault_count} faults"
     ]
-    lines += [f"  broken: {line}" for line in report.broken]
-    if report.broken:
+    lines += [f"  broken: {line}" for line in report.violations]
+    if report.violations:
         lines.append(f"  python -m lab.seeded --seeds {report.seed}")
     return "\n".join(lines)
 
@@ -45,7 +45,7 @@
         sys.stdout.write(describe(report) + "\n")
         if options.verbose:
             sys.stdout.write("\n".join(report.faults) + "\n")
-        failed = failed or bool(report.broken)
+        failed = failed or bool(report.violations)
     sys.exit(1 if failed else 0)
 
 
--- a/lab/seeded/callers.py
+++ b/lab/seeded/callers.py
@@ -6,14 +6,14 @@
 import anyio
 import orjson
 
-from lab.seeded.log import Attempt, End, Kind
+from lab.seeded.log import Attempt, End, RequestKind
 from lab.seeded.world import API_KEY, Program, World, completion_body
 from rhubarbwinch.http.sse import DONE, Splitter
 from rhubarbwinch.programs.entry import Entry
 
 MAX_ATTEMPTS = 8
-RETRY_MS = 500
-HANG_UP_CHANCE = 0.1
+RETRY_DELAY_MS = 500
+DISCONNECT_CHANCE = 0.1
 
 
 class Call:
@@ -25,7 +25,7 @@
         method: The HTTP method.
         path: The request path.
         body: The request body.
-        hang_up_after: The number of events after which the caller
+        disconnect_after: The number of events after which the caller
             disconnects, or None.
     """
 
@@ -36,7 +36,7 @@
         method: str,
         path: str,
         body: bytes,
-        hang_up_after: int | None = None,
+        disconnect_after: int | None = None,
     ) -> None:
         self._attempt = attempt
         self._scope: Any = {
@@ -48,8 +48,8 @@
             "headers": [(k.encode(), v.encode()) for k, v in headers.items()],
         }
         self._body: bytes | None = body
-        self._hang_up_after = hang_up_after
-        self._gone = anyio.Event()
+        self._disconnect_after = disconnect_after
+        self._disconnected = anyio.Event()
         self._splitter = Splitter()
         self._is_stream = False
 
@@ -58,8 +58,8 @@
         daemon = program.daemon
         if not isinstance(daemon, Entry):
             raise TypeError("callers can only call entries, not brokers")
-        if not program.dead:
-            await program.within(
+        if not program.is_killed:
+            await program.run_until_killed(
                 lambda: daemon.app(self._scope, self._receive, self._send)
             )
         if self._attempt.end is None:
@@ -69,12 +69,12 @@
         if self._body is not None:
             body, self._body = self._body, None
             return {"type": "http.request", "body": body, "more_body": False}
-        await self._gone.wait()
+        await self._disconnected.wait()
         return {"type": "http.disconnect"}
 
     async def _send(self, message: Any) -> None:
         attempt = self._attempt
-        if self._gone.is_set() or attempt.end is not None:
+        if self._disconnected.is_set() or attempt.end is not None:
             return
         if message["type"] == "http.response.start":
             attempt.status = message["status"]
@@ -84,23 +84,23 @@
             self._is_stream = kind.startswith("text/event-stream")
             return
         if self._is_stream:
-            self._take_events(message["body"])
+            self._record_events(message["body"])
         else:
             attempt.body += message["body"]
         if not message.get("more_body", False):
             refused = attempt.verdict or attempt.status != 200
             attempt.end = End.REFUSED if refused else End.ANSWERED
 
-    def _take_events(self, data: bytes) -> None:
+    def _record_events(self, data: bytes) -> None:
         for event in self._splitter.feed(data):
             if event.raw.startswith(b"id:") or event.raw == DONE:
                 self._attempt.events.append(event.raw)
             elif event.is_error:
                 problem = orjson.loads(event.data)
                 self._attempt.verdict = problem["verdict"]
-        if len(self._attempt.events) == self._hang_up_after:
+        if len(self._attempt.events) == self._disconnect_after:
             self._attempt.end = End.CUT
-            self._gone.set()
+            self._disconnected.set()
 
 
 class Caller:
@@ -112,13 +112,13 @@
         kind: The kind of the request.
     """
 
-    def __init__(self, world: World, number: int, kind: Kind) -> None:
+    def __init__(self, world: World, number: int, kind: RequestKind) -> None:
         self._world = world
         self._number = number
         self._kind = kind
         self._marker = f"m{number}"
         self._key = ""
-        if kind is Kind.BOOKING:
+        if kind is RequestKind.BOOKING:
             self._key = _uuid7(world)
 
     async def run(self) -> Attempt:
@@ -127,7 +127,7 @@
             attempt = await self._attempt()
             if self._is_settled(attempt):
                 break
-            await self._world.clock.sleep(RETRY_MS)
+            await self._world.clock.sleep(RETRY_DELAY_MS)
         return attempt
 
     @property
@@ -151,20 +151,22 @@
 
     def _call(self, attempt: Attempt) -> Call:
         headers = {"authorization": f"Bearer {API_KEY}"}
-        if self._kind in (Kind.STREAM, Kind.WHOLE):
-            hang_up = None
-            if self._kind is Kind.STREAM:
+        if self._kind in (RequestKind.STREAM, RequestKind.WHOLE):
+            disconnect_after = None
+            if self._kind is RequestKind.STREAM:
                 if self._last_event_id:
                     headers["last-event-id"] = self._last_event_id
-                if self._world.rng.random() < HANG_UP_CHANCE:
-                    hang_up = self._world.rng.randint(1, 10)
-            body = completion_body(self._marker, self._kind is Kind.STREAM)
+                if self._world.rng.random() < DISCONNECT_CHANCE:
+                    disconnect_after = self._world.rng.randint(1, 10)
+            body = completion_body(
+                self._marker, self._kind is RequestKind.STREAM
+            )
             path = "/v1/completions"
-            return Call(attempt, headers, "POST", path, body, hang_up)
+            return Call(attempt, headers, "POST", path, body, disconnect_after)
         body = orjson.dumps({"marker": self._marker})
         if self._key:
             headers["idempotency-key"] = self._key
-        verb = "book" if self._kind is Kind.BOOKING else "slots"
+        verb = "book" if self._kind is RequestKind.BOOKING else "slots"
         path = f"/services/booking/{verb}"
         return Call(attempt, headers, "POST", path, body)
 
@@ -173,11 +175,11 @@
             # A caller that disconnected after the last event has all events.
             return True
         if attempt.end is End.ANSWERED:
-            return self._kind is not Kind.STREAM
-        if self._kind is Kind.STREAM and self._last_event_id:
+            return self._kind is not RequestKind.STREAM
+        if self._kind is RequestKind.STREAM and self._last_event_id:
             # The stream can be resumed unless the engine lost its tokens.
             return attempt.end is End.REFUSED and attempt.verdict != "not-run"
-        if self._kind is Kind.BOOKING:
+        if self._kind is RequestKind.BOOKING:
             return attempt.verdict == "may-have-run"
         return False
 
--- a/lab/seeded/check.py
+++ b/lab/seeded/check.py
@@ -4,11 +4,11 @@
 
 import orjson
 
-from lab.seeded.log import Attempt, End, Journal, Kind, Run
+from lab.seeded.log import Attempt, End, Journal, RequestKind, Run
 from rhubarbwinch.http.sse import DONE
 
 
-def faults_of(journal: Journal) -> list[str]:
+def find_violations(journal: Journal) -> list[str]:
     """Returns a line per violated guarantee; an empty list if all hold."""
     return [
         *_check_streams(journal),
@@ -23,25 +23,27 @@
 
     A stream that ended has all tokens.
     """
-    found = []
+    violations = []
     by_request: dict[int, list[Attempt]] = defaultdict(list)
     for attempt in journal.attempts:
-        if attempt.kind is Kind.STREAM:
+        if attempt.kind is RequestKind.STREAM:
             by_request[attempt.request].append(attempt)
-    lengths = {run.generation: run.number for run in journal.runs}
+    token_counts = {run.generation: run.number for run in journal.runs}
     for request, attempts in by_request.items():
         events = [event for attempt in attempts for event in attempt.events]
         done = DONE in events
         tokens = [event for event in events if event.startswith(b"id:")]
-        names = [_generation_and_index(event) for event in tokens]
-        if len({name for name, _ in names}) > 1:
-            found.append(f"request {request}: tokens of two generations")
-        if [index for _, index in names] != list(range(len(names))):
-            found.append(f"request {request}: tokens {names}")
-        wanted = lengths.get(names[0][0]) if names else 0
-        if done and len(tokens) != wanted:
-            found.append(f"request {request}: {len(tokens)} of {wanted} tokens")
-    return found
+        positions = [_generation_and_index(event) for event in tokens]
+        if len({name for name, _ in positions}) > 1:
+            violations.append(f"request {request}: tokens of two generations")
+        if [index for _, index in positions] != list(range(len(positions))):
+            violations.append(f"request {request}: tokens {positions}")
+        expected = token_counts.get(positions[0][0]) if positions else 0
+        if done and len(tokens) != expected:
+            violations.append(
+                f"request {request}: {len(tokens)} of {expected} tokens"
+            )
+    return violations
 
 
 def _generation_and_index(event: bytes) -> tuple[str, int]:
@@ -53,49 +55,51 @@
 def _check_refusals(journal: Journal) -> list[str]:
     """A request whose every verdict is not-run ran at no endpoint."""
     ran = {run.marker for run in journal.runs}
-    told = defaultdict(set)
+    verdicts_of = defaultdict(set)
     for attempt in journal.attempts:
-        told[attempt.marker].add(attempt.verdict)
+        verdicts_of[attempt.marker].add(attempt.verdict)
     return [
         f"{marker}: verdict not-run, but it ran"
-        for marker, verdicts in told.items()
+        for marker, verdicts in verdicts_of.items()
         if verdicts == {"not-run"} and marker in ran
     ]
 
 
 def _check_bookings(journal: Journal) -> list[str]:
     """A call with a key runs at most once; its responses show that run."""
-    found = []
+    violations = []
     runs: dict[str, list[Run]] = defaultdict(list)
     for run in journal.runs:
         if run.key:
             runs[run.key].append(run)
-    for key, of_key in runs.items():
-        if len(of_key) > 1:
-            found.append(f"key {key}: ran {len(of_key)} times")
+    for key, key_runs in runs.items():
+        if len(key_runs) > 1:
+            violations.append(f"key {key}: ran {len(key_runs)} times")
     for attempt in journal.attempts:
-        if attempt.kind is not Kind.BOOKING or attempt.status != 200:
+        if attempt.kind is not RequestKind.BOOKING or attempt.status != 200:
             continue
-        answer = orjson.loads(attempt.body)
+        response = orjson.loads(attempt.body)
         numbers = [run.number for run in runs[attempt.key]]
-        if answer["number"] not in numbers or answer["key"] != attempt.key:
-            found.append(f"key {attempt.key}: got {answer}, runs {numbers}")
-    return found
+        if response["number"] not in numbers or response["key"] != attempt.key:
+            violations.append(
+                f"key {attempt.key}: got {response}, runs {numbers}"
+            )
+    return violations
 
 
 def _check_answers(journal: Journal) -> list[str]:
     """A response holds the marker of its own request and no other marker."""
-    found = []
+    violations = []
     for attempt in journal.attempts:
         if attempt.end is not End.ANSWERED or attempt.status != 200:
             continue
-        if attempt.kind is Kind.LOOKUP:
+        if attempt.kind is RequestKind.LOOKUP:
             marker = orjson.loads(attempt.body)["marker"]
             if marker != attempt.marker:
-                found.append(f"{attempt.marker}: response for {marker}")
-        if attempt.kind is Kind.WHOLE:
-            found += _check_whole(attempt)
-    return found
+                violations.append(f"{attempt.marker}: response for {marker}")
+        if attempt.kind is RequestKind.WHOLE:
+            violations += _check_whole(attempt)
+    return violations
 
 
 def _check_whole(attempt: Attempt) -> list[str]:
--- a/lab/seeded/endpoints.py
+++ b/lab/seeded/endpoints.py
@@ -16,10 +16,10 @@
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import EndpointError, GenerationLostError
 
-TOKEN_MS = 40
-SILENCE_MS = 1000
-DOWN_MS = 3000
-CALL_MS = 20
+TOKEN_INTERVAL_MS = 40
+STALL_MS = 1000
+DOWNTIME_MS = 3000
+CALL_STEP_MS = 20
 
 
 @attrs.define
@@ -29,7 +29,7 @@
     name: str
     marker: str
     length: int
-    began: int
+    started_ms: int
     cancelled: bool = False
 
     def event(self, index: int) -> StreamEvent:
@@ -50,18 +50,18 @@
 
     Attributes:
         name: The name of the endpoint.
-        down_until: Until this time it refuses connections.
+        down_until_ms: Until this time it refuses connections.
         generations: The generations by id; lost when it is killed.
-        calls: The number of plain calls that it has run.
+        call_count: The number of plain calls that it has run.
     """
 
     name: str
-    down_until: int = 0
+    down_until_ms: int = 0
     generations: dict[str, Generation] = attrs.field(factory=dict)
-    calls: int = 0
+    call_count: int = 0
 
 
-class Field:
+class EndpointSet:
     """All endpoints of a seeded run by address.
 
     Args:
@@ -87,23 +87,23 @@
         }
 
     def kill(self, address: str) -> None:
-        """Drops an endpoint's generations and takes it down for DOWN_MS."""
+        """Drops an endpoint's generations and takes it down for DOWNTIME_MS."""
         endpoint = self._endpoints[address]
-        endpoint.down_until = self._clock.now() + DOWN_MS
+        endpoint.down_until_ms = self._clock.now() + DOWNTIME_MS
         endpoint.generations.clear()
 
-    def draw(self) -> bool:
+    def draw_fault(self) -> bool:
         """Returns whether a fault happens now."""
         return self._rng.random() < self.fault_rate
 
-    def find(self, address: str) -> Endpoint:
+    def get_live(self, address: str) -> Endpoint:
         """Returns an endpoint that is up.
 
         Raises:
             EndpointError: The endpoint is down; nothing was sent.
         """
         endpoint = self._endpoints[address]
-        if self._clock.now() < endpoint.down_until:
+        if self._clock.now() < endpoint.down_until_ms:
             raise EndpointError("connection refused", sent=False)
         return endpoint
 
@@ -111,15 +111,15 @@
         self, address: str, body: bytes, name: str
     ) -> "tuple[Endpoint, Generation]":
         """Starts a generation."""
-        endpoint = self.find(address)
-        if self.draw():
+        endpoint = self.get_live(address)
+        if self.draw_fault():
             raise EndpointError("status 503", sent=False)
         marker = orjson.loads(body)["prompt"]
         length = self._rng.randint(1, 40)
         generation = Generation(name, marker, length, self._clock.now())
         endpoint.generations[name] = generation
         self._journal.runs.append(Run(endpoint.name, marker, "", length, name))
-        if self.draw():
+        if self.draw_fault():
             raise EndpointError("the connection broke", sent=True)
         return endpoint, generation
 
@@ -128,24 +128,26 @@
     ) -> EventStream:
         """Yields the events of a generation as they arrive, with faults."""
         while True:
-            await self._clock.sleep(TOKEN_MS)
-            held = endpoint.generations.get(generation.name)
-            if held is None or generation.cancelled:
+            await self._clock.sleep(TOKEN_INTERVAL_MS)
+            stored = endpoint.generations.get(generation.name)
+            if stored is None or generation.cancelled:
                 raise EndpointError("the connection broke", sent=True)
-            ready = (self._clock.now() - generation.began) // TOKEN_MS
+            ready = (
+                self._clock.now() - generation.started_ms
+            ) // TOKEN_INTERVAL_MS
             last = min(ready, generation.length)
             arrived = [generation.event(i) for i in range(index, last)]
             index = max(index, last)
             if index == generation.length:
                 arrived.append(StreamEvent(DONE))
-            if self.draw():
-                arrived = await self._spoil(arrived, generation)
+            if self.draw_fault():
+                arrived = await self._apply_fault(arrived, generation)
             if arrived:
                 yield arrived
             if index == generation.length:
                 return
 
-    async def _spoil(
+    async def _apply_fault(
         self, arrived: list[StreamEvent], generation: Generation
     ) -> list[StreamEvent]:
         """Applies a random fault to the arrived events of a stream."""
@@ -153,29 +155,31 @@
         if choice == 0:
             raise EndpointError("the connection broke", sent=True)
         if choice == 1:
-            await self._clock.sleep(SILENCE_MS)
+            await self._clock.sleep(STALL_MS)
             raise EndpointError("no byte for too long", sent=True)
         if choice == 2:
             return [event for event in arrived for _ in range(2)]
         if choice == 3:
             return arrived[1:]
-        foreign = Generation("other~engine", "foreign", 9, generation.began)
+        foreign = Generation(
+            "other~engine", "foreign", 9, generation.started_ms
+        )
         return [*arrived, foreign.event(generation.length + 1)]
 
     async def run_call(
         self, address: str, method: str, body: bytes, key: str
     ) -> httpx.Response:
         """Runs a plain call."""
-        endpoint = self.find(address)
-        if self.draw():
+        endpoint = self.get_live(address)
+        if self.draw_fault():
             raise EndpointError("status 503", sent=False)
-        await self._clock.sleep(CALL_MS)
-        endpoint.calls += 1
+        await self._clock.sleep(CALL_STEP_MS)
+        endpoint.call_count += 1
         marker = orjson.loads(body)["marker"]
-        number = endpoint.calls
+        number = endpoint.call_count
         self._journal.runs.append(Run(endpoint.name, marker, key, number))
-        await self._clock.sleep(CALL_MS)
-        if self.draw():
+        await self._clock.sleep(CALL_STEP_MS)
+        if self.draw_fault():
             raise EndpointError("the connection broke", sent=True)
         answer = {"number": number, "key": key, "marker": marker}
         return httpx.Response(200, json=answer)
@@ -185,13 +189,13 @@
     """The endpoint client of one program; its calls fail after a kill.
 
     Args:
-        field: The endpoints of the run.
+        endpoint_set: The endpoints of the run.
     """
 
-    def __init__(self, field: Field) -> None:
+    def __init__(self, endpoint_set: EndpointSet) -> None:
         # The base class's HTTP client is not created: there is no network.
-        self.dead = False
-        self._field = field
+        self.is_killed = False
+        self._endpoint_set = endpoint_set
 
     async def close(self) -> None:
         """Does nothing; there are no connections."""
@@ -212,33 +216,35 @@
     async def _start(
         self, address: str, body: bytes, generation: str
     ) -> AsyncIterator[EventStream]:
-        self._check_alive()
-        endpoint, started = await self._field.start(address, body, generation)
-        yield self._field.read(endpoint, started, 0)
+        self._check_not_killed()
+        endpoint, started = await self._endpoint_set.start(
+            address, body, generation
+        )
+        yield self._endpoint_set.read(endpoint, started, 0)
 
     @asynccontextmanager
     async def resume(
         self, address: str, generation: str, index: int
     ) -> AsyncIterator[EventStream]:
         """Resumes reading a generation at a token index."""
-        self._check_alive()
-        endpoint = self._field.find(address)
-        held = endpoint.generations.get(generation)
-        if held is None:
+        self._check_not_killed()
+        endpoint = self._endpoint_set.get_live(address)
+        stored = endpoint.generations.get(generation)
+        if stored is None:
             raise GenerationLostError("status 404")
-        yield self._field.read(endpoint, held, index)
+        yield self._endpoint_set.read(endpoint, stored, index)
 
     async def cancel(self, address: str, generation: str) -> None:
         """Cancels a generation; does nothing if the endpoint is down."""
-        if self.dead:
+        if self.is_killed:
             return
         try:
-            endpoint = self._field.find(address)
+            endpoint = self._endpoint_set.get_live(address)
         except EndpointError:
             return
-        held = endpoint.generations.pop(generation, None)
-        if held is not None:
-            held.cancelled = True
+        stored = endpoint.generations.pop(generation, None)
+        if stored is not None:
+            stored.cancelled = True
 
     async def set_priority(
         self, address: str, generation: str, priority: int
@@ -249,26 +255,26 @@
         self, method: str, url: str, body: bytes, headers: dict[str, str]
     ) -> httpx.Response:
         """Calls a plain service."""
-        self._check_alive()
+        self._check_not_killed()
         address = url.removeprefix("http://").partition("/")[0]
         key = headers.get("idempotency-key", "")
-        return await self._field.run_call(address, method, body, key)
+        return await self._endpoint_set.run_call(address, method, body, key)
 
     async def read_json(self, url: str) -> Any:
         """Returns the load report of an engine."""
-        self._check_alive()
+        self._check_not_killed()
         address = url.removeprefix("http://").partition("/")[0]
-        held = self._field.find(address).generations
+        stored = self._endpoint_set.get_live(address).generations
         return {
             "age_ms": 0,
-            "running": len(held),
+            "running": len(stored),
             "waiting": 0,
-            "used_tokens": 100 * len(held),
+            "used_tokens": 100 * len(stored),
             "capacity_tokens": 100_000,
-            "step_ms": TOKEN_MS,
+            "step_ms": TOKEN_INTERVAL_MS,
             "preemptions": 0,
         }
 
-    def _check_alive(self) -> None:
-        if self.dead:
+    def _check_not_killed(self) -> None:
+        if self.is_killed:
             raise EndpointError("the program was killed", sent=False)
--- a/lab/seeded/links.py
+++ b/lab/seeded/links.py
@@ -25,16 +25,16 @@
 class _Handler:
     """A message class and the function that handles its messages."""
 
-    kind: type
-    take: Callable[[Any], Awaitable[Any]]
+    message_type: type
+    handle: Callable[[Any], Awaitable[Any]]
 
 
 @attrs.define
-class _Waiting:
+class _PendingCall:
     """A call that waits for its reply."""
 
     done: anyio.Event = attrs.field(factory=anyio.Event)
-    answer: Any = None
+    reply: Any = None
 
 
 class SeededNetwork:
@@ -55,29 +55,29 @@
         self._rng = rng
         self._nodes: dict[str, SeededLinks] = {}
 
-    def add(self, address: str) -> "SeededLinks":
+    def add_node(self, address: str) -> "SeededLinks":
         """Adds a node; a former node of the address is cut off permanently."""
         old = self._nodes.get(address)
         if old is not None:
-            old.is_cut = True
+            old.is_cut_off = True
         self._nodes[address] = SeededLinks(self)
         return self._nodes[address]
 
-    def node_at(self, address: str) -> "SeededLinks":
+    def get_node(self, address: str) -> "SeededLinks":
         """Returns the node of an address."""
         return self._nodes[address]
 
     def find(self, address: str) -> "SeededLinks | None":
         """Returns the node of an address; None if absent or cut off."""
         node = self._nodes.get(address)
-        return None if node is None or node.is_cut else node
+        return None if node is None or node.is_cut_off else node
 
-    async def travel(self) -> bool:
+    async def delay_message(self) -> bool:
         """Waits for the delay of a message; returns False if it is lost."""
-        wait = self._rng.randint(1, LATENCY_MS)
+        wait_ms = self._rng.randint(1, LATENCY_MS)
         if self._rng.random() < DELAY_CHANCE:
-            wait = self._rng.randint(LATENCY_MS, DELAYED_MS)
-        await self.clock.sleep(wait)
+            wait_ms = self._rng.randint(LATENCY_MS, DELAYED_MS)
+        await self.clock.sleep(wait_ms)
         return self._rng.random() >= LOSS_CHANCE
 
 
@@ -89,22 +89,26 @@
     """
 
     def __init__(self, network: SeededNetwork) -> None:
-        self.is_cut = False
+        self.is_cut_off = False
         self._network = network
         self._numbers = itertools.count(1)
-        self._waiting: dict[int, _Waiting] = {}
+        self._pending: dict[int, _PendingCall] = {}
         self._handlers: dict[str, _Handler] = {}
-        self._late: dict[str, _Handler] = {}
+        self._late_handlers: dict[str, _Handler] = {}
 
-    def on(self, kind: type[T], answer: Callable[[T], Awaitable[Any]]) -> None:
+    def on(
+        self, message_type: type[T], handle: Callable[[T], Awaitable[Any]]
+    ) -> None:
         """Sets the handler for messages of a class."""
-        self._handlers[kind.__name__] = _Handler(kind, answer)
+        self._handlers[message_type.__name__] = _Handler(message_type, handle)
 
     def on_late(
-        self, kind: type[T], handle: Callable[[T], Awaitable[None]]
+        self, message_type: type[T], handle: Callable[[T], Awaitable[None]]
     ) -> None:
         """Sets the handler for replies whose call has timed out."""
-        self._late[kind.__name__] = _Handler(kind, handle)
+        self._late_handlers[message_type.__name__] = _Handler(
+            message_type, handle
+        )
 
     async def run(self) -> None:
         """Waits until cancelled; there are no connections to keep."""
@@ -120,7 +124,7 @@
         )
 
     async def call(
-        self, address: str, message: Any, answer: type[T], timeout_ms: int
+        self, address: str, message: Any, reply: type[T], timeout_ms: int
     ) -> T:
         """Sends a message and returns the peer's reply.
 
@@ -128,46 +132,46 @@
             LinkTimeout: No reply arrived in time.
         """
         number = next(self._numbers)
-        waiting = self._waiting[number] = _Waiting()
+        pending = self._pending[number] = _PendingCall()
         tasks = self._network.tasks
         data = codec.encode(message)
         tasks.start_soon(self._deliver, address, data, type(message), number)
-        tasks.start_soon(self._time_out, waiting, timeout_ms)
+        tasks.start_soon(self._time_out, pending, timeout_ms)
         try:
-            await waiting.done.wait()
+            await pending.done.wait()
         finally:
-            del self._waiting[number]
-        if waiting.answer is None:
+            del self._pending[number]
+        if pending.reply is None:
             raise LinkTimeout(f"{address} sent no reply within {timeout_ms} ms")
-        return waiting.answer
+        return pending.reply
 
-    async def _time_out(self, waiting: _Waiting, timeout_ms: int) -> None:
+    async def _time_out(self, pending: _PendingCall, timeout_ms: int) -> None:
         await self._network.clock.sleep(timeout_ms)
-        waiting.done.set()
+        pending.done.set()
 
     async def _deliver(
-        self, address: str, data: bytes, kind: type, number: int
+        self, address: str, data: bytes, message_type: type, number: int
     ) -> None:
         """Delivers a message and, for a call, its reply."""
-        if self.is_cut or not await self._network.travel():
+        if self.is_cut_off or not await self._network.delay_message():
             return
         node = self._network.find(address)
-        handler = node._handlers.get(kind.__name__) if node else None
+        handler = node._handlers.get(message_type.__name__) if node else None
         if node is None or handler is None:
             return
-        answer = await handler.take(codec.decode(data, handler.kind))
-        if answer is None or not number or node.is_cut:
+        reply = await handler.handle(codec.decode(data, handler.message_type))
+        if reply is None or not number or node.is_cut_off:
             return
-        if await self._network.travel() and not self.is_cut:
-            copy = codec.decode(codec.encode(answer), type(answer))
-            await self._take_answer(number, copy)
-
-    async def _take_answer(self, number: int, answer: Any) -> None:
-        waiting = self._waiting.get(number)
-        if waiting is not None:
-            waiting.answer = answer
-            waiting.done.set()
+        if await self._network.delay_message() and not self.is_cut_off:
+            copy = codec.decode(codec.encode(reply), type(reply))
+            await self._accept_reply(number, copy)
+
+    async def _accept_reply(self, number: int, reply: Any) -> None:
+        pending = self._pending.get(number)
+        if pending is not None:
+            pending.reply = reply
+            pending.done.set()
             return
-        late = self._late.get(type(answer).__name__)
-        if late is not None:
-            await late.take(answer)
+        handler = self._late_handlers.get(type(reply).__name__)
+        if handler is not None:
+            await handler.handle(reply)
--- a/lab/seeded/log.py
+++ b/lab/seeded/log.py
@@ -5,7 +5,7 @@
 import attrs
 
 
-class Kind(enum.StrEnum):
+class RequestKind(enum.StrEnum):
     """The kind of a caller's request."""
 
     STREAM = "stream"
@@ -41,7 +41,7 @@
     """
 
     request: int
-    kind: Kind
+    kind: RequestKind
     marker: str
     key: str
     entry: str
--- a/lab/seeded/run.py
+++ b/lab/seeded/run.py
@@ -4,22 +4,28 @@
 import attrs
 
 from lab.seeded.callers import Caller
-from lab.seeded.check import faults_of
-from lab.seeded.log import Attempt, End, Kind
-from lab.seeded.world import DESKS, ENGINES, Program, World
+from lab.seeded.check import find_violations
+from lab.seeded.log import Attempt, End, RequestKind
+from lab.seeded.world import ENGINES, PLAIN_ENDPOINTS, Program, World
 from rhubarbwinch.http.sse import DONE
 from rhubarbwinch.shared.registry import Registry
 
 ENTRIES = 3
 BROKERS = 2
 REQUESTS = 60
-ARRIVAL_MS = 250
-FAULT_MS = 900
+MEAN_ARRIVAL_MS = 250
+FAULT_INTERVAL_MS = 900
 STEP_MS = 20
-QUIET_MS = 12_000
+RECOVERY_MS = 12_000
 PROBES = 6
 ENDPOINT_FAULT_RATE = 0.03
-KINDS = [Kind.STREAM, Kind.STREAM, Kind.BOOKING, Kind.WHOLE, Kind.LOOKUP]
+KIND_CHOICES = [
+    RequestKind.STREAM,
+    RequestKind.STREAM,
+    RequestKind.BOOKING,
+    RequestKind.WHOLE,
+    RequestKind.LOOKUP,
+]
 
 
 @attrs.frozen
@@ -30,16 +36,16 @@
         seed: The seed.
         requests: The number of requests that callers sent.
         settled: The number of requests whose last attempt was answered.
-        injected: The number of injected faults.
-        broken: A line for each violated guarantee.
+        fault_count: The number of injected faults.
+        violations: A line for each violated guarantee.
         faults: The faults with their times.
     """
 
     seed: int
     requests: int
     settled: int
-    injected: int
-    broken: list[str]
+    fault_count: int
+    violations: list[str]
     faults: list[str]
 
 
@@ -52,16 +58,18 @@
 
     def __init__(self, world: World) -> None:
         self._world = world
-        self.active = True
+        self.is_active = True
 
     async def run(self) -> None:
-        """Injects faults, sometimes two at a time, while `active` is set."""
+        """Injects faults, sometimes two at a time, while `is_active` is set."""
         world = self._world
         async with anyio.create_task_group() as tasks:
             while True:
-                wait = world.rng.randint(FAULT_MS // 3, FAULT_MS * 2)
-                await world.clock.sleep(wait)
-                if not self.active:
+                wait_ms = world.rng.randint(
+                    FAULT_INTERVAL_MS // 3, FAULT_INTERVAL_MS * 2
+                )
+                await world.clock.sleep(wait_ms)
+                if not self.is_active:
                     return
                 for _ in range(world.rng.choice([1, 1, 2])):
                     name = world.rng.choice(list(FAULTS))
@@ -72,15 +80,15 @@
 FAULTS: Registry = Registry("fault")
 
 
-def _pick(world: World, programs: dict[str, Program]) -> str | None:
+def _pick_program(world: World, programs: dict[str, Program]) -> str | None:
     """Returns a random live program's name; None if only one is left."""
-    alive = sorted(name for name, p in programs.items() if not p.dead)
+    alive = sorted(name for name, p in programs.items() if not p.is_killed)
     return world.rng.choice(alive) if len(alive) > 1 else None
 
 
 @FAULTS.register("kill-entry")
 async def _kill_entry(world: World) -> None:
-    name = _pick(world, world.entries)
+    name = _pick_program(world, world.entries)
     if name is not None:
         world.kill(world.entries[name])
         await world.clock.sleep(world.rng.randint(200, 3000))
@@ -89,7 +97,7 @@
 
 @FAULTS.register("kill-broker")
 async def _kill_broker(world: World) -> None:
-    name = _pick(world, world.brokers)
+    name = _pick_program(world, world.brokers)
     if name is not None:
         world.kill(world.brokers[name])
         await world.clock.sleep(world.rng.randint(200, 3000))
@@ -99,18 +107,18 @@
 @FAULTS.register("cut-links")
 async def _cut_links(world: World) -> None:
     programs = world.entries | world.brokers
-    name = _pick(world, programs)
+    name = _pick_program(world, programs)
     if name is None:
         return
     program = programs[name]
-    world.cut(program)
+    world.disconnect(program)
     await world.clock.sleep(world.rng.randint(200, 3000))
-    if not program.dead:
-        world.mend(program)
+    if not program.is_killed:
+        world.reconnect(program)
 
 
 @FAULTS.register("store-down")
-async def _store_down(world: World) -> None:
+async def _take_store_down(world: World) -> None:
     world.store.faults.down = True
     world.store.wake_watches()
     await world.clock.sleep(world.rng.randint(200, 4000))
@@ -124,12 +132,12 @@
 
 @FAULTS.register("kill-engine")
 async def _kill_engine(world: World) -> None:
-    world.field.kill(world.rng.choice(list(ENGINES)))
+    world.endpoint_set.kill(world.rng.choice(list(ENGINES)))
 
 
 @FAULTS.register("kill-plain-endpoint")
-async def _kill_desk(world: World) -> None:
-    world.field.kill(world.rng.choice(list(DESKS)))
+async def _kill_plain_endpoint(world: World) -> None:
+    world.endpoint_set.kill(world.rng.choice(list(PLAIN_ENDPOINTS)))
 
 
 async def run_seed(seed: int) -> Report:
@@ -143,74 +151,74 @@
             world.start_entry(f"entry-{i}")
         await world.clock.advance(2000)
         injector = Injector(world)
-        world.field.fault_rate = ENDPOINT_FAULT_RATE
+        world.endpoint_set.fault_rate = ENDPOINT_FAULT_RATE
         tasks.start_soon(injector.run)
-        last: list[Attempt] = []
-        await _call_all(world, tasks, last)
-        injector.active = False
-        world.field.fault_rate = 0.0
-        await _pass(world, QUIET_MS)
-        broken = await _probe(world, tasks)
-        broken += faults_of(world.journal)
-        settled = sum(a.end is End.ANSWERED for a in last)
+        last_attempts: list[Attempt] = []
+        await _call_all(world, tasks, last_attempts)
+        injector.is_active = False
+        world.endpoint_set.fault_rate = 0.0
+        await _advance(world, RECOVERY_MS)
+        violations = await _probe(world, tasks)
+        violations += find_violations(world.journal)
+        settled = sum(a.end is End.ANSWERED for a in last_attempts)
         for program in [*world.entries.values(), *world.brokers.values()]:
             program.kill()
         tasks.cancel_scope.cancel()
     return Report(
         seed=seed,
-        requests=len(last),
+        requests=len(last_attempts),
         settled=settled,
-        injected=len(world.journal.faults),
-        broken=broken,
+        fault_count=len(world.journal.faults),
+        violations=violations,
         faults=world.journal.faults,
     )
 
 
-async def _pass(world: World, ms: int) -> None:
+async def _advance(world: World, ms: int) -> None:
     for _ in range(ms // STEP_MS):
         await world.clock.advance(STEP_MS)
 
 
 async def _call_all(
-    world: World, tasks: anyio.abc.TaskGroup, last: list[Attempt]
+    world: World, tasks: anyio.abc.TaskGroup, last_attempts: list[Attempt]
 ) -> None:
     """Starts all callers and waits until they have finished."""
 
     async def call(number: int) -> None:
-        kind = world.rng.choice(KINDS)
-        last.append(await Caller(world, number, kind).run())
+        kind = world.rng.choice(KIND_CHOICES)
+        last_attempts.append(await Caller(world, number, kind).run())
 
     for number in range(REQUESTS):
         tasks.start_soon(call, number)
-        await _pass(world, world.rng.randint(0, 2 * ARRIVAL_MS))
+        await _advance(world, world.rng.randint(0, 2 * MEAN_ARRIVAL_MS))
     for _ in range(10):
-        if len(last) < REQUESTS:
-            await _pass(world, QUIET_MS)
+        if len(last_attempts) < REQUESTS:
+            await _advance(world, RECOVERY_MS)
 
 
 async def _probe(world: World, tasks: anyio.abc.TaskGroup) -> list[str]:
     """Checks that requests after the faults all succeed without a retry."""
-    found: list[Attempt] = []
+    finished: list[Attempt] = []
 
     async def call(number: int) -> None:
-        kind = KINDS[number % len(KINDS)]
-        found.append(await Caller(world, REQUESTS + number, kind).run())
+        kind = KIND_CHOICES[number % len(KIND_CHOICES)]
+        finished.append(await Caller(world, REQUESTS + number, kind).run())
 
     for number in range(PROBES):
         tasks.start_soon(call, number)
-    await _pass(world, QUIET_MS)
-    broken = [
+    await _advance(world, RECOVERY_MS)
+    violations = [
         f"probe {a.request}: {a.kind} ended {a.end} {a.status} "
         f"{a.verdict} {a.body.decode()}"
-        for a in found
+        for a in finished
         if a.end is not End.ANSWERED and DONE not in a.events
     ]
-    if len(found) < PROBES:
-        broken.append(f"{PROBES - len(found)} probes without a response")
-        broken += [
+    if len(finished) < PROBES:
+        violations.append(f"{PROBES - len(finished)} probes without a response")
+        violations += [
             f"  {a.kind} at {a.entry}: {a.end} {a.status} {a.verdict} "
             f"{len(a.events)} events {a.body.decode()}"
             for a in world.journal.attempts
             if a.request >= REQUESTS
         ]
-    return broken
+    return violations
--- a/lab/seeded/world.py
+++ b/lab/seeded/world.py
@@ -8,7 +8,7 @@
 import anyio.abc
 import orjson
 
-from lab.seeded.endpoints import Field, SeededEndpoints
+from lab.seeded.endpoints import EndpointSet, SeededEndpoints
 from lab.seeded.links import SeededNetwork
 from lab.seeded.log import Journal
 from rhubarbwinch.programs.broker import Broker
@@ -28,10 +28,10 @@
 
 API_KEY = "acme.secret"
 ENGINES = {f"10.0.1.{i}:80": f"engine-{i}" for i in range(1, 4)}
-DESKS = {f"10.0.2.{i}:80": f"desk-{i}" for i in range(1, 3)}
+PLAIN_ENDPOINTS = {f"10.0.2.{i}:80": f"desk-{i}" for i in range(1, 3)}
 
 
-def records() -> list[Record]:
+def configuration_records() -> list[Record]:
     """Returns the configuration: three engines and two plain endpoints."""
     digest = hash_key(API_KEY, "00")
 
@@ -43,7 +43,7 @@
     return [
         Record("model", "vintner", 2),
         pool("vintner", ENGINES),
-        pool("bookings", DESKS),
+        pool("bookings", PLAIN_ENDPOINTS),
         Record("service", "chat", 2, {"kind": "generate", "target": "vintner"}),
         Record(
             "service",
@@ -67,7 +67,7 @@
     ]
 
 
-class MortalStore:
+class KillableStore:
     """The store as one program reaches it; unavailable after its kill.
 
     Args:
@@ -75,57 +75,57 @@
     """
 
     def __init__(self, store: MemoryStore) -> None:
-        self.dead = False
+        self.is_killed = False
         self._store = store
 
     async def get(self, key: str) -> StoreEntry | None:
         """Returns the entry of `key`, or None."""
-        self._check()
+        self._check_not_killed()
         return await self._store.get(key)
 
     async def scan(self, prefix: str) -> Listing:
         """Returns all entries whose keys start with `prefix`."""
-        self._check()
+        self._check_not_killed()
         return await self._store.scan(prefix)
 
     async def swap(
         self, key: str, expected: int, value: bytes, lease: int = 0
     ) -> Swap:
         """Writes `value` if the key's revision is `expected`."""
-        self._check()
+        self._check_not_killed()
         return await self._store.swap(key, expected, value, lease)
 
     async def delete(self, key: str, expected: int) -> Swap:
         """Deletes the key if its revision is `expected`."""
-        self._check()
+        self._check_not_killed()
         return await self._store.delete(key, expected)
 
     async def grant_lease(self, ttl_ms: int) -> int:
         """Returns the id of a new lease."""
-        self._check()
+        self._check_not_killed()
         return await self._store.grant_lease(ttl_ms)
 
     async def keep_lease(self, lease: int) -> int:
         """Renews a lease and returns the time left."""
-        self._check()
+        self._check_not_killed()
         return await self._store.keep_lease(lease)
 
     async def revoke_lease(self, lease: int) -> None:
         """Revokes a lease."""
-        self._check()
+        self._check_not_killed()
         await self._store.revoke_lease(lease)
 
     async def watch(self, prefix: str, after: int) -> AsyncIterator[Change]:
         """Yields every change under `prefix`."""
-        self._check()
+        self._check_not_killed()
         async for change in self._store.watch(prefix, after):
             yield change
 
     async def close(self) -> None:
         """Does nothing; there are no connections."""
 
-    def _check(self) -> None:
-        if self.dead:
+    def _check_not_killed(self) -> None:
+        if self.is_killed:
             raise StoreUnavailable("the program was killed")
 
 
@@ -134,7 +134,7 @@
 
     Args:
         build: Builds it from its dependencies and its endpoint client.
-        surroundings: Its dependencies, such as the clock, store and links.
+        dependencies: Its dependencies, such as the clock, store and links.
         store: Its view of the store, which a kill makes unavailable.
         endpoints: Its endpoint client, which a kill disables.
         link: Its link address for peers.
@@ -143,23 +143,25 @@
     def __init__(
         self,
         build: Callable[[Surroundings, SeededEndpoints], Entry | Broker],
-        surroundings: Surroundings,
-        store: MortalStore,
+        dependencies: Surroundings,
+        store: KillableStore,
         endpoints: SeededEndpoints,
         link: str,
     ) -> None:
-        self.daemon = build(surroundings, endpoints)
+        self.daemon = build(dependencies, endpoints)
         self.link = link
-        self.dead = False
+        self.is_killed = False
         self._store = store
         self._endpoints = endpoints
         self._scopes: list[anyio.CancelScope] = []
 
     async def run(self) -> None:
         """Runs the program until it is killed."""
-        await self.within(self.daemon.run)
+        await self.run_until_killed(self.daemon.run)
 
-    async def within(self, work: Callable[[], Awaitable[Any]]) -> None:
+    async def run_until_killed(
+        self, work: Callable[[], Awaitable[Any]]
+    ) -> None:
         """Awaits `work`, which is cancelled when the program is killed."""
         with anyio.CancelScope() as scope:
             self._scopes.append(scope)
@@ -170,9 +172,9 @@
 
     def kill(self) -> None:
         """Cancels all work; later attempts to reach the outside fail."""
-        self.dead = True
-        self._store.dead = True
-        self._endpoints.dead = True
+        self.is_killed = True
+        self._store.is_killed = True
+        self._endpoints.is_killed = True
         for scope in list(self._scopes):
             scope.cancel()
 
@@ -191,15 +193,17 @@
         self.store = MemoryStore(self.clock)
         self.network = SeededNetwork(self.clock, self.rng, tasks)
         self.journal = Journal()
-        self.field = Field(self.clock, self.rng, self.journal, ENGINES | DESKS)
+        self.endpoint_set = EndpointSet(
+            self.clock, self.rng, self.journal, ENGINES | PLAIN_ENDPOINTS
+        )
         self.entries: dict[str, Program] = {}
         self.brokers: dict[str, Program] = {}
         self._tasks = tasks
-        self._started = 0
+        self._start_count = 0
 
     async def publish(self) -> None:
         """Writes the accepted configuration to the store."""
-        chunks = accepted.pack_chunks(records())
+        chunks = accepted.pack_chunks(configuration_records())
         names = [await accepted.write_chunk(self.store, c) for c in chunks]
         head = Head(1, names)
         await self.store.swap(keys.ACCEPTED_HEAD, 0, head.to_bytes())
@@ -210,8 +214,10 @@
             name=name, link=f"{name}:1", http="", store="", stream_secret="s"
         )
 
-        def build(outside: Surroundings, endpoints: SeededEndpoints) -> Entry:
-            return Entry(settings, outside, endpoints)
+        def build(
+            dependencies: Surroundings, endpoints: SeededEndpoints
+        ) -> Entry:
+            return Entry(settings, dependencies, endpoints)
 
         self.entries[name] = self._start(build, settings.link)
 
@@ -221,22 +227,24 @@
             name=name, link=f"{name}:1", http="", store=""
         )
 
-        def build(outside: Surroundings, endpoints: SeededEndpoints) -> Broker:
-            return Broker(settings, outside, endpoints)
+        def build(
+            dependencies: Surroundings, endpoints: SeededEndpoints
+        ) -> Broker:
+            return Broker(settings, dependencies, endpoints)
 
         self.brokers[name] = self._start(build, settings.link)
 
-    def cut(self, program: Program) -> None:
+    def disconnect(self, program: Program) -> None:
         """Cuts off a program from its peers."""
-        self.network.node_at(program.link).is_cut = True
+        self.network.get_node(program.link).is_cut_off = True
 
-    def mend(self, program: Program) -> None:
+    def reconnect(self, program: Program) -> None:
         """Reconnects a program to its peers."""
-        self.network.node_at(program.link).is_cut = False
+        self.network.get_node(program.link).is_cut_off = False
 
     def kill(self, program: Program) -> None:
         """Cuts off a program from its peers and kills it."""
-        self.cut(program)
+        self.disconnect(program)
         program.kill()
 
     def _start(
@@ -244,20 +252,20 @@
         build: Callable[[Surroundings, SeededEndpoints], Entry | Broker],
         link: str,
     ) -> Program:
-        self._started += 1
-        node = self.network.add(link)
-        store = MortalStore(self.store)
-        surroundings = Surroundings(
+        self._start_count += 1
+        node = self.network.add_node(link)
+        store = KillableStore(self.store)
+        dependencies = Surroundings(
             clock=self.clock,
             store=store,
             links=node,
             gossip_links=node,
             server=node,
-            incarnation=self._started,
+            incarnation=self._start_count,
             is_embedded=True,
         )
-        endpoints = SeededEndpoints(self.field)
-        program = Program(build, surroundings, store, endpoints, link)
+        endpoints = SeededEndpoints(self.endpoint_set)
+        program = Program(build, dependencies, store, endpoints, link)
         self._tasks.start_soon(program.run)
         return program
 
