--- a/lab/standins/__init__.py
+++ b/lab/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the outside systems that the product meets."""
+"""Small stand-ins for the external systems that the product talks to."""
--- a/lab/standins/engine.py
+++ b/lab/standins/engine.py
@@ -1,9 +1,9 @@
-"""A stand-in for a model engine: the engine model behind HTTP with SSE.
+"""A stand-in for a model engine: a simulated engine behind HTTP with SSE.
 
-A prompt holds its output length as `len=N`. The text of token `i` is
-`<tag>.<i> `, with a tag of the generation, so that a reader can tell from the
-text alone whether tokens are missing, doubled or of another generation. A
-prompt that holds the word `poison` ends the process.
+A prompt contains its output length as `len=N`. The text of token `i` is
+`<tag>.<i> `, where the tag identifies the generation, so that the text alone
+shows missing, duplicated and foreign tokens. A prompt that contains the word
+`poison` ends the process.
 """
 
 import hashlib
@@ -29,13 +29,13 @@
 
 @attrs.define
 class Generation:
-    """A generation and its readers.
+    """A generation in the simulated engine.
 
     Attributes:
         name: The generation id.
-        chat: Whether it speaks the chat format.
-        sequence: Its place in the model.
-        changed: Set when a token was added.
+        chat: Whether events have the chat completions format.
+        sequence: Its sequence in the engine model.
+        changed: Set and replaced when a token is added.
     """
 
     name: str
@@ -45,7 +45,7 @@
 
     @property
     def tag(self) -> str:
-        """Stands in the text of each token."""
+        """The identifier of the generation in the text of each token."""
         return hashlib.sha256(self.name.encode()).hexdigest()[:6]
 
     def event(self, index: int) -> bytes:
@@ -73,12 +73,12 @@
 
 
 class Engine:
-    """The engine's HTTP interface.
+    """The HTTP interface of the engine.
 
     Args:
-        parameters: The model's speed and size.
-        speed: How many times faster than real time it runs.
-        orders: Takes the orders.
+        parameters: The parameters of the engine model.
+        speed: How many times faster than real time the model runs.
+        orders: Handles orders to the engine.
     """
 
     def __init__(
@@ -93,7 +93,7 @@
         self._work = anyio.Event()
 
     def app(self) -> App:
-        """Returns the application."""
+        """Returns the ASGI application."""
         app = App(MAX_BODY_BYTES)
         app.route("POST", "/v1/completions", self._start)
         app.route("POST", "/v1/chat/completions", self._start)
@@ -107,7 +107,7 @@
         return app
 
     async def run(self) -> None:
-        """Runs the model's steps until cancelled."""
+        """Runs the steps of the engine model until cancelled."""
         while True:
             if not self._model.running and not self._model.waiting:
                 await self._work.wait()
@@ -126,7 +126,7 @@
         name = request.headers["x-generation-id"]
         text = request.body.decode()
         if POISON in text:
-            # The kind of request that crashes each engine that runs it.
+            # Simulates a request that crashes every engine that runs it.
             os._exit(1)
         found = _LENGTH.search(text)
         wanted = int(found[1]) if found else DEFAULT_TOKENS
--- a/lab/standins/faults.py
+++ b/lab/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that an engine stand-in shows on request."""
+"""Faults that an engine stand-in injects on request."""
 
 from typing import Any
 
@@ -10,17 +10,19 @@
 
 @attrs.define
 class Faults:
-    """What goes wrong, set by `POST /faults`; each fault happens once.
+    """The pending faults, set by `POST /faults`; each happens once.
 
     Attributes:
-        duplicate_at: The event of this index is sent twice.
-        gap_at: The event of this index is left out.
-        foreign_at: An event of another generation comes before this index.
-        freeze_at: Before this index the connection falls silent.
-        cut_at: Before this index the connection is closed.
-        done_at: Before this index the end of the stream is announced.
-        late_ms: How long the next answer waits for its head.
-        refuse: How many starts are refused with 503.
+        duplicate_at: The event with this index is sent twice.
+        gap_at: The event with this index is left out.
+        foreign_at: Before the event with this index, an event of another
+            generation is sent.
+        freeze_at: Before the event with this index, the stream stalls.
+        cut_at: Before the event with this index, the connection is closed.
+        done_at: Before the event with this index, the end of the stream is
+            sent.
+        late_ms: The delay of the next response's head.
+        refuse: The number of next starts that are refused with status 503.
     """
 
     duplicate_at: int | None = None
@@ -33,12 +35,12 @@
     refuse: int = 0
 
     def set(self, wanted: dict[str, Any]) -> None:
-        """Adds the faults that are wanted."""
+        """Sets faults by attribute name."""
         for name, value in wanted.items():
             setattr(self, name, value)
 
     async def refuses(self, responder: Responder) -> bool:
-        """Refuses a start if one is to be refused, or makes it late."""
+        """Applies the faults of a start; returns whether it was refused."""
         if self.refuse:
             self.refuse -= 1
             await responder.json(b"{}", 503)
@@ -50,7 +52,7 @@
     async def send(
         self, index: int, event: bytes, generation: str, responder: Responder
     ) -> bool:
-        """Sends an event with its faults; False after the link was cut."""
+        """Sends an event with its faults; returns False if the stream ended."""
         if self._take("cut_at", index):
             return False
         if self._take("freeze_at", index):
--- a/lab/standins/kvstore.py
+++ b/lab/standins/kvstore.py
@@ -1,7 +1,7 @@
-"""A stand-in for the key-value store: etcd v3's JSON gateway over memory.
+"""A stand-in for the key-value store: the etcd v3 JSON API over MemoryStore.
 
 `POST /faults` with `{"down": ..., "delay_ms": ..., "lose_answers": ...}` sets
-what goes wrong.
+the faults.
 """
 
 import base64
@@ -37,7 +37,7 @@
 
 
 class Gateway:
-    """The store's HTTP interface."""
+    """The HTTP interface of the store."""
 
     def __init__(self) -> None:
         self._store = MemoryStore(SystemClock())
@@ -45,7 +45,7 @@
         self._counts: dict[str, int] = {}
 
     def app(self) -> App:
-        """Returns the application."""
+        """Returns the ASGI application."""
         app = App(MAX_BODY_BYTES)
         app.route("POST", "/v3/kv/range", self._range)
         app.route("POST", "/v3/kv/txn", self._txn)
@@ -79,7 +79,7 @@
     async def _find(self, body: JSON) -> list[JSON]:
         key = _text(body["key"])
         if "range_end" in body:
-            # Only prefixes are asked for, so the end need not be read.
+            # Clients only request whole prefixes, so range_end is implied.
             listing = await self._store.scan(key)
             return [_kv(entry) for entry in listing.entries]
         entry = await self._store.get(key)
@@ -101,7 +101,7 @@
             else:
                 swap = await self._store.delete(key, expected)
         except StoreUncertain:
-            # Silence: the caller times out without knowing what happened.
+            # No response, so that the caller times out with unknown outcome.
             await anyio.sleep_forever()
         except StoreError as error:
             await responder.json(orjson.dumps({"error": str(error)}), 503)
--- a/lab/standins/orders.py
+++ b/lab/standins/orders.py
@@ -1,4 +1,4 @@
-"""The part of the engine stand-in that takes orders."""
+"""Handles orders to the engine stand-in."""
 
 from typing import Any
 
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class TakenOrder:
-    """An order that took effect."""
+    """An order that was applied."""
 
     kind: str
     subject: str
@@ -19,10 +19,11 @@
 
 
 class OrderBoard:
-    """Takes orders, with or without a look at the fence number.
+    """Applies orders, with or without a check of their fencing numbers.
 
     Args:
-        checks_fencing: Whether a lower fence number than one seen is refused.
+        checks_fencing: Whether orders with a lower fencing number than the
+            highest one seen are refused.
         weights: `a.b.c.d:port` of the weight store, or empty.
     """
 
@@ -35,13 +36,13 @@
         self._fence = 0
 
     def add_routes(self, app: App) -> None:
-        """Adds the routes for orders."""
+        """Adds the HTTP routes for orders."""
         app.route("POST", "/orders", self._take)
         app.route("GET", "/state", self._show_state)
         app.route("GET", "/order-log", self._show_log)
 
     def take(self, kind: str, subject: str, fence: int) -> bool:
-        """Obeys an order; returns False for one that is refused."""
+        """Applies an order; returns False if it is refused."""
         if self._checks_fencing and fence < self._fence:
             return False
         self._fence = max(self._fence, fence)
@@ -55,7 +56,7 @@
         return True
 
     def state(self) -> dict[str, Any]:
-        """Returns what is loaded and the role."""
+        """Returns the loaded subjects and the role."""
         return {"loaded": sorted(self._loaded), "role": self._role}
 
     async def _take(self, request: Request, responder: Responder) -> None:
@@ -67,7 +68,7 @@
         await responder.json(b"{}", 200 if taken else 409)
 
     async def _fetch(self, subject: str) -> bool:
-        """Reads the weights from the weight store, if there is one."""
+        """Reads weights from the weight store, if any; returns the success."""
         if not self._weights:
             return True
         async with httpx.AsyncClient() as client:
--- a/lab/standins/platformengine.py
+++ b/lab/standins/platformengine.py
@@ -1,8 +1,8 @@
-"""A stand-in for the users' engines and plain services.
+"""A scripted stand-in for the platform's engines and plain services.
 
-It answers by a script: what each arriving request gets is decided by a
-function, so that a test brings about just the fault that it is about. Streams
-make events one by one as the test allows.
+A function that the test sets handles each request, so that the test can cause
+exactly the fault that it examines. Streams send one event at a time, as the
+test allows.
 """
 
 from collections.abc import Awaitable, Callable
@@ -21,11 +21,11 @@
 
 @attrs.define
 class Arrival:
-    """A request that reached the engine.
+    """A request that the engine received.
 
     Attributes:
         request: The request.
-        headers: Its headers by their names in lower case.
+        headers: Its header values by lower-case name.
     """
 
     request: EdgeRequest
@@ -41,17 +41,17 @@
 
 
 def head_of(arrival: Arrival) -> Headers:
-    """Returns the headers of an engine's own answer."""
+    """Returns the headers that mark a response as an engine's own."""
     return [(b"Attempt-Id", arrival.id.encode()), SIGNATURE]
 
 
 async def answer_ok(arrival: Arrival, responder: EdgeResponder) -> None:
-    """Answers by the id of the request."""
+    """Sends a success whose body is the id of the request."""
     await responder.send(200, head_of(arrival), arrival.id.encode())
 
 
 async def refuse(arrival: Arrival, responder: EdgeResponder) -> None:
-    """Says that the request did not run."""
+    """Refuses a request with the header that says that it did not run."""
     refusal = (b"Not-Executed", b"1")
     await responder.send(
         503, [(b"Attempt-Id", arrival.id.encode()), refusal], b""
@@ -59,17 +59,17 @@
 
 
 def event(number: int) -> bytes:
-    """Returns an event of a stream."""
+    """Returns the event of a stream with this number."""
     return b"id: %d\ndata: piece %d\n\n" % (number, number)
 
 
 class ScriptedEngine:
-    """An engine whose behaviour a test sets.
+    """An engine or plain service whose behaviour a test sets.
 
     Args:
         name: The engine's id in the store.
         address: `a.b.c.d:port` to listen on.
-        service: The service that it runs.
+        service: The service that it serves.
     """
 
     def __init__(self, name: str, address: str, service: str) -> None:
@@ -87,11 +87,11 @@
 
     @property
     def entry(self) -> bytes:
-        """What it registers while it is ready."""
+        """The store entry that it registers while it is ready."""
         return self.registration("ready")
 
     def registration(self, state: str) -> bytes:
-        """Returns what it registers in a state."""
+        """Returns the store entry that it registers in a state."""
         return orjson.dumps(
             {
                 "service": self.service,
@@ -140,7 +140,7 @@
             raise
 
     def _free(self, handle: str) -> int:
-        """Frees a copy; returns the status of the answer."""
+        """Frees a KV cache copy; returns the HTTP status."""
         self.freed.append(handle)
         return 200
 
--- a/lab/standins/platformfiles.py
+++ b/lab/standins/platformfiles.py
@@ -1,4 +1,4 @@
-"""What the users' operator writes: settings files and configurations."""
+"""Builders of the settings files and configurations that operators write."""
 
 from collections.abc import Iterable, Mapping
 from typing import Any
@@ -10,11 +10,11 @@
 
 
 def settings_text(**fields: object) -> str:
-    """Returns a settings file of a gateway.
+    """Returns the text of a gateway's settings file.
 
     Args:
-        fields: What differs, by name. Dots are written as two underscores:
-            `limits__max_fds`.
+        fields: The settings that differ from the defaults below. Dots in names
+            are written as two underscores: `limits__max_fds`.
     """
     base: dict[str, object] = {
         "node": "front-1",
@@ -52,7 +52,7 @@
     services: Iterable[Any],
     keys: Mapping[str, Iterable[str]],
 ) -> bytes:
-    """Returns a configuration; `keys` are API keys by client account."""
+    """Returns a configuration; `keys` has the API keys by client account."""
     accounts = [{"name": n, "api_keys": list(k)} for n, k in keys.items()]
     return orjson.dumps(
         {
--- a/lab/standins/platformstore.py
+++ b/lab/standins/platformstore.py
@@ -1,6 +1,6 @@
-"""A stand-in for the users' platform store, over the store in memory.
+"""A stand-in for the platform's key-value store, backed by MemoryStore.
 
-It speaks the published HTTP interface. `Faults` sets what goes wrong.
+It implements the published HTTP interface. `Faults` sets the faults.
 """
 
 import base64
@@ -22,14 +22,15 @@
 
 @attrs.define
 class Faults:
-    """What goes wrong.
+    """The faults of the store.
 
     Attributes:
-        status: Each call gets this status; 0 for none.
-        is_silent: No call is answered.
-        lose_answers: So many of the next writes are done and not answered.
-        forgotten: Changes up to this revision are no longer known.
-        page: The most items of a page.
+        status: The status of all responses; 0 for no fault.
+        is_silent: No call gets a response.
+        lose_answers: The number of next writes that are applied but get no
+            response.
+        forgotten: Changes up to this revision are compacted.
+        page: The maximum number of items on a page.
     """
 
     status: int = 0
@@ -57,11 +58,11 @@
 
 
 class PlatformStoreServer:
-    """The store's HTTP interface.
+    """The HTTP interface of the store.
 
     Args:
         address: `a.b.c.d:port` to listen on.
-        clock: The time by which leases lapse.
+        clock: The clock by which leases expire.
     """
 
     def __init__(self, address: str, clock: Clock | None = None) -> None:
@@ -76,13 +77,13 @@
         await self._server.run()
 
     async def put(self, key: str, value: bytes) -> None:
-        """Writes as the operator or an engine does."""
+        """Writes a value, as the operator or an engine does."""
         current = await self.memory.get(key)
         expected = current.revision if current else 0
         await self.memory.swap(key, expected, value)
 
     async def remove(self, key: str) -> None:
-        """Deletes as a lapsed lease does."""
+        """Deletes a key, as an expired lease does."""
         current = await self.memory.get(key)
         if current is not None:
             await self.memory.delete(key, current.revision)
@@ -158,7 +159,7 @@
         return 200, {"events": answer, "at": self.memory.revision}
 
     async def _transact(self, body: JSON) -> tuple[int, JSON]:
-        """Does a transaction of one key, which is all that the gateway asks."""
+        """Applies a transaction of one key; the gateway sends no others."""
         row = body["expected_rev"][0]
         key, expected = row["key"], row["revision"]
         if body["deletes"]:
@@ -171,7 +172,7 @@
             )
         if self.faults.lose_answers:
             self.faults.lose_answers -= 1
-            raise StoreUncertain("the answer is lost")
+            raise StoreUncertain("the response is lost")
         return self._swap_answer(key, swap)
 
     def _swap_answer(self, key: str, swap: Swap) -> tuple[int, JSON]:
--- a/lab/standins/serve.py
+++ b/lab/standins/serve.py
@@ -1,4 +1,4 @@
-"""Runs a stand-in's HTTP interface as a process."""
+"""Runs the HTTP interface of a stand-in as a process."""
 
 import argparse
 
@@ -12,7 +12,7 @@
 
 
 def parser(description: str) -> argparse.ArgumentParser:
-    """Returns a parser with the options that all stand-ins share."""
+    """Returns a parser with the options of all stand-ins."""
     found = argparse.ArgumentParser(description=description)
     found.add_argument("--listen", required=True, help="a.b.c.d:port")
     return found
--- a/lab/standins/service.py
+++ b/lab/standins/service.py
@@ -1,6 +1,6 @@
-"""A stand-in for a plain service: answers calls and logs each of them.
+"""A stand-in for a plain service that answers and logs each call.
 
-A call whose query is `delay_ms=N` is answered after that time.
+A call with the query `delay_ms=N` is answered after N ms.
 """
 
 from typing import Any
@@ -13,13 +13,13 @@
 
 
 class Service:
-    """The service's HTTP interface."""
+    """The HTTP interface of the service."""
 
     def __init__(self) -> None:
         self._log: list[dict[str, Any]] = []
 
     def app(self) -> App:
-        """Returns the application."""
+        """Returns the ASGI application."""
         app = App(MAX_BODY_BYTES)
         app.route("GET", "/log", self._show_log)
         app.route("*", "/", self._call)
--- a/lab/standins/vmlist.py
+++ b/lab/standins/vmlist.py
@@ -1,8 +1,10 @@
-"""A stand-in for the platform's list of VMs: it lags, errs or is silent.
+"""A stand-in for the platform's VM list, which can lag, hang or be wrong.
 
-`POST /vms` with `{"host": ..., "state": ...}` changes a VM; the list shows it
-after `--lag-ms`. `POST /faults` with `{"silent": true}` makes it fail, and with
-`{"wrong": {"10.0.0.1": "leaving"}}` makes it say so whatever is true.
+`POST /vms` with `{"host": ..., "state": ...}` changes the state of a VM; the
+list shows the change after `--lag-ms`. `POST /faults` with `{"silent": true}`
+leaves requests for the list unanswered, and with
+`{"wrong": {"10.0.0.1": "leaving"}}` makes the list show these states instead of
+the true ones.
 """
 
 import time
@@ -18,7 +20,7 @@
 
 @attrs.frozen
 class _Change:
-    """A VM's new state and when the list shows it."""
+    """The new state of a VM and the time when the list shows it."""
 
     host: str
     state: str
@@ -26,10 +28,10 @@
 
 
 class VmListServer:
-    """The list's HTTP interface.
+    """The HTTP interface of the VM list.
 
     Args:
-        lag_ms: How long a change stays unseen.
+        lag_ms: The delay until the list shows a change.
     """
 
     def __init__(self, lag_ms: int) -> None:
@@ -39,7 +41,7 @@
         self._silent = False
 
     def app(self) -> App:
-        """Returns the application."""
+        """Returns the ASGI application."""
         app = App(MAX_BODY_BYTES)
         app.route("GET", "/vms", self._show)
         app.route("POST", "/vms", self._change)
--- a/lab/standins/weights.py
+++ b/lab/standins/weights.py
@@ -1,4 +1,4 @@
-"""A stand-in for the weight store: a few reads a minute, then refusals."""
+"""A stand-in for the weight store, which limits the reads per minute."""
 
 import anyio
 import orjson
@@ -11,11 +11,11 @@
 
 
 class WeightStore:
-    """The weight store's HTTP interface.
+    """The HTTP interface of the weight store.
 
     Args:
         clock: The source of time.
-        reads_per_minute: Reads beyond this are refused with status 429.
+        reads_per_minute: Reads beyond this limit are refused with status 429.
     """
 
     def __init__(self, clock: Clock, reads_per_minute: int) -> None:
@@ -25,7 +25,7 @@
         self._refused = 0
 
     def app(self) -> App:
-        """Returns the application."""
+        """Returns the ASGI application."""
         app = App(MAX_BODY_BYTES)
         app.route("GET", "/weights/", self._read)
         app.route("GET", "/counts", self._show_counts)
