--- a/lab/soak/engines.py
+++ b/lab/soak/engines.py
@@ -226,7 +226,7 @@
         if not self.proxy.is_healthy and request_id in self._active_runs:
             self._active_runs[request_id].run.was_unreachable = True
 
-    def _free(self, handle: str) -> int:
+    def _free_copy(self, handle: str) -> int:
         name = urllib.parse.unquote(handle)
         copy = self._context.copies.get(name)
         if copy is None or self.address not in (copy.source, copy.engine):
@@ -234,7 +234,7 @@
         del self._context.copies[name]
         return 200
 
-    async def _move(
+    async def _handle_migration(
         self, request: EdgeRequest, responder: EdgeResponder
     ) -> None:
         body = orjson.loads(request.body)
--- a/lab/standins/engine.py
+++ b/lab/standins/engine.py
@@ -16,9 +16,9 @@
 import orjson
 
 from lab.enginemodel import EngineModel, EngineParameters, Sequence
-from lab.standins.faults import Faults
+from lab.standins.faults import EngineFaults
 from lab.standins.orders import OrderBoard
-from lab.standins.serve import MAX_BODY_BYTES, parser, serve
+from lab.standins.serve import MAX_BODY_BYTES, make_parser, serve
 from rhubarbwinch.http.httpapi import App, Request, Responder
 
 DEFAULT_TOKENS = 20
@@ -60,10 +60,12 @@
             choice["delta"] = {"role": "assistant", "content": text}
         else:
             choice["text"] = text
-        kind = "chat.completion.chunk" if self.chat else "text_completion"
+        object_type = (
+            "chat.completion.chunk" if self.chat else "text_completion"
+        )
         data = {
             "id": self.name,
-            "object": kind,
+            "object": object_type,
             "created": 0,
             "model": "stand-in",
             "choices": [choice],
@@ -89,8 +91,8 @@
         self._speed = speed
         self._generations: dict[str, Generation] = {}
         self._log: list[dict[str, Any]] = []
-        self._faults = Faults()
-        self._work = anyio.Event()
+        self._faults = EngineFaults()
+        self._has_work = anyio.Event()
 
     def app(self) -> App:
         """Returns the ASGI application."""
@@ -99,9 +101,9 @@
         app.route("POST", "/v1/chat/completions", self._start)
         app.route("GET", "/v1/generations/", self._resume)
         app.route("DELETE", "/v1/generations/", self._cancel)
-        app.route("PATCH", "/v1/generations/", self._prioritise)
+        app.route("PATCH", "/v1/generations/", self._set_priority)
         app.route("POST", "/faults", self._set_faults)
-        app.route("GET", "/load", self._load)
+        app.route("GET", "/load", self._show_load)
         self._orders.add_routes(app)
         app.route("GET", "/log", self._show_log)
         return app
@@ -110,8 +112,8 @@
         """Runs the steps of the engine model until cancelled."""
         while True:
             if not self._model.running and not self._model.waiting:
-                await self._work.wait()
-            self._work = anyio.Event()
+                await self._has_work.wait()
+            self._has_work = anyio.Event()
             step = self._model.step()
             await anyio.sleep(step.ms / 1000 / self._speed)
             for sequence in step.advanced:
@@ -120,7 +122,7 @@
                 generation.changed = anyio.Event()
 
     async def _start(self, request: Request, responder: Responder) -> None:
-        if await self._faults.refuses(responder):
+        if await self._faults.handle_start(responder):
             return
         body = orjson.loads(request.body)
         name = request.headers["x-generation-id"]
@@ -128,12 +130,12 @@
         if POISON in text:
             # Simulates a request that crashes every engine that runs it.
             os._exit(1)
-        found = _LENGTH.search(text)
-        wanted = int(found[1]) if found else DEFAULT_TOKENS
+        match = _LENGTH.search(text)
+        requested_tokens = int(match[1]) if match else DEFAULT_TOKENS
         sequence = Sequence(
             name,
             prompt_tokens=len(text) // 4,
-            output_tokens=min(wanted, body["max_tokens"]),
+            output_tokens=min(requested_tokens, body["max_tokens"]),
             priority=int(request.headers.get("x-priority", 0)),
         )
         chat = "chat" in request.path
@@ -141,7 +143,7 @@
         self._generations[name] = generation
         self._log.append({"generation": name, "tokens": sequence.output_tokens})
         self._model.add(sequence)
-        self._work.set()
+        self._has_work.set()
         await self._send(generation, 0, responder)
 
     async def _resume(self, request: Request, responder: Responder) -> None:
@@ -159,13 +161,15 @@
         self._log.append({"cancelled": name})
         await responder.json(b"{}")
 
-    async def _prioritise(self, request: Request, responder: Responder) -> None:
+    async def _set_priority(
+        self, request: Request, responder: Responder
+    ) -> None:
         priority = orjson.loads(request.body)["priority"]
         self._model.set_priority(request.path.rpartition("/")[2], priority)
         await responder.json(b"{}")
 
     async def _set_faults(self, request: Request, responder: Responder) -> None:
-        self._faults.set(orjson.loads(request.body))
+        self._faults.set_faults(orjson.loads(request.body))
         await responder.json(b"{}")
 
     async def _send(
@@ -186,7 +190,7 @@
                 await changed.wait()
         await responder.write(b"data: [DONE]\n\n", more=False)
 
-    async def _load(self, _: Request, responder: Responder) -> None:
+    async def _show_load(self, _: Request, responder: Responder) -> None:
         model = self._model
         data = {
             "age_ms": 0,
@@ -211,7 +215,7 @@
 
 def main() -> None:
     """Runs the stand-in."""
-    options_parser = parser("Model engine")
+    options_parser = make_parser("Model engine")
     options_parser.add_argument("--speed", type=float, default=1.0)
     options_parser.add_argument("--ignore-fencing", action="store_true")
     options_parser.add_argument("--weights", default="")
--- a/lab/standins/faults.py
+++ b/lab/standins/faults.py
@@ -9,7 +9,7 @@
 
 
 @attrs.define
-class Faults:
+class EngineFaults:
     """The pending faults, set by `POST /faults`; each happens once.
 
     Attributes:
@@ -34,12 +34,12 @@
     late_ms: int = 0
     refuse: int = 0
 
-    def set(self, wanted: dict[str, Any]) -> None:
+    def set_faults(self, requested: dict[str, Any]) -> None:
         """Sets faults by attribute name."""
-        for name, value in wanted.items():
+        for name, value in requested.items():
             setattr(self, name, value)
 
-    async def refuses(self, responder: Responder) -> bool:
+    async def handle_start(self, responder: Responder) -> bool:
         """Applies the faults of a start; returns whether it was refused."""
         if self.refuse:
             self.refuse -= 1
@@ -53,24 +53,24 @@
         self, index: int, event: bytes, generation: str, responder: Responder
     ) -> bool:
         """Sends an event with its faults; returns False if the stream ended."""
-        if self._take("cut_at", index):
+        if self._pop_fault("cut_at", index):
             return False
-        if self._take("freeze_at", index):
+        if self._pop_fault("freeze_at", index):
             await anyio.sleep_forever()
-        if self._take("done_at", index):
+        if self._pop_fault("done_at", index):
             await responder.write(b"data: [DONE]\n\n", more=False)
             return False
-        if self._take("foreign_at", index):
+        if self._pop_fault("foreign_at", index):
             other = event.replace(generation.encode(), b"other-1~engine")
             await responder.write(other)
-        if self._take("gap_at", index):
+        if self._pop_fault("gap_at", index):
             return True
         await responder.write(event)
-        if self._take("duplicate_at", index):
+        if self._pop_fault("duplicate_at", index):
             await responder.write(event)
         return True
 
-    def _take(self, name: str, index: int) -> bool:
+    def _pop_fault(self, name: str, index: int) -> bool:
         if getattr(self, name) != index:
             return False
         setattr(self, name, None)
--- a/lab/standins/kvstore.py
+++ b/lab/standins/kvstore.py
@@ -10,7 +10,7 @@
 import anyio
 import orjson
 
-from lab.standins.serve import MAX_BODY_BYTES, parser, serve
+from lab.standins.serve import MAX_BODY_BYTES, make_parser, serve
 from rhubarbwinch.http.httpapi import App, Request, Responder
 from rhubarbwinch.shared.clock import SystemClock
 from rhubarbwinch.shared.exceptions import StoreError, StoreUncertain
@@ -20,23 +20,23 @@
 JSON = dict[str, Any]
 
 
-def _text(value: str) -> str:
+def _decode_text(value: str) -> str:
     return base64.b64decode(value).decode()
 
 
-def _b64(data: bytes) -> str:
+def _encode_base64(data: bytes) -> str:
     return base64.b64encode(data).decode()
 
 
-def _kv(entry: Entry) -> JSON:
+def _format_entry(entry: Entry) -> JSON:
     return {
-        "key": _b64(entry.key.encode()),
-        "value": _b64(entry.value),
+        "key": _encode_base64(entry.key.encode()),
+        "value": _encode_base64(entry.value),
         "mod_revision": str(entry.revision),
     }
 
 
-class Gateway:
+class EtcdServer:
     """The HTTP interface of the store."""
 
     def __init__(self) -> None:
@@ -50,14 +50,14 @@
         app.route("POST", "/v3/kv/range", self._range)
         app.route("POST", "/v3/kv/txn", self._txn)
         app.route("POST", "/v3/lease/grant", self._grant)
-        app.route("POST", "/v3/lease/keepalive", self._keep)
+        app.route("POST", "/v3/lease/keepalive", self._renew)
         app.route("POST", "/v3/lease/revoke", self._revoke)
         app.route("POST", "/v3/watch", self._watch)
         app.route("POST", "/faults", self._set_faults)
         app.route("GET", "/counts", self._show_counts)
         return app
 
-    async def _begin(self, request: Request) -> JSON:
+    async def _receive(self, request: Request) -> JSON:
         self._counts[request.path] = self._counts.get(request.path, 0) + 1
         if self._delay_ms:
             await anyio.sleep(self._delay_ms / 1000)
@@ -67,28 +67,35 @@
         return {"revision": str(self._store.revision)}
 
     async def _range(self, request: Request, responder: Responder) -> None:
-        body = await self._begin(request)
+        body = await self._receive(request)
         try:
-            kvs = await self._find(body)
+            kvs = await self._read_range(body)
         except StoreError as error:
             await responder.json(orjson.dumps({"error": str(error)}), 503)
             return
-        answer = {"header": self._header(), "kvs": kvs, "count": str(len(kvs))}
-        await responder.json(orjson.dumps(answer))
-
-    async def _find(self, body: JSON) -> list[JSON]:
-        key = _text(body["key"])
+        response = {
+            "header": self._header(),
+            "kvs": kvs,
+            "count": str(len(kvs)),
+        }
+        await responder.json(orjson.dumps(response))
+
+    async def _read_range(self, body: JSON) -> list[JSON]:
+        key = _decode_text(body["key"])
         if "range_end" in body:
             # Clients only request whole prefixes, so range_end is implied.
             listing = await self._store.scan(key)
-            return [_kv(entry) for entry in listing.entries]
+            return [_format_entry(entry) for entry in listing.entries]
         entry = await self._store.get(key)
-        return [_kv(entry)] if entry else []
+        return [_format_entry(entry)] if entry else []
 
     async def _txn(self, request: Request, responder: Responder) -> None:
-        body = await self._begin(request)
+        body = await self._receive(request)
         compare, success = body["compare"][0], body["success"][0]
-        key, expected = _text(compare["key"]), int(compare["mod_revision"])
+        key, expected = (
+            _decode_text(compare["key"]),
+            int(compare["mod_revision"]),
+        )
         try:
             if "request_put" in success:
                 put = success["request_put"]
@@ -106,34 +113,36 @@
         except StoreError as error:
             await responder.json(orjson.dumps({"error": str(error)}), 503)
             return
-        answer: JSON = {"header": self._header(), "succeeded": swap.won}
+        response: JSON = {"header": self._header(), "succeeded": swap.won}
         if not swap.won:
-            kvs = [_kv(swap.current)] if swap.current else []
-            answer["responses"] = [{"response_range": {"kvs": kvs}}]
-        await responder.json(orjson.dumps(answer))
+            kvs = [_format_entry(swap.current)] if swap.current else []
+            response["responses"] = [{"response_range": {"kvs": kvs}}]
+        await responder.json(orjson.dumps(response))
 
     async def _grant(self, request: Request, responder: Responder) -> None:
-        body = await self._begin(request)
+        body = await self._receive(request)
         try:
             lease = await self._store.grant_lease(int(body["TTL"]) * 1000)
         except StoreError as error:
             await responder.json(orjson.dumps({"error": str(error)}), 503)
             return
-        answer = {"ID": str(lease), "TTL": body["TTL"]}
-        await responder.json(orjson.dumps(answer))
+        response = {"ID": str(lease), "TTL": body["TTL"]}
+        await responder.json(orjson.dumps(response))
 
-    async def _keep(self, request: Request, responder: Responder) -> None:
-        body = await self._begin(request)
+    async def _renew(self, request: Request, responder: Responder) -> None:
+        body = await self._receive(request)
         try:
-            left = await self._store.keep_lease(int(body["ID"]))
+            remaining_ms = await self._store.keep_lease(int(body["ID"]))
         except StoreError as error:
             await responder.json(orjson.dumps({"error": str(error)}), 503)
             return
-        answer = {"result": {"ID": body["ID"], "TTL": str(left // 1000)}}
-        await responder.json(orjson.dumps(answer))
+        response = {
+            "result": {"ID": body["ID"], "TTL": str(remaining_ms // 1000)}
+        }
+        await responder.json(orjson.dumps(response))
 
     async def _revoke(self, request: Request, responder: Responder) -> None:
-        body = await self._begin(request)
+        body = await self._receive(request)
         try:
             await self._store.revoke_lease(int(body["ID"]))
         except StoreError as error:
@@ -142,7 +151,7 @@
         await responder.json(orjson.dumps({"header": self._header()}))
 
     async def _watch(self, request: Request, responder: Responder) -> None:
-        body = await self._begin(request)
+        body = await self._receive(request)
         create = body["create_request"]
         after = int(create.get("start_revision", 1)) - 1
         await responder.start(200, [(b"content-type", b"application/json")])
@@ -151,16 +160,19 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._send_progress, responder)
             try:
-                prefix = _text(create["key"])
+                prefix = _decode_text(create["key"])
                 async for change in self._store.watch(prefix, after):
                     if change.entry is None:
                         kv = {
-                            "key": _b64(change.key.encode()),
+                            "key": _encode_base64(change.key.encode()),
                             "mod_revision": str(change.revision),
                         }
                         event = {"type": "DELETE", "kv": kv}
                     else:
-                        event = {"type": "PUT", "kv": _kv(change.entry)}
+                        event = {
+                            "type": "PUT",
+                            "kv": _format_entry(change.entry),
+                        }
                     result = {"header": self._header(), "events": [event]}
                     line = orjson.dumps({"result": result}) + b"\n"
                     await responder.write(line)
@@ -190,8 +202,8 @@
 
 def main() -> None:
     """Runs the stand-in."""
-    options = parser("Key-value store").parse_args()
-    anyio.run(serve, Gateway().app(), options.listen)
+    options = make_parser("Key-value store").parse_args()
+    anyio.run(serve, EtcdServer().app(), options.listen)
 
 
 if __name__ == "__main__":
--- a/lab/standins/orders.py
+++ b/lab/standins/orders.py
@@ -10,7 +10,7 @@
 
 
 @attrs.frozen
-class TakenOrder:
+class AppliedOrder:
     """An order that was applied."""
 
     kind: str
@@ -28,7 +28,7 @@
     """
 
     def __init__(self, checks_fencing: bool, weights: str = "") -> None:
-        self.log: list[TakenOrder] = []
+        self.log: list[AppliedOrder] = []
         self._checks_fencing = checks_fencing
         self._weights = weights
         self._loaded: set[str] = set()
@@ -37,7 +37,7 @@
 
     def add_routes(self, app: App) -> None:
         """Adds the HTTP routes for orders."""
-        app.route("POST", "/orders", self._take)
+        app.route("POST", "/orders", self._handle_order)
         app.route("GET", "/state", self._show_state)
         app.route("GET", "/order-log", self._show_log)
 
@@ -52,22 +52,24 @@
             self._loaded.discard(subject)
         else:
             self._role = subject
-        self.log.append(TakenOrder(kind, subject, fence))
+        self.log.append(AppliedOrder(kind, subject, fence))
         return True
 
     def state(self) -> dict[str, Any]:
         """Returns the loaded subjects and the role."""
         return {"loaded": sorted(self._loaded), "role": self._role}
 
-    async def _take(self, request: Request, responder: Responder) -> None:
+    async def _handle_order(
+        self, request: Request, responder: Responder
+    ) -> None:
         data = orjson.loads(request.body)
-        if data["kind"] == "load" and not await self._fetch(data["subject"]):
+        if data["kind"] == "load" and not await self._can_load(data["subject"]):
             await responder.json(b'{"error":"no weights"}', 503)
             return
-        taken = self.take(data["kind"], data["subject"], data["fence"])
-        await responder.json(b"{}", 200 if taken else 409)
+        applied = self.take(data["kind"], data["subject"], data["fence"])
+        await responder.json(b"{}", 200 if applied else 409)
 
-    async def _fetch(self, subject: str) -> bool:
+    async def _can_load(self, subject: str) -> bool:
         """Reads weights from the weight store, if any; returns the success."""
         if not self._weights:
             return True
--- a/lab/standins/platformengine.py
+++ b/lab/standins/platformengine.py
@@ -15,7 +15,7 @@
 from rhubarbwinch.gateway.wire import Headers
 from rhubarbwinch.shared.clock import SystemClock
 
-FREE_PATH = b"/kv-handle/"
+HANDLE_PATH = b"/kv-handle/"
 SIGNATURE = (b"Server-Signature", b"sig")
 
 
@@ -113,22 +113,22 @@
     async def _handle(
         self, request: EdgeRequest, responder: EdgeResponder
     ) -> None:
-        names = {
+        fields = {
             n.decode().lower(): v.decode("latin-1") for n, v in request.headers
         }
-        arrival = Arrival(request, names)
+        arrival = Arrival(request, fields)
         if request.target == b"/kv-move":
-            await self._move(request, responder)
+            await self._handle_migration(request, responder)
             return
-        if request.target.startswith(FREE_PATH):
-            handle = request.target.removeprefix(FREE_PATH).decode()
-            await responder.send(self._free(handle), [], b"{}")
+        if request.target.startswith(HANDLE_PATH):
+            handle = request.target.removeprefix(HANDLE_PATH).decode()
+            await responder.send(self._free_copy(handle), [], b"{}")
             return
         if request.target == b"/report":
             report = {"state": "ready", "leaves_ms": self.leaves_ms}
             await responder.send(200, [], orjson.dumps(report))
             return
-        expected = names.get("expect-instance")
+        expected = fields.get("expect-instance")
         if expected != self.name:
             await responder.send(421, [], b"")
             return
@@ -139,17 +139,17 @@
             self.left += 1
             raise
 
-    def _free(self, handle: str) -> int:
+    def _free_copy(self, handle: str) -> int:
         """Frees a KV cache copy; returns the HTTP status."""
         self.freed.append(handle)
         return 200
 
-    async def _move(
+    async def _handle_migration(
         self, request: EdgeRequest, responder: EdgeResponder
     ) -> None:
         body = orjson.loads(request.body)
         self.moves.append(body)
-        answer = {"handle": f"h-{body['id']}", "created": 0}
+        response = {"handle": f"h-{body['id']}", "created": 0}
         if self.move_status != 200:
-            answer = {}
-        await responder.send(self.move_status, [], orjson.dumps(answer))
+            response = {}
+        await responder.send(self.move_status, [], orjson.dumps(response))
--- a/lab/standins/platformstore.py
+++ b/lab/standins/platformstore.py
@@ -1,6 +1,6 @@
 """A stand-in for the platform's key-value store, backed by MemoryStore.
 
-It implements the published HTTP interface. `Faults` sets the faults.
+It implements the published HTTP interface. `StoreFaults` sets the faults.
 """
 
 import base64
@@ -21,7 +21,7 @@
 
 
 @attrs.define
-class Faults:
+class StoreFaults:
     """The faults of the store.
 
     Attributes:
@@ -40,7 +40,7 @@
     page: int = 500
 
 
-def _row(entry: Entry) -> JSON:
+def _format_entry(entry: Entry) -> JSON:
     return {
         "key": entry.key,
         "value": base64.b64encode(entry.value).decode(),
@@ -50,11 +50,11 @@
     }
 
 
-def _event(change: Change) -> JSON:
+def _format_change(change: Change) -> JSON:
     if change.entry is None:
         row = {"key": change.key, "revision": change.revision}
         return row | {"tombstone": True}
-    return _row(change.entry)
+    return _format_entry(change.entry)
 
 
 class PlatformStoreServer:
@@ -68,7 +68,7 @@
     def __init__(self, address: str, clock: Clock | None = None) -> None:
         self.address = address
         self.memory = MemoryStore(clock or SystemClock())
-        self.faults = Faults()
+        self.faults = StoreFaults()
         self.calls: list[str] = []
         self._server = EdgeServer(address, self._handle, SystemClock())
 
@@ -100,33 +100,35 @@
             return
         params = {k: v[0] for k, v in parse_qs(query).items()}
         body = orjson.loads(request.body or b"{}")
-        status, answer = await self._answer(path, params, body)
-        await responder.send(status, [], orjson.dumps(answer))
+        status, response = await self._route(path, params, body)
+        await responder.send(status, [], orjson.dumps(response))
 
-    async def _answer(
+    async def _route(
         self, path: str, params: dict[str, str], body: JSON
     ) -> tuple[int, JSON]:
         name, _, rest = path.lstrip("/").partition("/")
         if name == "kv-key":
             entry = await self.memory.get(params["key"])
-            return (200, _row(entry)) if entry else (404, {})
+            return (200, _format_entry(entry)) if entry else (404, {})
         if name == "kv-range":
             return await self._range(params)
         if name == "kv-watch":
             return await self._watch(params)
         if name == "kv-txn":
-            return await self._transact(body)
-        return await self._answer_lease(name, rest, body)
+            return await self._apply_transaction(body)
+        return await self._handle_lease(name, rest, body)
 
-    async def _answer_lease(
+    async def _handle_lease(
         self, name: str, rest: str, body: JSON
     ) -> tuple[int, JSON]:
         if name == "kv-lease":
             lease = await self.memory.grant_lease(body["ttl_ms"])
             return 200, {"lease": lease, "ttl_ms": body["ttl_ms"]}
         if name == "kv-keep":
-            left = await self.memory.keep_lease(int(rest))
-            return (200, {"ttl_ms": left}) if left else (404, {})
+            remaining_ms = await self.memory.keep_lease(int(rest))
+            return (
+                (200, {"ttl_ms": remaining_ms}) if remaining_ms else (404, {})
+            )
         if name != "kv-lease-end":
             return 404, {}
         await self.memory.revoke_lease(int(rest))
@@ -138,7 +140,7 @@
         entries = [e for e in listing.entries if e.key > after]
         page = entries[: self.faults.page]
         return 200, {
-            "items": [_row(entry) for entry in page],
+            "items": [_format_entry(entry) for entry in page],
             "has_more": len(entries) > len(page),
             "at": self.memory.revision,
         }
@@ -155,10 +157,10 @@
             for change in self.memory.changes
             if change.revision > after and change.key.startswith(prefix)
         ]
-        answer = [_event(change) for change in changes]
-        return 200, {"events": answer, "at": self.memory.revision}
+        response = [_format_change(change) for change in changes]
+        return 200, {"events": response, "at": self.memory.revision}
 
-    async def _transact(self, body: JSON) -> tuple[int, JSON]:
+    async def _apply_transaction(self, body: JSON) -> tuple[int, JSON]:
         """Applies a transaction of one key; the gateway sends no others."""
         row = body["expected_rev"][0]
         key, expected = row["key"], row["revision"]
@@ -173,10 +175,10 @@
         if self.faults.lose_answers:
             self.faults.lose_answers -= 1
             raise StoreUncertain("the response is lost")
-        return self._swap_answer(key, swap)
+        return self._format_swap(key, swap)
 
-    def _swap_answer(self, key: str, swap: Swap) -> tuple[int, JSON]:
+    def _format_swap(self, key: str, swap: Swap) -> tuple[int, JSON]:
         if swap.won:
             return 200, {"revision": swap.revision}
-        current = _row(swap.current) if swap.current else {"key": key}
+        current = _format_entry(swap.current) if swap.current else {"key": key}
         return 412, {"items": [{"revision": 0} | current]}
--- a/lab/standins/serve.py
+++ b/lab/standins/serve.py
@@ -11,11 +11,11 @@
 MAX_BODY_BYTES = 16 << 20
 
 
-def parser(description: str) -> argparse.ArgumentParser:
+def make_parser(description: str) -> argparse.ArgumentParser:
     """Returns a parser with the options of all stand-ins."""
-    found = argparse.ArgumentParser(description=description)
-    found.add_argument("--listen", required=True, help="a.b.c.d:port")
-    return found
+    parser = argparse.ArgumentParser(description=description)
+    parser.add_argument("--listen", required=True, help="a.b.c.d:port")
+    return parser
 
 
 async def serve(app: App, address: str) -> None:
--- a/lab/standins/service.py
+++ b/lab/standins/service.py
@@ -8,7 +8,7 @@
 import anyio
 import orjson
 
-from lab.standins.serve import MAX_BODY_BYTES, parser, serve
+from lab.standins.serve import MAX_BODY_BYTES, make_parser, serve
 from rhubarbwinch.http.httpapi import App, Request, Responder
 
 
@@ -29,11 +29,11 @@
         key = request.headers.get("idempotency-key", "")
         call = {"method": request.method, "path": request.path, "key": key}
         self._log.append(call)
-        answer = {"number": len(self._log)} | call
+        response = {"number": len(self._log)} | call
         delay = request.query.removeprefix("delay_ms=")
         if delay.isdecimal():
             await anyio.sleep(int(delay) / 1000)
-        await responder.json(orjson.dumps(answer))
+        await responder.json(orjson.dumps(response))
 
     async def _show_log(self, _: Request, responder: Responder) -> None:
         await responder.json(orjson.dumps(self._log))
@@ -41,7 +41,7 @@
 
 def main() -> None:
     """Runs the stand-in."""
-    options = parser("Plain service").parse_args()
+    options = make_parser("Plain service").parse_args()
     anyio.run(serve, Service().app(), options.listen)
 
 
--- a/lab/standins/vmlist.py
+++ b/lab/standins/vmlist.py
@@ -14,7 +14,7 @@
 import attrs
 import orjson
 
-from lab.standins.serve import MAX_BODY_BYTES, parser, serve
+from lab.standins.serve import MAX_BODY_BYTES, make_parser, serve
 from rhubarbwinch.http.httpapi import App, Request, Responder
 
 
@@ -37,27 +37,27 @@
     def __init__(self, lag_ms: int) -> None:
         self._lag_s = lag_ms / 1000
         self._changes: list[_Change] = []
-        self._wrong: dict[str, str] = {}
+        self._overrides: dict[str, str] = {}
         self._silent = False
 
     def app(self) -> App:
         """Returns the ASGI application."""
         app = App(MAX_BODY_BYTES)
-        app.route("GET", "/vms", self._show)
-        app.route("POST", "/vms", self._change)
+        app.route("GET", "/vms", self._show_vms)
+        app.route("POST", "/vms", self._change_vm)
         app.route("POST", "/faults", self._set_faults)
         return app
 
-    async def _show(self, _: Request, responder: Responder) -> None:
+    async def _show_vms(self, _: Request, responder: Responder) -> None:
         if self._silent:
             await anyio.sleep_forever()
         now = time.monotonic()
         shown = {c.host: c.state for c in self._changes if c.shown_at <= now}
-        shown |= self._wrong
+        shown |= self._overrides
         items = [{"host": h, "state": s} for h, s in sorted(shown.items())]
         await responder.json(orjson.dumps(items))
 
-    async def _change(self, request: Request, responder: Responder) -> None:
+    async def _change_vm(self, request: Request, responder: Responder) -> None:
         body: dict[str, Any] = orjson.loads(request.body)
         shown_at = time.monotonic() + self._lag_s
         change = _Change(body["host"], body["state"], shown_at)
@@ -67,13 +67,13 @@
     async def _set_faults(self, request: Request, responder: Responder) -> None:
         body = orjson.loads(request.body)
         self._silent = body.get("silent", self._silent)
-        self._wrong = body.get("wrong", self._wrong)
+        self._overrides = body.get("wrong", self._overrides)
         await responder.json(b"{}")
 
 
 def main() -> None:
     """Runs the stand-in."""
-    options_parser = parser("List of VMs")
+    options_parser = make_parser("List of VMs")
     options_parser.add_argument("--lag-ms", type=int, default=2000)
     options = options_parser.parse_args()
     server = VmListServer(options.lag_ms)
--- a/lab/standins/weights.py
+++ b/lab/standins/weights.py
@@ -3,7 +3,7 @@
 import anyio
 import orjson
 
-from lab.standins.serve import MAX_BODY_BYTES, parser, serve
+from lab.standins.serve import MAX_BODY_BYTES, make_parser, serve
 from rhubarbwinch.http.httpapi import App, Request, Responder
 from rhubarbwinch.shared.clock import Clock, SystemClock
 
@@ -20,9 +20,9 @@
 
     def __init__(self, clock: Clock, reads_per_minute: int) -> None:
         self._clock = clock
-        self._per_minute = reads_per_minute
-        self._read_at: list[int] = []
-        self._refused = 0
+        self._reads_per_minute = reads_per_minute
+        self._read_times: list[int] = []
+        self._refused_count = 0
 
     def app(self) -> App:
         """Returns the ASGI application."""
@@ -33,22 +33,22 @@
 
     async def _read(self, _: Request, responder: Responder) -> None:
         now = self._clock.now()
-        self._read_at = [t for t in self._read_at if now - t < MINUTE_MS]
-        if len(self._read_at) >= self._per_minute:
-            self._refused += 1
+        self._read_times = [t for t in self._read_times if now - t < MINUTE_MS]
+        if len(self._read_times) >= self._reads_per_minute:
+            self._refused_count += 1
             await responder.json(b"{}", 429)
             return
-        self._read_at.append(now)
+        self._read_times.append(now)
         await responder.json(b"{}")
 
     async def _show_counts(self, _: Request, responder: Responder) -> None:
-        data = {"reads": len(self._read_at), "refused": self._refused}
+        data = {"reads": len(self._read_times), "refused": self._refused_count}
         await responder.json(orjson.dumps(data))
 
 
 def main() -> None:
     """Runs the stand-in."""
-    options_parser = parser("Weight store")
+    options_parser = make_parser("Weight store")
     options_parser.add_argument("--reads-per-minute", type=int, default=60)
     options = options_parser.parse_args()
     store = WeightStore(SystemClock(), options.reads_per_minute)
