--- a/lab/seeded/endpoints.py
+++ b/lab/seeded/endpoints.py
@@ -181,8 +181,8 @@
         await self._clock.sleep(CALL_STEP_MS)
         if self.draw_fault():
             raise EndpointError("the connection broke", sent=True)
-        answer = {"number": number, "key": key, "marker": marker}
-        return httpx.Response(200, json=answer)
+        response_body = {"number": number, "key": key, "marker": marker}
+        return httpx.Response(200, json=response_body)
 
 
 class SeededEndpoints(EndpointClient):
--- a/lab/soak/callers.py
+++ b/lab/soak/callers.py
@@ -123,10 +123,10 @@
         now = self._context.clock.now()
         if now >= self._lookup_expires_ms:
             await self._resolve_gateways()
-        found = [
+        available = [
             a for a in self._addresses if self._avoided_until.get(a, 0) <= now
         ] or self._addresses
-        return self._rng.choice(found) if found else None
+        return self._rng.choice(available) if available else None
 
     async def _resolve_gateways(self) -> None:
         directories = self._context.directories
--- a/lab/soak/faults.py
+++ b/lab/soak/faults.py
@@ -22,7 +22,7 @@
 # heartbeats after which an engine's entry in the store is removed.
 LEAVING_NOTICE_S = 2.0
 ENTRY_EXPIRY_S = 1.5
-REPEATS = 4
+REPEAT_COUNT = 4
 # Further signals for a gateway that was told to stop.
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGTERM, signal.SIGHUP, signal.SIGKILL)
 
@@ -46,7 +46,7 @@
         case 4:
             faults.is_refusing = True
         case _:
-            for _ in range(REPEATS):
+            for _ in range(REPEAT_COUNT):
                 proxy.reset()
                 await anyio.sleep(rng.uniform(0, MIN_DURATION_S))
     await _wait_duration(rng)
@@ -85,7 +85,7 @@
         case 1:
             faults.is_silent = True
         case 2:
-            faults.lose_answers = REPEATS
+            faults.lose_answers = REPEAT_COUNT
         case _:
             faults.forgotten = world.store.memory.revision
     await _wait_duration(rng)
@@ -167,7 +167,7 @@
 @FAULTS.register("configuration")
 async def change_configuration(world: World, rng: random.Random) -> None:
     """Publishes new configuration versions with changed API keys."""
-    for _ in range(rng.randrange(1, REPEATS + 1)):
+    for _ in range(rng.randrange(1, REPEAT_COUNT + 1)):
         world.version += rng.randrange(1, 4)
         world.keys["b"] = f"key-b-{world.version}"
         await world.publish_configuration()
@@ -188,7 +188,7 @@
     """A gateway gets SIGTERM, maybe further signals, and is restarted."""
     gateway = _pick_gateway(world, rng)
     world.signal(gateway, signal.SIGTERM)
-    for _ in range(rng.randrange(REPEATS)):
+    for _ in range(rng.randrange(REPEAT_COUNT)):
         world.signal(gateway, rng.choice(STOP_SIGNALS))
         await anyio.sleep(rng.uniform(0, MIN_DURATION_S))
     await world.restart_after_exit(gateway, rng.uniform(0, MAX_DURATION_S))
@@ -216,7 +216,7 @@
 async def change_settings(world: World, rng: random.Random) -> None:
     """The settings file changes repeatedly, with or without SIGHUP."""
     gateway = _pick_gateway(world, rng)
-    for _ in range(REPEATS):
+    for _ in range(REPEAT_COUNT):
         world.write_settings(gateway, memory_mb=rng.randrange(180, 230))
         if rng.random() < 0.7:
             world.signal(gateway, signal.SIGHUP)
--- a/tests/lab/test_seeded.py
+++ b/tests/lab/test_seeded.py
@@ -66,14 +66,16 @@
         self.assertTrue(_violations_of([refused], [Run("e", "m1", "", 3, "g")]))
 
     def test_a_second_run_and_a_wrong_outcome_are_found(self):
-        told = Attempt(
+        answered = Attempt(
             1, RequestKind.BOOKING, "m1", "k", "entry", End.ANSWERED, 200
         )
-        told.body = b'{"number":1,"key":"k"}'
+        answered.body = b'{"number":1,"key":"k"}'
         once = [Run("d", "m1", "k", 1)]
-        self.assertEqual(_violations_of([told], once), [])
-        self.assertTrue(_violations_of([told], [*once, Run("d", "m1", "k", 2)]))
-        self.assertTrue(_violations_of([told], [Run("d", "m1", "k", 2)]))
+        self.assertEqual(_violations_of([answered], once), [])
+        self.assertTrue(
+            _violations_of([answered], [*once, Run("d", "m1", "k", 2)])
+        )
+        self.assertTrue(_violations_of([answered], [Run("d", "m1", "k", 2)]))
 
     def test_another_callers_response_is_found(self):
         wrong = Attempt(
--- a/tests/soak/test_check.py
+++ b/tests/soak/test_check.py
@@ -55,16 +55,16 @@
     def failed_checks(self, attempts, runs, **fields):
         """Returns the names of the checks that fail for these records."""
         journal = Journal(attempts, runs, **fields)
-        found = find_violations(journal, with_times=True)
-        return {line.partition(":")[0] for line in found}
+        violated = find_violations(journal, with_times=True)
+        return {line.partition(":")[0] for line in violated}
 
     def test_records_of_a_served_request_pass(self):
         for kind in RequestKind:
             with self.subTest(kind=kind):
-                found = self.failed_checks(
+                violated = self.failed_checks(
                     [attempt(kind=kind)], [run(kind=kind.value)]
                 )
-                self.assertEqual(found, set())
+                self.assertEqual(violated, set())
 
     def test_a_run_without_a_matching_request_is_reported(self):
         wrong = (
@@ -101,24 +101,24 @@
 
     def test_a_not_run_status_for_a_request_that_ran_is_reported(self):
         refused = attempt(kind=RequestKind.ONCE, status=503, sent_ms=0)
-        found = self.failed_checks(
+        violated = self.failed_checks(
             [refused, attempt("q2")], [run(kind="once")], recovered_from_ms=500
         )
-        self.assertEqual(found, {"true refusals"})
+        self.assertEqual(violated, {"true refusals"})
 
     def test_a_success_without_the_full_response_is_reported(self):
         for fields in ({"is_signed": False}, {"response": b"q2 of 4 bytes"}):
             with self.subTest(fields=fields):
-                found = self.failed_checks([attempt(**fields)], [run()])
-                self.assertEqual(found, {"own answer"})
+                violated = self.failed_checks([attempt(**fields)], [run()])
+                self.assertEqual(violated, {"own answer"})
 
     def test_missing_or_duplicated_events_are_reported(self):
         one, two, three = (event("q1", n) for n in (1, 2, 3))
         for response in (one + three, one + one, one + two, event("q2", 1)):
             with self.subTest(response=response):
                 draft = attempt(kind=RequestKind.DRAFT, response=response)
-                found = self.failed_checks([draft], [run(kind="draft")])
-                self.assertEqual(found, {"order"})
+                violated = self.failed_checks([draft], [run(kind="draft")])
+                self.assertEqual(violated, {"order"})
 
     def test_retries_beyond_the_budget_are_reported(self):
         attempts = [attempt(f"q{i}") for i in range(10)]
@@ -130,24 +130,24 @@
         disconnected = attempt(
             has_disconnected=True, is_complete=False, ended_ms=1_050
         )
-        found = self.failed_checks(
+        violated = self.failed_checks(
             [disconnected, attempt("q2")], [run(ended_ms=2_100), run("q2")]
         )
-        self.assertEqual(found, {"gone"})
+        self.assertEqual(violated, {"gone"})
 
     def test_failures_after_recovery_are_reported(self):
         failed = attempt(status=502)
         self.assertEqual(self.failed_checks([failed], []), {"recovery"})
         early = attempt(status=502, sent_ms=100)
-        found = self.failed_checks(
+        violated = self.failed_checks(
             [early, attempt("q2")], [run("q2")], recovered_from_ms=500
         )
-        self.assertEqual(found, set())
+        self.assertEqual(violated, set())
 
     def test_an_invalid_key_without_a_401_is_reported(self):
         invalid = attempt(is_allowed=False, status=503)
-        found = self.failed_checks([invalid, attempt("q2")], [run("q2")])
-        self.assertEqual(found, {"keys"})
+        violated = self.failed_checks([invalid, attempt("q2")], [run("q2")])
+        self.assertEqual(violated, {"keys"})
 
     def test_an_unexpected_exit_or_too_much_memory_is_reported(self):
         for fields in (
@@ -155,14 +155,14 @@
             {"peak_mb": 300.0},
         ):
             with self.subTest(fields=fields):
-                found = self.failed_checks([attempt()], [run()], **fields)
-                self.assertEqual(found, {"processes"})
+                violated = self.failed_checks([attempt()], [run()], **fields)
+                self.assertEqual(violated, {"processes"})
 
     def test_a_gateway_that_exceeds_its_grace_period_is_reported(self):
-        found = self.failed_checks(
+        violated = self.failed_checks(
             [attempt()], [run()], overdue_gateways=["g1"]
         )
-        self.assertEqual(found, {"grace"})
+        self.assertEqual(violated, {"grace"})
 
     def test_each_check_has_a_test_above(self):
         names = {
