--- a/lab/seeded/check.py
+++ b/lab/seeded/check.py
@@ -106,7 +106,7 @@
     text = orjson.loads(attempt.body)["choices"][0]["text"]
     words = [word.split(".") for word in text.split()]
     if Counter(word[0] for word in words).keys() != {attempt.marker}:
-        return [f"{attempt.marker}: answer {text!r}"]
+        return [f"{attempt.marker}: response {text!r}"]
     if [int(word[1]) for word in words] != list(range(len(words))):
-        return [f"{attempt.marker}: answer {text!r}"]
+        return [f"{attempt.marker}: response {text!r}"]
     return []
--- a/lab/seeded/run.py
+++ b/lab/seeded/run.py
@@ -197,7 +197,7 @@
 
 
 async def _probe(world: World, tasks: anyio.abc.TaskGroup) -> list[str]:
-    """Checks that requests after the faults all succeed without a retry."""
+    """Checks that requests after the faults all succeed in RECOVERY_MS."""
     finished: list[Attempt] = []
 
     async def call(number: int) -> None:
--- a/lab/soak/check.py
+++ b/lab/soak/check.py
@@ -119,7 +119,7 @@
 
 @CHECKS.register("true refusals")
 def check_refusals(journal: Journal) -> list[str]:
-    """A request that its caller was told did not run has not run."""
+    """A request whose status means that it did not run has not run."""
     ran = {run.id for run in journal.runs}
     return [
         f"{attempt.id} got status {attempt.status}, but it ran"
--- a/lab/soak/faults.py
+++ b/lab/soak/faults.py
@@ -148,7 +148,7 @@
 
 @FAULTS.register("failing engine")
 async def fail_engine(world: World, rng: random.Random) -> None:
-    """An engine answers a random share of its calls with status 500."""
+    """An engine answers a random share of plain calls with status 500."""
     engine = _pick_engine(world, rng)
     engine.failure_rate = rng.random()
     await _wait_duration(rng)
--- a/lab/soak/records.py
+++ b/lab/soak/records.py
@@ -21,7 +21,7 @@
         id: The id of the attempt.
         kind: The kind of the request.
         account: The client account of the API key.
-        is_allowed: Whether the API key is valid in any configuration.
+        is_allowed: Whether the API key was valid in any configuration.
         gateway: The number of the gateway that it was sent to.
         body: The request body.
         sent_ms: When it was sent.
