--- a/lab/soak/check.py
+++ b/lab/soak/check.py
@@ -1,229 +1,254 @@
-"""The checker: names each promise that the records of a run break."""
+"""Checks the records of a soak run against the gateway's guarantees."""
 
 import itertools
 from collections import Counter, defaultdict
 from collections.abc import Callable
 
-from lab.soak.records import Attempt, Journal, Kind, Run, event, whole_answer
+from lab.soak.records import (
+    Attempt,
+    Journal,
+    RequestKind,
+    Run,
+    event,
+    full_response,
+)
 from rhubarbwinch.shared.registry import Registry
 
 Check = Callable[[Journal], list[str]]
 CHECKS: Registry[Check] = Registry("check")
-TIMED = frozenset({"gone", "grace", "keys", "one at a time", "recovery"})
+TIMING_CHECKS = frozenset(
+    {"gone", "grace", "keys", "one at a time", "recovery"}
+)
 
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 OK = 200
 UNAUTHORIZED = 401
-# Two engines may work on one run for so long, the time of a stop and its
-# messages.
-OVERLAP_MS = 400
-# An engine may notice so late that its caller has left.
-LEAVE_MS = 1_000
-# Of the requests of the calm end, so many have to be served.
-SERVED_SHARE = 0.95
-# What the settings of the soak allow of sends beyond the first.
-WINDOW_MS = 10_000
-REPEAT_RATIO = 0.2
-REPEAT_EXTRA = 56
-MEMORY_MB = 205
-
-
-def broken_promises(journal: Journal, *, with_times: bool) -> list[str]:
-    """Returns a line for each promise that was broken; none is good.
+# Two engines may execute one run at the same time for at most this long: the
+# time to stop the first engine, including the messages that this takes.
+MAX_OVERLAP_MS = 400
+# An engine may notice this late that its caller has disconnected.
+DISCONNECT_NOTICE_MS = 1_000
+# The share of the requests after recovery that must succeed.
+MIN_SERVED_SHARE = 0.95
+# The retry budget and the memory limit in the gateways' settings.
+RETRY_WINDOW_MS = 10_000
+RETRY_RATIO = 0.2
+RETRY_EXTRA = 56
+MAX_MEMORY_MB = 205
+
+
+def find_violations(journal: Journal, *, with_times: bool) -> list[str]:
+    """Returns a line for each violated guarantee; an empty list if all hold.
 
     Args:
         journal: The records of a run.
-        with_times: Whether promises that have a time in them are checked. A
-            machine that is too slow for its load breaks them by itself.
+        with_times: Whether to run the checks that depend on timing. These
+            also fail on a machine that is too slow for its load.
     """
     return [
         f"{name}: {line}"
         for name in CHECKS
-        if with_times or name not in TIMED
+        if with_times or name not in TIMING_CHECKS
         for line in CHECKS.get(name)(journal)
     ]
 
 
-def _by_id(journal: Journal) -> dict[str, list[Run]]:
-    found: dict[str, list[Run]] = defaultdict(list)
+def _runs_by_id(journal: Journal) -> dict[str, list[Run]]:
+    runs_by_id: dict[str, list[Run]] = defaultdict(list)
     for run in journal.runs:
-        found[run.id].append(run)
-    return found
+        runs_by_id[run.id].append(run)
+    return runs_by_id
 
 
 @CHECKS.register("asked")
-def check_asked(journal: Journal) -> list[str]:
-    """Engines run only what a caller sent, as the caller's account."""
+def check_requested(journal: Journal) -> list[str]:
+    """Engines run only what a caller sent, for the caller's account."""
     sent = {attempt.id: attempt for attempt in journal.attempts}
-    found = []
+    violations = []
     for run in journal.runs:
         attempt = sent.get(run.id)
         if attempt is None:
-            found.append(f"{run.id} ran and nobody sent it")
+            violations.append(f"{run.id} ran but no caller sent it")
         elif not attempt.is_allowed:
-            found.append(f"{run.id} ran with a key that never was")
+            violations.append(f"{run.id} ran with a key that was never valid")
         elif run.account != attempt.account:
-            found.append(f"{run.id} ran for account {run.account!r}")
+            violations.append(
+                f"{run.id} ran for the wrong account {run.account!r}"
+            )
         elif run.has_key:
-            found.append(f"{run.id} came with the caller's key")
+            violations.append(
+                f"{run.id} reached the engine with the caller's key"
+            )
         elif (run.kind, run.body) != (attempt.kind.value, attempt.body):
-            found.append(f"{run.id} ran with another path or body")
-    return found
+            violations.append(f"{run.id} ran with a different path or body")
+    return violations
 
 
 @CHECKS.register("once")
-def check_once(journal: Journal) -> list[str]:
-    """What may not be repeated runs once; a stream goes on from its copy."""
+def check_single_run(journal: Journal) -> list[str]:
+    """Non-idempotent requests run once; streams may resume from a copy."""
     kinds = {attempt.id: attempt.kind for attempt in journal.attempts}
-    found = []
-    for request_id, runs in _by_id(journal).items():
-        if kinds.get(request_id) is Kind.CALL:
+    violations = []
+    for request_id, runs in _runs_by_id(journal).items():
+        if kinds.get(request_id) is RequestKind.CALL:
             continue
-        fresh = [run for run in runs if not run.is_resumed]
-        if len(fresh) > 1:
-            engines = ", ".join(run.engine for run in fresh)
-            found.append(f"{request_id} ran {len(fresh)} times: {engines}")
-    return found
+        unresumed = [run for run in runs if not run.is_resumed]
+        if len(unresumed) > 1:
+            engines = ", ".join(run.engine for run in unresumed)
+            violations.append(
+                f"{request_id} ran {len(unresumed)} times: {engines}"
+            )
+    return violations
 
 
 @CHECKS.register("one at a time")
 def check_overlap(journal: Journal) -> list[str]:
-    """A run goes on elsewhere only when the engine before has stopped."""
-    found = []
-    for request_id, runs in _by_id(journal).items():
+    """A run resumes elsewhere only after the previous engine has stopped."""
+    violations = []
+    for request_id, runs in _runs_by_id(journal).items():
         for before, after in itertools.pairwise(runs):
-            if not after.is_resumed or before.is_cut_off:
+            if not after.is_resumed or before.was_unreachable:
                 continue
             overlap = before.ended_ms - after.started_ms
-            if overlap > OVERLAP_MS:
-                found.append(f"{request_id} ran twice for {overlap} ms")
-    return found
+            if overlap > MAX_OVERLAP_MS:
+                violations.append(
+                    f"{request_id} ran at two engines for {overlap} ms"
+                )
+    return violations
 
 
 @CHECKS.register("true refusals")
 def check_refusals(journal: Journal) -> list[str]:
-    """What was told not to have run has not run."""
+    """A request whose status means that it did not run has not run."""
     ran = {run.id for run in journal.runs}
     return [
-        f"{attempt.id} was told {attempt.status}, and it ran"
+        f"{attempt.id} got status {attempt.status}, but it ran"
         for attempt in journal.attempts
-        if attempt.status in PROMISES
-        and attempt.kind is not Kind.CALL
+        if attempt.status in NOT_RUN_STATUSES
+        and attempt.kind is not RequestKind.CALL
         and attempt.id in ran
     ]
 
 
 @CHECKS.register("own answer")
-def check_answers(journal: Journal) -> list[str]:
-    """A complete success is the whole answer of an engine to this request."""
-    found = []
+def check_responses(journal: Journal) -> list[str]:
+    """A complete success is an engine's full response to this request."""
+    violations = []
     for attempt in journal.attempts:
         if attempt.status != OK or not attempt.is_complete:
             continue
         if not attempt.is_signed:
-            found.append(f"{attempt.id}: a success without an engine")
-        elif attempt.kind is not Kind.DRAFT:
-            wanted = whole_answer(attempt.id, attempt.body)
-            if attempt.answer != wanted:
-                found.append(f"{attempt.id}: {attempt.answer[:60]!r}")
-    return found
+            violations.append(
+                f"{attempt.id}: success without an engine's signature"
+            )
+        elif attempt.kind is not RequestKind.DRAFT:
+            expected = full_response(attempt.id, attempt.body)
+            if attempt.response != expected:
+                violations.append(f"{attempt.id}: {attempt.response[:60]!r}")
+    return violations
 
 
 @CHECKS.register("order")
 def check_streams(journal: Journal) -> list[str]:
-    """Each event once and in order; a complete stream has all of them."""
-    found = []
+    """Events arrive once and in order; a complete stream has all of them."""
+    violations = []
     for attempt in journal.attempts:
-        if attempt.kind is not Kind.DRAFT or attempt.status != OK:
+        if attempt.kind is not RequestKind.DRAFT or attempt.status != OK:
             continue
         total = int(attempt.body)
-        wanted = b"".join(event(attempt.id, n) for n in range(1, total + 1))
-        if attempt.is_complete and attempt.answer != wanted:
-            found.append(f"{attempt.id}: whole, but not its {total} events")
-        elif not wanted.startswith(attempt.answer):
-            found.append(f"{attempt.id}: {attempt.answer[-60:]!r}")
-    return found
+        expected = b"".join(event(attempt.id, n) for n in range(1, total + 1))
+        if attempt.is_complete and attempt.response != expected:
+            violations.append(
+                f"{attempt.id}: complete, but not its {total} events"
+            )
+        elif not expected.startswith(attempt.response):
+            violations.append(f"{attempt.id}: {attempt.response[-60:]!r}")
+    return violations
 
 
 @CHECKS.register("budget")
-def check_budget(journal: Journal) -> list[str]:
-    """Sends beyond the first of each request keep to the common budget."""
-    first: set[str] = set()
-    repeats: Counter[int] = Counter()
+def check_retry_budget(journal: Journal) -> list[str]:
+    """Retries, over all requests, stay within the retry budget."""
+    seen: set[str] = set()
+    retries: Counter[int] = Counter()
     for run in journal.runs:
-        if run.id in first and not run.is_resumed:
-            repeats[run.started_ms // WINDOW_MS] += 1
-        first.add(run.id)
-    sent = Counter(a.sent_ms // WINDOW_MS for a in journal.attempts)
-    found = []
-    for window, count in repeats.items():
-        # The budget counts the requests of this window or the one before.
-        most = max(sent[window], sent[window - 1])
-        if count > REPEAT_RATIO * most + REPEAT_EXTRA:
-            found.append(f"{count} repeats beside {most} requests")
-    return found
+        if run.id in seen and not run.is_resumed:
+            retries[run.started_ms // RETRY_WINDOW_MS] += 1
+        seen.add(run.id)
+    sent = Counter(a.sent_ms // RETRY_WINDOW_MS for a in journal.attempts)
+    violations = []
+    for window, count in retries.items():
+        # The budget depends on the requests of this or the previous window.
+        max_requests = max(sent[window], sent[window - 1])
+        if count > RETRY_RATIO * max_requests + RETRY_EXTRA:
+            violations.append(f"{count} retries for {max_requests} requests")
+    return violations
 
 
 @CHECKS.register("gone")
-def check_gone(journal: Journal) -> list[str]:
-    """In the calm end, no engine works on for a caller who has left."""
-    left = {
+def check_disconnects(journal: Journal) -> list[str]:
+    """After recovery, no engine works on for a caller that disconnected."""
+    left_ms = {
         attempt.id: attempt.ended_ms
-        for attempt in _calm_attempts(journal)
-        if attempt.has_left
+        for attempt in _attempts_after_recovery(journal)
+        if attempt.has_disconnected
     }
     return [
-        f"{run.id} ran on for {run.ended_ms - left[run.id]} ms"
+        f"{run.id} ran {run.ended_ms - left_ms[run.id]} ms after a disconnect"
         for run in journal.runs
-        if run.id in left and run.ended_ms > left[run.id] + LEAVE_MS
+        if run.id in left_ms
+        and run.ended_ms > left_ms[run.id] + DISCONNECT_NOTICE_MS
     ]
 
 
 @CHECKS.register("recovery")
 def check_recovery(journal: Journal) -> list[str]:
-    """When all faults are over, requests are served again."""
-    owed = [
+    """After the last fault, requests are served again."""
+    attempts = [
         attempt
-        for attempt in _calm_attempts(journal)
-        if attempt.is_allowed and not attempt.has_left
+        for attempt in _attempts_after_recovery(journal)
+        if attempt.is_allowed and not attempt.has_disconnected
     ]
-    served = [a for a in owed if a.status == OK and a.is_complete]
-    if owed and len(served) >= SERVED_SHARE * len(owed):
+    served = [a for a in attempts if a.status == OK and a.is_complete]
+    if attempts and len(served) >= MIN_SERVED_SHARE * len(attempts):
         return []
-    statuses = Counter(a.status for a in owed)
-    return [f"{len(served)} of {len(owed)} served: {dict(statuses)}"]
+    statuses = Counter(a.status for a in attempts)
+    return [f"{len(served)} of {len(attempts)} served: {dict(statuses)}"]
 
 
 @CHECKS.register("keys")
-def check_keys(journal: Journal) -> list[str]:
-    """In the calm end, a key that never was gets its 401 and no other."""
+def check_invalid_keys(journal: Journal) -> list[str]:
+    """After recovery, a key that was never valid gets status 401 only."""
     return [
-        f"{attempt.id}: {attempt.status} for a key that never was"
-        for attempt in _calm_attempts(journal)
+        f"{attempt.id}: status {attempt.status} for an invalid key"
+        for attempt in _attempts_after_recovery(journal)
         if not attempt.is_allowed
-        and not attempt.has_left
+        and not attempt.has_disconnected
         and attempt.status != UNAUTHORIZED
     ]
 
 
 @CHECKS.register("processes")
 def check_processes(journal: Journal) -> list[str]:
-    """No process ends unasked, or takes more memory than it may."""
-    found = list(journal.ended)
-    if journal.peak_mb > MEMORY_MB:
-        found.append(f"a gateway took {journal.peak_mb:.0f} MB")
-    return found
+    """No process exits unexpectedly or exceeds its memory limit."""
+    violations = list(journal.unexpected_exits)
+    if journal.peak_mb > MAX_MEMORY_MB:
+        violations.append(f"a gateway used {journal.peak_mb:.0f} MB")
+    return violations
 
 
 @CHECKS.register("grace")
-def check_grace(journal: Journal) -> list[str]:
-    """A gateway that is asked to end does so within its grace."""
-    return [f"{name} was still there" for name in journal.overdue]
+def check_grace_period(journal: Journal) -> list[str]:
+    """A gateway that is told to stop exits within its grace period."""
+    return [
+        f"{name} still ran after its grace period"
+        for name in journal.overdue_gateways
+    ]
 
 
-def _calm_attempts(journal: Journal) -> list[Attempt]:
+def _attempts_after_recovery(journal: Journal) -> list[Attempt]:
     return [
         attempt
         for attempt in journal.attempts
-        if attempt.sent_ms >= journal.sound_from_ms
+        if attempt.sent_ms >= journal.recovered_from_ms
     ]
--- a/lab/soak/proxy.py
+++ b/lab/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A proxy on loopback that delays, resets, cuts one way and silences."""
+"""A loopback TCP proxy that injects network faults."""
 
 import contextlib
 import socket
@@ -11,29 +11,29 @@
 from rhubarbwinch.shared import misc
 
 CHUNK_BYTES = 65_536
-# How often a direction that is cut looks whether it is open again.
+# How often a cut direction is checked for being open again.
 POLL_S = 0.02
-# Closing sends a reset instead of what is still to be sent.
-_ABORT = struct.pack("ii", 1, 0)
+# With this linger option, closing a socket drops unsent data and sends RST.
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 @attrs.define
-class Condition:
-    """The state of what the proxy stands before.
+class ProxyFaults:
+    """The network faults that the proxy applies.
 
     Attributes:
-        delay_ms: What each chunk waits, each way.
-        is_cut_there: Nothing reaches the target.
-        is_cut_back: Nothing comes back.
-        is_refusing: New connections are closed at once.
-        extra: Bytes to add after the next chunk that comes back.
+        delay_ms: The delay of each chunk in both directions.
+        is_cut_to_target: Data to the target is held back.
+        is_cut_from_target: Data from the target is held back.
+        is_refusing: New connections are closed immediately.
+        extra_bytes: Bytes to add after the next chunk from the target.
     """
 
     delay_ms: int = 0
-    is_cut_there: bool = False
-    is_cut_back: bool = False
+    is_cut_to_target: bool = False
+    is_cut_from_target: bool = False
     is_refusing: bool = False
-    extra: bytes = b""
+    extra_bytes: bytes = b""
 
 
 class LoopbackProxy:
@@ -41,32 +41,36 @@
 
     Args:
         address: `a.b.c.d:port` to listen on.
-        target: Where connections go.
+        target: The address to forward connections to.
     """
 
     def __init__(self, address: str, target: str) -> None:
         self.address = address
-        self.condition = Condition()
+        self.faults = ProxyFaults()
         self._target = target
-        self._open: dict[anyio.CancelScope, list[anyio.abc.ByteStream]] = {}
+        self._connections: dict[
+            anyio.CancelScope, list[anyio.abc.ByteStream]
+        ] = {}
 
     @property
-    def is_sound(self) -> bool:
-        """Whether nothing is wrong now."""
-        return self.condition == Condition()
+    def is_healthy(self) -> bool:
+        """Whether no fault is active."""
+        return self.faults == ProxyFaults()
 
     def heal(self) -> None:
-        """Ends what is wrong."""
-        self.condition = Condition()
+        """Clears all faults."""
+        self.faults = ProxyFaults()
 
     def reset(self) -> None:
-        """Resets all open connections, both sides."""
-        for scope, streams in list(self._open.items()):
+        """Resets both sides of all open connections."""
+        for scope, streams in list(self._connections.items()):
             for stream in streams:
-                link = stream.extra(anyio.abc.SocketAttribute.raw_socket)
-                # A side that has closed already has no descriptor any more.
-                if link.fileno() >= 0:
-                    link.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _ABORT)
+                sock = stream.extra(anyio.abc.SocketAttribute.raw_socket)
+                # A side that is already closed has no file descriptor.
+                if sock.fileno() >= 0:
+                    sock.setsockopt(
+                        socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE
+                    )
             scope.cancel()
 
     async def run(self) -> None:
@@ -80,13 +84,13 @@
 
     async def _serve(self, caller: anyio.abc.ByteStream) -> None:
         async with caller:
-            if self.condition.is_refusing:
+            if self.faults.is_refusing:
                 return
             host, port = misc.split_address(self._target)
             try:
                 target = await anyio.connect_tcp(host, port)
             except OSError:
-                # The caller sees what it would see of the target.
+                # The caller's connection closes, as if the target refused it.
                 return
             async with target:
                 await self._forward(caller, target)
@@ -95,38 +99,42 @@
         self, caller: anyio.abc.ByteStream, target: anyio.abc.ByteStream
     ) -> None:
         with anyio.CancelScope() as scope:
-            self._open[scope] = [caller, target]
+            self._connections[scope] = [caller, target]
             try:
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(self._pump, caller, target, False, scope)
                     tasks.start_soon(self._pump, target, caller, True, scope)
             finally:
-                del self._open[scope]
+                del self._connections[scope]
 
     async def _pump(
         self,
         source: anyio.abc.ByteReceiveStream,
         sink: anyio.abc.ByteSendStream,
-        is_back: bool,
+        from_target: bool,
         scope: anyio.CancelScope,
     ) -> None:
         broken = (anyio.BrokenResourceError, anyio.ClosedResourceError)
         with contextlib.suppress(anyio.EndOfStream, *broken):
             while True:
                 data = await source.receive(CHUNK_BYTES)
-                if self.condition.delay_ms:
-                    await anyio.sleep(self.condition.delay_ms / 1000)
-                while self._is_cut(is_back):
+                if self.faults.delay_ms:
+                    await anyio.sleep(self.faults.delay_ms / 1000)
+                while self._is_cut(from_target):
                     await anyio.sleep(POLL_S)
-                if is_back and self.condition.extra:
-                    data += self.condition.extra
-                    self.condition.extra = b""
+                if from_target and self.faults.extra_bytes:
+                    data += self.faults.extra_bytes
+                    self.faults.extra_bytes = b""
                 await sink.send(data)
-        # Either side's end ends both; a cut hides it until it heals.
-        while self._is_cut(is_back):
+        # When one side closes, both close. A cut delays this until it heals.
+        while self._is_cut(from_target):
             await anyio.sleep(POLL_S)
         scope.cancel()
 
-    def _is_cut(self, is_back: bool) -> bool:
-        condition = self.condition
-        return condition.is_cut_back if is_back else condition.is_cut_there
+    def _is_cut(self, from_target: bool) -> bool:
+        faults = self.faults
+        return (
+            faults.is_cut_from_target
+            if from_target
+            else faults.is_cut_to_target
+        )
--- a/lab/standins/engine.py
+++ b/lab/standins/engine.py
@@ -1,9 +1,9 @@
-"""A stand-in for a model engine: the engine model behind HTTP with SSE.
+"""A stand-in for a model engine: a simulated engine behind HTTP with SSE.
 
-A prompt holds its output length as `len=N`. The text of token `i` is
-`<tag>.<i> `, with a tag of the generation, so that a reader can tell from the
-text alone whether tokens are missing, doubled or of another generation. A
-prompt that holds the word `poison` ends the process.
+A prompt contains its output length as `len=N`. The text of token `i` is
+`<tag>.<i> `, where the tag identifies the generation, so that the text alone
+shows missing, duplicated and foreign tokens. A prompt that contains the word
+`poison` ends the process.
 """
 
 import hashlib
@@ -16,9 +16,9 @@
 import orjson
 
 from lab.enginemodel import EngineModel, EngineParameters, Sequence
-from lab.standins.faults import Faults
+from lab.standins.faults import EngineFaults
 from lab.standins.orders import OrderBoard
-from lab.standins.serve import MAX_BODY_BYTES, parser, serve
+from lab.standins.serve import MAX_BODY_BYTES, make_parser, serve
 from rhubarbwinch.http.httpapi import App, Request, Responder
 
 DEFAULT_TOKENS = 20
@@ -29,13 +29,13 @@
 
 @attrs.define
 class Generation:
-    """A generation and its readers.
+    """A generation in the simulated engine.
 
     Attributes:
         name: The generation id.
-        chat: Whether it speaks the chat format.
-        sequence: Its place in the model.
-        changed: Set when a token was added.
+        chat: Whether events have the chat completions format.
+        sequence: Its sequence in the engine model.
+        changed: Set and replaced when a token is added.
     """
 
     name: str
@@ -45,7 +45,7 @@
 
     @property
     def tag(self) -> str:
-        """Stands in the text of each token."""
+        """The identifier of the generation in the text of each token."""
         return hashlib.sha256(self.name.encode()).hexdigest()[:6]
 
     def event(self, index: int) -> bytes:
@@ -60,10 +60,12 @@
             choice["delta"] = {"role": "assistant", "content": text}
         else:
             choice["text"] = text
-        kind = "chat.completion.chunk" if self.chat else "text_completion"
+        object_type = (
+            "chat.completion.chunk" if self.chat else "text_completion"
+        )
         data = {
             "id": self.name,
-            "object": kind,
+            "object": object_type,
             "created": 0,
             "model": "stand-in",
             "choices": [choice],
@@ -73,12 +75,12 @@
 
 
 class Engine:
-    """The engine's HTTP interface.
+    """The HTTP interface of the engine.
 
     Args:
-        parameters: The model's speed and size.
-        speed: How many times faster than real time it runs.
-        orders: Takes the orders.
+        parameters: The parameters of the engine model.
+        speed: How many times faster than real time the model runs.
+        orders: Handles orders to the engine.
     """
 
     def __init__(
@@ -89,29 +91,29 @@
         self._speed = speed
         self._generations: dict[str, Generation] = {}
         self._log: list[dict[str, Any]] = []
-        self._faults = Faults()
-        self._work = anyio.Event()
+        self._faults = EngineFaults()
+        self._has_work = anyio.Event()
 
     def app(self) -> App:
-        """Returns the application."""
+        """Returns the ASGI application."""
         app = App(MAX_BODY_BYTES)
         app.route("POST", "/v1/completions", self._start)
         app.route("POST", "/v1/chat/completions", self._start)
         app.route("GET", "/v1/generations/", self._resume)
         app.route("DELETE", "/v1/generations/", self._cancel)
-        app.route("PATCH", "/v1/generations/", self._prioritise)
+        app.route("PATCH", "/v1/generations/", self._set_priority)
         app.route("POST", "/faults", self._set_faults)
-        app.route("GET", "/load", self._load)
+        app.route("GET", "/load", self._show_load)
         self._orders.add_routes(app)
         app.route("GET", "/log", self._show_log)
         return app
 
     async def run(self) -> None:
-        """Runs the model's steps until cancelled."""
+        """Runs the steps of the engine model until cancelled."""
         while True:
             if not self._model.running and not self._model.waiting:
-                await self._work.wait()
-            self._work = anyio.Event()
+                await self._has_work.wait()
+            self._has_work = anyio.Event()
             step = self._model.step()
             await anyio.sleep(step.ms / 1000 / self._speed)
             for sequence in step.advanced:
@@ -120,20 +122,20 @@
                 generation.changed = anyio.Event()
 
     async def _start(self, request: Request, responder: Responder) -> None:
-        if await self._faults.refuses(responder):
+        if await self._faults.handle_start(responder):
             return
         body = orjson.loads(request.body)
         name = request.headers["x-generation-id"]
         text = request.body.decode()
         if POISON in text:
-            # The kind of request that crashes each engine that runs it.
+            # Simulates a request that crashes every engine that runs it.
             os._exit(1)
-        found = _LENGTH.search(text)
-        wanted = int(found[1]) if found else DEFAULT_TOKENS
+        match = _LENGTH.search(text)
+        requested_tokens = int(match[1]) if match else DEFAULT_TOKENS
         sequence = Sequence(
             name,
             prompt_tokens=len(text) // 4,
-            output_tokens=min(wanted, body["max_tokens"]),
+            output_tokens=min(requested_tokens, body["max_tokens"]),
             priority=int(request.headers.get("x-priority", 0)),
         )
         chat = "chat" in request.path
@@ -141,7 +143,7 @@
         self._generations[name] = generation
         self._log.append({"generation": name, "tokens": sequence.output_tokens})
         self._model.add(sequence)
-        self._work.set()
+        self._has_work.set()
         await self._send(generation, 0, responder)
 
     async def _resume(self, request: Request, responder: Responder) -> None:
@@ -159,13 +161,15 @@
         self._log.append({"cancelled": name})
         await responder.json(b"{}")
 
-    async def _prioritise(self, request: Request, responder: Responder) -> None:
+    async def _set_priority(
+        self, request: Request, responder: Responder
+    ) -> None:
         priority = orjson.loads(request.body)["priority"]
         self._model.set_priority(request.path.rpartition("/")[2], priority)
         await responder.json(b"{}")
 
     async def _set_faults(self, request: Request, responder: Responder) -> None:
-        self._faults.set(orjson.loads(request.body))
+        self._faults.set_faults(orjson.loads(request.body))
         await responder.json(b"{}")
 
     async def _send(
@@ -186,7 +190,7 @@
                 await changed.wait()
         await responder.write(b"data: [DONE]\n\n", more=False)
 
-    async def _load(self, _: Request, responder: Responder) -> None:
+    async def _show_load(self, _: Request, responder: Responder) -> None:
         model = self._model
         data = {
             "age_ms": 0,
@@ -211,7 +215,7 @@
 
 def main() -> None:
     """Runs the stand-in."""
-    options_parser = parser("Model engine")
+    options_parser = make_parser("Model engine")
     options_parser.add_argument("--speed", type=float, default=1.0)
     options_parser.add_argument("--ignore-fencing", action="store_true")
     options_parser.add_argument("--weights", default="")
--- a/lab/standins/faults.py
+++ b/lab/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that an engine stand-in shows on request."""
+"""Faults that an engine stand-in injects on request."""
 
 from typing import Any
 
@@ -9,18 +9,20 @@
 
 
 @attrs.define
-class Faults:
-    """What goes wrong, set by `POST /faults`; each fault happens once.
+class EngineFaults:
+    """The pending faults, set by `POST /faults`; each happens once.
 
     Attributes:
-        duplicate_at: The event of this index is sent twice.
-        gap_at: The event of this index is left out.
-        foreign_at: An event of another generation comes before this index.
-        freeze_at: Before this index the connection falls silent.
-        cut_at: Before this index the connection is closed.
-        done_at: Before this index the end of the stream is announced.
-        late_ms: How long the next answer waits for its head.
-        refuse: How many starts are refused with 503.
+        duplicate_at: The event with this index is sent twice.
+        gap_at: The event with this index is left out.
+        foreign_at: Before the event with this index, an event of another
+            generation is sent.
+        freeze_at: Before the event with this index, the stream stalls.
+        cut_at: Before the event with this index, the connection is closed.
+        done_at: Before the event with this index, the end of the stream is
+            sent.
+        late_ms: The delay of the next response's head.
+        refuse: The number of next starts that are refused with status 503.
     """
 
     duplicate_at: int | None = None
@@ -32,13 +34,13 @@
     late_ms: int = 0
     refuse: int = 0
 
-    def set(self, wanted: dict[str, Any]) -> None:
-        """Adds the faults that are wanted."""
-        for name, value in wanted.items():
+    def set_faults(self, requested: dict[str, Any]) -> None:
+        """Sets faults by attribute name."""
+        for name, value in requested.items():
             setattr(self, name, value)
 
-    async def refuses(self, responder: Responder) -> bool:
-        """Refuses a start if one is to be refused, or makes it late."""
+    async def handle_start(self, responder: Responder) -> bool:
+        """Applies the faults of a start; returns whether it was refused."""
         if self.refuse:
             self.refuse -= 1
             await responder.json(b"{}", 503)
@@ -50,25 +52,25 @@
     async def send(
         self, index: int, event: bytes, generation: str, responder: Responder
     ) -> bool:
-        """Sends an event with its faults; False after the link was cut."""
-        if self._take("cut_at", index):
+        """Sends an event with its faults; returns False if the stream ended."""
+        if self._pop_fault("cut_at", index):
             return False
-        if self._take("freeze_at", index):
+        if self._pop_fault("freeze_at", index):
             await anyio.sleep_forever()
-        if self._take("done_at", index):
+        if self._pop_fault("done_at", index):
             await responder.write(b"data: [DONE]\n\n", more=False)
             return False
-        if self._take("foreign_at", index):
+        if self._pop_fault("foreign_at", index):
             other = event.replace(generation.encode(), b"other-1~engine")
             await responder.write(other)
-        if self._take("gap_at", index):
+        if self._pop_fault("gap_at", index):
             return True
         await responder.write(event)
-        if self._take("duplicate_at", index):
+        if self._pop_fault("duplicate_at", index):
             await responder.write(event)
         return True
 
-    def _take(self, name: str, index: int) -> bool:
+    def _pop_fault(self, name: str, index: int) -> bool:
         if getattr(self, name) != index:
             return False
         setattr(self, name, None)
--- a/lab/standins/orders.py
+++ b/lab/standins/orders.py
@@ -1,4 +1,4 @@
-"""The part of the engine stand-in that takes orders."""
+"""Handles orders to the engine stand-in."""
 
 from typing import Any
 
@@ -10,8 +10,8 @@
 
 
 @attrs.frozen
-class TakenOrder:
-    """An order that took effect."""
+class AppliedOrder:
+    """An order that was applied."""
 
     kind: str
     subject: str
@@ -19,15 +19,16 @@
 
 
 class OrderBoard:
-    """Takes orders, with or without a look at the fence number.
+    """Applies orders, with or without a check of their fencing numbers.
 
     Args:
-        checks_fencing: Whether a lower fence number than one seen is refused.
+        checks_fencing: Whether orders with a lower fencing number than the
+            highest one seen are refused.
         weights: `a.b.c.d:port` of the weight store, or empty.
     """
 
     def __init__(self, checks_fencing: bool, weights: str = "") -> None:
-        self.log: list[TakenOrder] = []
+        self.log: list[AppliedOrder] = []
         self._checks_fencing = checks_fencing
         self._weights = weights
         self._loaded: set[str] = set()
@@ -35,13 +36,13 @@
         self._fence = 0
 
     def add_routes(self, app: App) -> None:
-        """Adds the routes for orders."""
-        app.route("POST", "/orders", self._take)
+        """Adds the HTTP routes for orders."""
+        app.route("POST", "/orders", self._handle_order)
         app.route("GET", "/state", self._show_state)
         app.route("GET", "/order-log", self._show_log)
 
     def take(self, kind: str, subject: str, fence: int) -> bool:
-        """Obeys an order; returns False for one that is refused."""
+        """Applies an order; returns False if it is refused."""
         if self._checks_fencing and fence < self._fence:
             return False
         self._fence = max(self._fence, fence)
@@ -51,23 +52,25 @@
             self._loaded.discard(subject)
         else:
             self._role = subject
-        self.log.append(TakenOrder(kind, subject, fence))
+        self.log.append(AppliedOrder(kind, subject, fence))
         return True
 
     def state(self) -> dict[str, Any]:
-        """Returns what is loaded and the role."""
+        """Returns the loaded subjects and the role."""
         return {"loaded": sorted(self._loaded), "role": self._role}
 
-    async def _take(self, request: Request, responder: Responder) -> None:
+    async def _handle_order(
+        self, request: Request, responder: Responder
+    ) -> None:
         data = orjson.loads(request.body)
-        if data["kind"] == "load" and not await self._fetch(data["subject"]):
+        if data["kind"] == "load" and not await self._can_load(data["subject"]):
             await responder.json(b'{"error":"no weights"}', 503)
             return
-        taken = self.take(data["kind"], data["subject"], data["fence"])
-        await responder.json(b"{}", 200 if taken else 409)
+        applied = self.take(data["kind"], data["subject"], data["fence"])
+        await responder.json(b"{}", 200 if applied else 409)
 
-    async def _fetch(self, subject: str) -> bool:
-        """Reads the weights from the weight store, if there is one."""
+    async def _can_load(self, subject: str) -> bool:
+        """Reads weights from the weight store, if any; returns the success."""
         if not self._weights:
             return True
         async with httpx.AsyncClient() as client:
--- a/tests/soak/test_proxy.py
+++ b/tests/soak/test_proxy.py
@@ -1,4 +1,4 @@
-"""Tests of the proxy that harms connections."""
+"""Tests of the proxy that injects network faults."""
 
 import contextlib
 import unittest
@@ -8,14 +8,14 @@
 from lab.soak.proxy import LoopbackProxy
 from tests.helpers import asynchronous, free_address
 
-# Nothing is expected to come in this time; what comes later fails a test that
-# waits for it without a limit.
+# A held-back direction delivers nothing in this time. The tests then wait
+# without a time limit for the data to arrive.
 QUIET_S = 0.1
 
 
 @contextlib.asynccontextmanager
 async def echo_behind_proxy():
-    """Yields a proxy before a server that echoes, and a connection."""
+    """Yields a proxy in front of an echo server, and a connection to it."""
     target, address = free_address(), free_address()
 
     async def echo(stream):
@@ -41,33 +41,33 @@
 
 
 async def is_silent(stream):
-    """Tells whether nothing comes for a while."""
+    """Returns whether nothing arrives for QUIET_S."""
     with anyio.move_on_after(QUIET_S) as scope:
         await stream.receive()
     return scope.cancelled_caught
 
 
 class LoopbackProxyTest(unittest.TestCase):
-    """A connection through the proxy."""
+    """Connections through the proxy to an echo server."""
 
     @asynchronous
-    async def test_what_is_sound_passes_both_ways(self):
+    async def test_data_passes_both_ways_without_faults(self):
         async with echo_behind_proxy() as (_, stream):
             await stream.send(b"abc")
             self.assertEqual(await stream.receive(), b"abc")
 
     @asynchronous
-    async def test_a_cut_either_way_is_silent_until_it_heals(self):
-        for side in ("is_cut_there", "is_cut_back"):
+    async def test_a_cut_direction_holds_data_back_until_it_heals(self):
+        for side in ("is_cut_to_target", "is_cut_from_target"):
             async with echo_behind_proxy() as (proxy, stream):
-                setattr(proxy.condition, side, True)
+                setattr(proxy.faults, side, True)
                 await stream.send(b"abc")
                 self.assertTrue(await is_silent(stream))
                 proxy.heal()
                 self.assertEqual(await stream.receive(), b"abc")
 
     @asynchronous
-    async def test_a_reset_ends_what_is_open_and_nothing_else(self):
+    async def test_a_reset_closes_only_open_connections(self):
         async with echo_behind_proxy() as (proxy, stream):
             await stream.send(b"abc")
             await stream.receive()
@@ -82,12 +82,12 @@
                 self.assertEqual(await other.receive(), b"def")
 
     @asynchronous
-    async def test_a_reset_passes_over_a_side_that_has_closed(self):
+    async def test_a_reset_skips_a_side_that_is_already_closed(self):
         async with echo_behind_proxy() as (proxy, stream):
             await stream.send(b"abc")
             await stream.receive()
-            # The proxy has not heard yet that its caller's side is closed.
-            for streams in proxy._open.values():
+            # The caller's side is closed, but the proxy has not noticed yet.
+            for streams in proxy._connections.values():
                 await streams[0].aclose()
             proxy.reset()
             with self.assertRaises(
@@ -96,9 +96,9 @@
                 await stream.receive()
 
     @asynchronous
-    async def test_extra_bytes_follow_the_next_that_come_back(self):
+    async def test_extra_bytes_follow_the_next_chunk_from_the_target(self):
         async with echo_behind_proxy() as (proxy, stream):
-            proxy.condition.extra = b"stray"
+            proxy.faults.extra_bytes = b"stray"
             await stream.send(b"abc")
             self.assertEqual(await stream.receive(), b"abcstray")
-            self.assertTrue(proxy.is_sound)
+            self.assertTrue(proxy.is_healthy)
