--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data."""
+"""Builds records, requests and events for tests."""
 
 import orjson
 
@@ -32,7 +32,7 @@
 
 
 def pool(target, endpoints, data_center="dc-a", **spec):
-    """Returns the record of a pool, called `<target>.<data centre>`."""
+    """Returns the record of a pool; its name is `<target>.<data centre>`."""
     fields = {
         "target": target,
         "data_center": data_center,
@@ -42,19 +42,19 @@
 
 
 def generate_service(name="chat", target="vintner", **spec):
-    """Returns the record of a service that generates."""
+    """Returns the record of a service for LLM generations."""
     fields = {"kind": "generate", "target": target}
     return Record("service", name, 2, fields | spec)
 
 
 def plain_service(name="booking", target="bookings", **spec):
-    """Returns the record of a plain service."""
+    """Returns the record of a service whose calls are passed through."""
     fields = {"kind": "plain", "target": target}
     return Record("service", name, 2, fields | spec)
 
 
 def permit_request(request_id="r1", **fields):
-    """Returns a permit request."""
+    """Returns a permit request; `fields` replace the defaults."""
     base = {
         "request_id": request_id,
         "entry": "entry-1",
@@ -67,7 +67,7 @@
 
 
 def token(generation, index, last=False):
-    """Returns the event of a token as an engine sends it."""
+    """Returns the server-sent event of one token as an engine sends it."""
     finish = "stop" if last else None
     choice = {"index": 0, "text": f"t{index} ", "finish_reason": finish}
     data = orjson.dumps({"choices": [choice]})
@@ -75,5 +75,5 @@
 
 
 def snapshot(*items, generation=1):
-    """Returns a configuration of some records."""
+    """Returns a configuration snapshot with the given records."""
     return make_snapshot(generation, items)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Running tests: coroutines, golden files and separate processes."""
+"""Helpers of the tests: coroutines, golden files and separate processes."""
 
 import functools
 import os
@@ -15,7 +15,7 @@
 
 
 def asynchronous(test):
-    """Runs a test's coroutine; a test that hangs fails after a minute."""
+    """Runs a test coroutine with anyio and fails it after 60 s."""
 
     @functools.wraps(test)
     def run(self):
@@ -29,12 +29,12 @@
 
 
 class GoldTestCase(unittest.TestCase):
-    """Compares text with golden files."""
+    """A test case that compares text with golden files."""
 
     maxDiff = None
 
     def assert_gold(self, name, text):
-        """Compares with `gold/<name>.txt`; UPDATE_GOLD=1 writes it anew."""
+        """Compares with `gold/<name>.txt`; UPDATE_GOLD=1 rewrites the file."""
         path = GOLD / f"{name}.txt"
         if os.environ.get("UPDATE_GOLD"):
             path.write_text(text)
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page against its script."""
+"""Tests that docs/CAPACITY.md is up to date."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 
 
 class CapacityTest(unittest.TestCase):
-    """docs/CAPACITY.md is what the slopes give."""
+    """Compares the page with the output of `lab.capacity`."""
 
     def test_the_page_is_what_the_slopes_give(self):
         page = capacity.PAGE.read_text()
--- a/tests/lab/test_catalogue.py
+++ b/tests/lab/test_catalogue.py
@@ -1,4 +1,4 @@
-"""The pages under docs/ that are made from the code."""
+"""Tests of the pages under docs/ that are generated from the code."""
 
 import inspect
 import re
@@ -13,7 +13,7 @@
 
 
 class CatalogueTest(unittest.TestCase):
-    """Pages against code."""
+    """Compares the generated pages and the catalogues with the code."""
 
     def test_each_page_is_as_the_code_makes_it(self):
         for name, text in catalogue.pages().items():
--- a/tests/lab/test_docs.py
+++ b/tests/lab/test_docs.py
@@ -1,4 +1,4 @@
-"""Links between the pages."""
+"""Tests of the links between the pages."""
 
 import re
 import unittest
@@ -9,7 +9,7 @@
 
 
 class LinksTest(unittest.TestCase):
-    """README.md and docs/."""
+    """The relative links in README.md and docs/."""
 
     def test_each_link_leads_to_a_file(self):
         pages = [ROOT / "README.md", *(ROOT / "docs").rglob("*.md")]
--- a/tests/outcomes.py
+++ b/tests/outcomes.py
@@ -1,4 +1,4 @@
-"""A nose2 plugin that keeps each test's outcome."""
+"""A nose2 plugin that records the outcome of each test."""
 
 from nose2 import events, result
 
@@ -12,7 +12,7 @@
     failed = set()
 
     def testOutcome(self, event):  # noqa: N802
-        """Is called by nose2 after each test; a subtest counts as its test."""
+        """Records an outcome; a subtest counts as the test that contains it."""
         name = event.test.id().split(" ")[0]
         has_passed = event.outcome == result.PASS and event.expected
         if event.outcome == result.SUBTEST:
--- a/tests/test_embedding.py
+++ b/tests/test_embedding.py
@@ -1,4 +1,4 @@
-"""The parts that other programs embed."""
+"""Tests of the public names that other programs can import."""
 
 import contextlib
 import importlib
@@ -10,7 +10,7 @@
 
 
 class EmbeddingTest(unittest.TestCase):
-    """docs/embedding.md and its example."""
+    """Checks docs/embedding.md and its example against the package."""
 
     def test_every_name_on_the_page_can_be_imported(self):
         text = (ROOT / "docs" / "embedding.md").read_text()
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -1,4 +1,4 @@
-"""`GET /v1/entries` at a real entry without a network."""
+"""Tests of `GET /v1/entries` through the ASGI application of an entry."""
 
 import json
 import unittest
@@ -10,7 +10,7 @@
 
 
 async def _listed(program):
-    """Returns the names that an entry lists and their time to live in ms."""
+    """Returns the entry names in the response and its time to live in ms."""
     sent = []
     gone = anyio.Event()
 
@@ -37,7 +37,7 @@
 
 
 class EntriesTest(unittest.TestCase):
-    """What callers are told of the addresses that they may use."""
+    """The list of entries that callers can send requests to."""
 
     @asynchronous
     async def test_all_list_the_same_serving_entries_with_a_time_to_live(self):
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports between the folders of the package run one way."""
+"""Tests that the folders of the package import each other in one order."""
 
 import re
 import unittest
@@ -6,7 +6,7 @@
 from tests.helpers import ROOT
 
 PACKAGE = ROOT / "rhubarbwinch"
-# A folder imports itself and those before it.
+# A folder may import from itself and from the folders before it.
 LAYERS = (
     "shared",
     "stores",
@@ -34,7 +34,7 @@
 
 
 class LayersTest(unittest.TestCase):
-    """The folders of the package."""
+    """The layers of the package and the page that describes them."""
 
     def test_each_folder_has_its_place(self):
         found = {path.parent.name for path in PACKAGE.glob("*/__init__.py")}
--- a/tests/test_linkkeys.py
+++ b/tests/test_linkkeys.py
@@ -1,4 +1,4 @@
-"""Links whose peers hold the right key pair, another or none."""
+"""Tests of links between peers with the same, another or no key pair."""
 
 import os
 import unittest
@@ -20,14 +20,14 @@
 
 @attrs.frozen
 class Ping:
-    """A call."""
+    """A request message."""
 
     text: str
 
 
 @attrs.frozen
 class Pong:
-    """Its answer."""
+    """The reply to `Ping`."""
 
     text: str
 
@@ -37,10 +37,10 @@
 
 
 class LinkKeysTest(unittest.TestCase):
-    """A server with keys and several peers."""
+    """A link server with a key pair, called by several peers."""
 
     async def _ask_until_answered(self, address, keys):
-        """Asks again while the server starts; a hang fails the test."""
+        """Repeats the call until the server is up; a hang fails the test."""
         while True:
             answer = await self._ask(address, keys, ANSWER_MS)
             if answer is not None:
@@ -89,7 +89,8 @@
     async def test_the_keys_can_be_served_again_after_a_failure(self):
         keys = make_link_keys()
         for _ in range(2):
-            # The kernel frees the first address late; a supervisor waits.
+            # Uses a new address each time, because the kernel may still hold
+            # the first port. In production the supervisor waits instead.
             address = free_address()
             server = LinkServer(address, keys)
             server.on(Ping, _answer)
@@ -105,7 +106,7 @@
 
 
 class ProcessesTest(unittest.TestCase):
-    """A whole deployment whose links have keys."""
+    """A deployment of separate processes whose links use a key pair."""
 
     def test_requests_are_served_and_a_program_without_keys_is_not_heard(self):
         keys = make_link_keys()
@@ -121,7 +122,8 @@
                 for name in variables:
                     del os.environ[name]
                 fleet.start_role("entry", "bare", bare)
-            # It has its configuration from the store, but no broker hears it.
+            # The entry without keys reads its configuration from the store,
+            # so it becomes ready, but no broker accepts its messages.
             url = f"http://{bare}/readyz"
             wait_until(lambda: httpx.get(url).is_success, "the bare entry")
             for address in (fleet.entries[0], bare):
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -1,4 +1,4 @@
-"""Tests of starting a program by its name."""
+"""Tests of `python -m rhubarbwinch <program>`."""
 
 import subprocess
 import sys
@@ -6,8 +6,8 @@
 
 from tests.helpers import ROOT
 
-# The module of the program is found by sending the process a SIGHUP, as the
-# platform may while a gateway is still importing.
+# Replaces the import of the program's module by a function that sends SIGHUP
+# to its own process: the platform may send SIGHUP while a gateway is importing.
 STARTED_UNDER_SIGHUP = """
 import importlib, os, signal, sys, types
 from rhubarbwinch import __main__
@@ -23,7 +23,7 @@
 
 
 class MainTest(unittest.TestCase):
-    """The start of a program."""
+    """The time between the start of a process and its main function."""
 
     def test_a_gateway_that_is_told_to_reload_while_it_starts_goes_on(self):
         found = subprocess.run(
--- a/tests/test_openai_client.py
+++ b/tests/test_openai_client.py
@@ -1,4 +1,4 @@
-"""The stock `openai` client library against an entry."""
+"""Tests of an entry with the unmodified `openai` client library."""
 
 import unittest
 
@@ -12,7 +12,7 @@
 
 
 class OpenAIClientTest(unittest.TestCase):
-    """Each call as the library's users make it."""
+    """Completions, chat, streams, models and failures."""
 
     @classmethod
     def setUpClass(cls):
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -1,4 +1,4 @@
-"""The store's outages and frozen programs, with separate processes."""
+"""Tests of store outages and frozen programs, with separate processes."""
 
 import signal
 
@@ -14,7 +14,7 @@
 
 
 class OutageTest(GoldTestCase):
-    """What was accepted stays, whatever stops."""
+    """An accepted configuration stays active when processes fail."""
 
     def test_a_configuration_outlives_the_store_and_its_publisher(self):
         lines = ["# The store fails and the publisher freezes"]
@@ -45,7 +45,8 @@
             everyone = [*fleet.entries, late]
             tell("the change", everyone, first + 1)
             for name in ("control-0", "control-1"):
-                # One of the two publishes; the other takes over.
+                # One of the two is the publisher. When the publisher is
+                # frozen, the other one takes over.
                 fleet.signal(name, signal.SIGSTOP)
                 weight = 3.0 if name == "control-0" else 4.0
                 fleet.apply([builders.account(weight=weight)])
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path through separate processes."""
+"""End-to-end tests of the request path through separate processes."""
 
 import json
 
@@ -9,7 +9,7 @@
 
 
 def _describe(title, response):
-    """Returns an answer as text, without what differs between runs."""
+    """Returns a response as text, without the parts that differ per run."""
     lines = [f"# {title}", f"status {response.status_code}"]
     for name in ("content-type", "x-verdict", "retry-after"):
         if name in response.headers:
@@ -18,7 +18,7 @@
 
 
 def _events(response):
-    """Returns the index and the token's number of each event."""
+    """Returns index and token number of each event, one line per event."""
     lines = []
     tags = set()
     for block in response.text.strip().split("\n\n"):
@@ -34,7 +34,7 @@
 
 
 class PathTest(GoldTestCase):
-    """Requests that pass through every program."""
+    """Requests that pass through entry, broker and engine."""
 
     def test_a_session_through_separate_processes_matches_its_gold(self):
         with Fleet(entries=2, engines=2) as fleet:
@@ -77,5 +77,5 @@
 
 
 def _generation(response):
-    """Returns the generation id of a streamed answer."""
+    """Returns the generation id of a streamed response."""
     return response.text.split("\n")[0].removeprefix("id: ").rpartition(":")[0]
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Tests of starting processes on the loopback address."""
+"""Tests of `lab.processes`."""
 
 import unittest
 from unittest import mock
@@ -7,7 +7,7 @@
 
 
 class FreeAddressTest(unittest.TestCase):
-    """Whom a port is given to."""
+    """The choice of free ports."""
 
     def test_a_port_is_given_out_once(self):
         first = processes.free_address()
--- a/tests/test_proofs.py
+++ b/tests/test_proofs.py
@@ -1,4 +1,4 @@
-"""The table of proofs names the golden files that exist."""
+"""Tests that the table of proofs and the golden files agree."""
 
 import re
 import unittest
@@ -9,7 +9,7 @@
 
 
 def _rows():
-    """Returns the cells of each row of the page's tables."""
+    """Returns the cells of each table row of the page, without headings."""
     text = (ROOT / "docs" / "PROOFS.md").read_text()
     rows = [
         [cell.strip() for cell in line.strip("|").split("|")]
@@ -20,7 +20,7 @@
 
 
 class ProofsTest(unittest.TestCase):
-    """docs/PROOFS.md against the tree."""
+    """Compares docs/PROOFS.md with the golden files."""
 
     def test_every_golden_file_is_named_and_every_named_one_exists(self):
         named = set()
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -1,4 +1,4 @@
-"""Refusals that say "not run", with the endpoints' own logs as the judge."""
+"""Tests that refused requests did not run, by the logs of the endpoints."""
 
 import threading
 import time
@@ -14,7 +14,7 @@
 
 
 class Narrow(Fleet):
-    """A deployment with room for one generation and many ways to be refused."""
+    """A deployment with capacity for one generation, to provoke refusals."""
 
     def records(self):
         engine = builders.endpoint("engine-0", self.engines[0])
@@ -31,7 +31,7 @@
 
 
 class RefusalTest(GoldTestCase):
-    """Each way in which a generation is refused before it runs."""
+    """Each reason for which a generation is refused before it runs."""
 
     def test_no_refused_generation_reaches_an_engine(self):
         lines = []
--- a/tests/test_rolling.py
+++ b/tests/test_rolling.py
@@ -1,4 +1,4 @@
-"""Restarts and drains under load, with separate processes."""
+"""Tests of restarts and drains under load, with separate processes."""
 
 import itertools
 import json
@@ -14,12 +14,12 @@
 VMS = 4
 ROLES = ("control", "broker", "entry")
 TIMEOUT_S = 20
-# Between two rounds over all addresses.
+# Pause after each round over all addresses.
 PAUSE_S = 0.1
 
 
 class VmFleet(Fleet):
-    """Four VMs with one of each program."""
+    """Four VMs, each with a control, a broker and an entry."""
 
     def __init__(self):
         super().__init__(entries=VMS, engines=2, speed=2)
@@ -39,13 +39,16 @@
         return self
 
     def start_vm(self, i):
-        """Starts a VM's programs."""
+        """Starts the programs of a VM."""
         self.start_role("control", f"control-{i}", self._extra[i])
         self.start_role("broker", f"broker-{i}", self._extra[VMS + i])
         self.start_role("entry", f"entry-{i}", self.entries[i])
 
     def restart_vm(self, i):
-        """Ends a VM's programs as the platform does; starts them again."""
+        """Restarts the programs of a VM; returns the old exit statuses.
+
+        They are stopped with SIGTERM, as the platform does.
+        """
         for role in ROLES:
             self.signal(f"{role}-{i}", signal.SIGTERM)
         statuses = [self.wait(f"{role}-{i}") for role in ROLES]
@@ -55,13 +58,13 @@
 
 
 class Caller(threading.Thread):
-    """Sends requests until told to stop, as docs/api.md says.
+    """Sends requests, with retries as in docs/api.md, until `stopping` is set.
 
     Args:
-        addresses: The entries it was told of at first.
-        refreshes: Whether it asks for the addresses again.
-        plain: Whether it calls the plain service.
-        tokens: The length of its generations.
+        addresses: The addresses of entries known at the start.
+        refreshes: Whether to reload the addresses every five requests.
+        plain: Whether to call the plain service instead of generating.
+        tokens: The output length of each generation.
     """
 
     def __init__(self, addresses, refreshes, plain=False, tokens=30):
@@ -96,7 +99,10 @@
             return
 
     def _request(self):
-        """Tries the addresses in turn; only NOT_RUN is tried again."""
+        """Tries the addresses in turn; retries refused connections and NOT_RUN.
+
+        Returns "whole" after a complete response, else what failed.
+        """
         refused = "no address"
         end = time.monotonic() + TIMEOUT_S
         for i, address in enumerate(itertools.cycle(self._addresses), 1):
@@ -114,7 +120,7 @@
                 refused = answer.text
                 continue
             return self._judge(answer)
-        raise AssertionError("the addresses never end")
+        raise AssertionError("the loop over addresses ended")
 
     def _send(self, address):
         if self._plain:
@@ -135,7 +141,7 @@
 
 
 class RollingRestartTest(GoldTestCase):
-    """A deployment that is restarted while callers use it."""
+    """Restarts of entries, brokers and controls while callers use them."""
 
     def test_a_rolling_restart_under_load_fails_no_request(self):
         lines = ["# A rolling restart of four VMs under load"]
@@ -183,7 +189,7 @@
             ) as answer:
                 for line in answer.iter_lines():
                     if len(first) in (0, 12):
-                        # The second signal must not cut the stream.
+                        # A second SIGTERM must not cut the stream.
                         fleet.signal("entry-1", signal.SIGTERM)
                     first.append(line)
             status = fleet.wait("entry-1")
