--- a/tests/lab/test_catalogue.py
+++ b/tests/lab/test_catalogue.py
@@ -15,7 +15,7 @@
 class CatalogueTest(unittest.TestCase):
     """Compares the generated pages and the catalogues with the code."""
 
-    def test_each_page_is_as_the_code_makes_it(self):
+    def test_each_page_is_up_to_date(self):
         for name, text in catalogue.pages().items():
             page = (ROOT / "docs" / name).read_text()
             self.assertEqual(page, text, f"{name}: run `make docs`")
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -9,14 +9,14 @@
 from tests.helpers import asynchronous
 
 
-async def _listed(program):
+async def _list_entries(program):
     """Returns the entry names in the response and its time to live in ms."""
     sent = []
-    gone = anyio.Event()
+    disconnected = anyio.Event()
 
     async def receive():
         if sent:
-            await gone.wait()
+            await disconnected.wait()
         return {"type": "http.request", "body": b"", "more_body": False}
 
     async def send(message):
@@ -48,16 +48,16 @@
             for i in range(4):
                 world.start_entry(f"entry-{i}")
             await world.clock.advance(3000)
-            views = [await _listed(p) for p in world.entries.values()]
-            self.assertEqual(len(views[0][0]), 4)
-            self.assertTrue(all(view == views[0] for view in views))
-            self.assertGreater(views[0][1], 0)
-            leaver = world.entries[views[0][0][0]].daemon
-            tasks.start_soon(leaver.daemon.leave)
+            lists = [await _list_entries(p) for p in world.entries.values()]
+            self.assertEqual(len(lists[0][0]), 4)
+            self.assertTrue(all(found == lists[0] for found in lists))
+            self.assertGreater(lists[0][1], 0)
+            leaving_entry = world.entries[lists[0][0][0]].daemon
+            tasks.start_soon(leaving_entry.daemon.leave)
             await world.clock.advance(3000)
             for program in world.entries.values():
-                names, _ = await _listed(program)
-                self.assertEqual(names, views[0][0][1:])
+                names, _ = await _list_entries(program)
+                self.assertEqual(names, lists[0][0][1:])
             for program in [*world.entries.values(), *world.brokers.values()]:
                 program.kill()
             tasks.cancel_scope.cancel()
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -36,19 +36,19 @@
 class LayersTest(unittest.TestCase):
     """The layers of the package and the page that describes them."""
 
-    def test_each_folder_has_its_place(self):
+    def test_each_folder_is_a_listed_layer(self):
         found = {path.parent.name for path in PACKAGE.glob("*/__init__.py")}
         self.assertEqual(found, set(LAYERS))
 
-    def test_no_import_runs_back_up(self):
-        back = [
+    def test_no_folder_imports_a_later_one(self):
+        wrong_imports = [
             f"{path.relative_to(ROOT)} imports {folder}"
-            for place, layer in enumerate(LAYERS)
+            for position, layer in enumerate(LAYERS)
             for path in sorted((PACKAGE / layer).glob("*.py"))
             for folder in imported_folders(path)
-            if LAYERS.index(folder) > place
+            if LAYERS.index(folder) > position
         ]
-        self.assertEqual(back, [])
+        self.assertEqual(wrong_imports, [])
 
     def test_the_architecture_page_has_a_row_for_each_folder(self):
         text = (ROOT / "docs" / "architecture.md").read_text()
--- a/tests/test_linkkeys.py
+++ b/tests/test_linkkeys.py
@@ -14,8 +14,8 @@
 from tests.fleet import AUTHORIZATION, Fleet
 from tests.helpers import asynchronous, free_address, wait_until
 
-ANSWER_MS = 5000
-SILENCE_MS = 300
+REPLY_TIMEOUT_MS = 5000
+NO_REPLY_TIMEOUT_MS = 300
 
 
 @attrs.frozen
@@ -32,21 +32,21 @@
     text: str
 
 
-async def _answer(ping):
+async def _reply(ping):
     return Pong(ping.text)
 
 
 class LinkKeysTest(unittest.TestCase):
     """A link server with a key pair, called by several peers."""
 
-    async def _ask_until_answered(self, address, keys):
+    async def _call_until_reply(self, address, keys):
         """Repeats the call until the server is up; a hang fails the test."""
         while True:
-            answer = await self._ask(address, keys, ANSWER_MS)
-            if answer is not None:
-                return answer
+            reply = await self._call(address, keys, REPLY_TIMEOUT_MS)
+            if reply is not None:
+                return reply
 
-    async def _ask(self, address, keys, timeout_ms):
+    async def _call(self, address, keys, timeout_ms):
         links = Links(7, keys)
         async with anyio.create_task_group() as tasks:
             await tasks.start(links.run)
@@ -61,46 +61,48 @@
                 tasks.cancel_scope.cancel()
 
     @asynchronous
-    async def test_only_peers_with_the_same_key_pair_are_answered(self):
+    async def test_only_peers_with_the_same_key_pair_get_replies(self):
         keys, address = make_link_keys(), free_address()
         server = LinkServer(address, keys)
         calls = []
 
-        async def answer(ping):
+        async def reply(ping):
             calls.append(ping)
-            return await _answer(ping)
+            return await _reply(ping)
 
-        server.on(Ping, answer)
+        server.on(Ping, reply)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(server.run)
             self.assertEqual(
-                await self._ask_until_answered(address, keys), "hello"
+                await self._call_until_reply(address, keys), "hello"
             )
-            stranger = make_link_keys()
-            for peer in (stranger, None):
-                self.assertIsNone(await self._ask(address, peer, SILENCE_MS))
+            other_keys = make_link_keys()
+            for peer in (other_keys, None):
+                self.assertIsNone(
+                    await self._call(address, peer, NO_REPLY_TIMEOUT_MS)
+                )
             self.assertEqual(
-                await self._ask_until_answered(address, keys), "hello"
+                await self._call_until_reply(address, keys), "hello"
             )
             tasks.cancel_scope.cancel()
         self.assertEqual(len(calls), 2)
 
     @asynchronous
-    async def test_the_keys_can_be_served_again_after_a_failure(self):
+    async def test_a_server_with_keys_can_be_started_again(self):
         keys = make_link_keys()
         for _ in range(2):
             # Uses a new address each time, because the kernel may still hold
             # the first port. In production the supervisor waits instead.
             address = free_address()
             server = LinkServer(address, keys)
-            server.on(Ping, _answer)
+            server.on(Ping, _reply)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(server.run)
-                answer = await self._ask_until_answered(address, keys)
-                self.assertEqual(answer, "hello")
+                reply = await self._call_until_reply(address, keys)
+                self.assertEqual(reply, "hello")
                 tasks.cancel_scope.cancel()
 
-    def test_the_secret_is_not_shown(self):
+    def test_the_secret_is_not_in_the_repr(self):
         keys = make_link_keys()
         self.assertNotIn(keys.secret, repr(keys))
 
@@ -108,31 +110,31 @@
 class ProcessesTest(unittest.TestCase):
     """A deployment of separate processes whose links use a key pair."""
 
-    def test_requests_are_served_and_a_program_without_keys_is_not_heard(self):
+    def test_requests_are_served_and_a_program_without_keys_is_ignored(self):
         keys = make_link_keys()
         variables = {
             "RHUBARBWINCH_LINK_PUBLIC_KEY": keys.public,
             "RHUBARBWINCH_LINK_SECRET_KEY": keys.secret,
         }
-        bare = free_address()
+        keyless_entry = free_address()
         body = {"model": "chat", "prompt": "len=3"}
         statuses = []
         with mock.patch.dict(os.environ, variables), Fleet() as fleet:
             with mock.patch.dict(os.environ):
                 for name in variables:
                     del os.environ[name]
-                fleet.start_role("entry", "bare", bare)
+                fleet.start_role("entry", "bare", keyless_entry)
             # The entry without keys reads its configuration from the store,
             # so it becomes ready, but no broker accepts its messages.
-            url = f"http://{bare}/readyz"
+            url = f"http://{keyless_entry}/readyz"
             wait_until(lambda: httpx.get(url).is_success, "the bare entry")
-            for address in (fleet.entries[0], bare):
-                answer = httpx.post(
+            for address in (fleet.entries[0], keyless_entry):
+                response = httpx.post(
                     f"http://{address}/v1/completions",
                     json=body,
                     headers=AUTHORIZATION,
                     timeout=20,
                 )
-                statuses.append(answer.status_code)
-                verdict = answer.headers.get("x-verdict")
+                statuses.append(response.status_code)
+                verdict = response.headers.get("x-verdict")
         self.assertEqual((statuses, verdict), ([200, 503], "not-run"))
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -8,7 +8,7 @@
 
 # Replaces the import of the program's module by a function that sends SIGHUP
 # to its own process: the platform may send SIGHUP while a gateway is importing.
-STARTED_UNDER_SIGHUP = """
+START_WITH_SIGHUP = """
 import importlib, os, signal, sys, types
 from rhubarbwinch import __main__
 
@@ -25,12 +25,12 @@
 class MainTest(unittest.TestCase):
     """The time between the start of a process and its main function."""
 
-    def test_a_gateway_that_is_told_to_reload_while_it_starts_goes_on(self):
-        found = subprocess.run(
-            [sys.executable, "-c", STARTED_UNDER_SIGHUP],
+    def test_a_gateway_survives_sighup_while_it_starts(self):
+        result = subprocess.run(
+            [sys.executable, "-c", START_WITH_SIGHUP],
             cwd=ROOT,
             capture_output=True,
             text=True,
             check=False,
         )
-        self.assertEqual((found.returncode, found.stdout), (0, "started\n"))
+        self.assertEqual((result.returncode, result.stdout), (0, "started\n"))
--- a/tests/test_openai_client.py
+++ b/tests/test_openai_client.py
@@ -32,7 +32,7 @@
         numbers = [int(word.partition(".")[2]) for word in text.split()]
         self.assertEqual(numbers, list(range(TOKENS)))
 
-    def test_whole_answers_have_text_and_usage(self):
+    def test_complete_responses_have_text_and_usage(self):
         completion = self.client.completions.create(
             model="chat", prompt=f"len={TOKENS}"
         )
@@ -49,26 +49,26 @@
         stream = self.client.completions.create(
             model="chat", prompt=f"len={TOKENS}", stream=True
         )
-        self._assert_text("".join(part.choices[0].text for part in stream))
+        self._assert_text("".join(chunk.choices[0].text for chunk in stream))
         stream = self.client.chat.completions.create(
             model="chat", messages=MESSAGES, stream=True
         )
-        parts = [part.choices[0].delta.content or "" for part in stream]
-        self._assert_text("".join(parts))
+        chunks = [chunk.choices[0].delta.content or "" for chunk in stream]
+        self._assert_text("".join(chunks))
 
     def test_models_are_those_of_the_account(self):
         listed = [model.id for model in self.client.models.list()]
         self.assertEqual(listed, ["chat"])
 
-    def test_failures_are_the_librarys_own_classes(self):
-        call = self.client.completions.create
+    def test_failures_raise_the_exceptions_of_the_library(self):
+        complete = self.client.completions.create
         with self.assertRaises(openai.NotFoundError) as caught:
-            call(model="none", prompt="")
+            complete(model="none", prompt="")
         self.assertEqual(caught.exception.code, "not-found")
         self.assertEqual(
             caught.exception.response.headers["x-verdict"], "not-run"
         )
         with self.assertRaises(openai.BadRequestError):
-            call(model="chat", prompt="", max_tokens=-1)
+            complete(model="chat", prompt="", max_tokens=-1)
         with self.assertRaises(openai.AuthenticationError):
             self._connect("acme.wrong").models.list()
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -20,23 +20,23 @@
 def _events(response):
     """Returns index and token number of each event, one line per event."""
     lines = []
-    tags = set()
+    generation_tags = set()
     for block in response.text.strip().split("\n\n"):
         if block == "data: [DONE]":
             lines.append("done")
             continue
         head, data = block.split("\n")
         text = json.loads(data.removeprefix("data: "))["choices"][0]["text"]
-        tag, number = text.strip().split(".")
-        tags.add(tag)
+        generation_tag, number = text.strip().split(".")
+        generation_tags.add(generation_tag)
         lines.append(f"index {head.rpartition(':')[2]} token {number}")
-    return "\n".join([*lines, f"generations {len(tags)}"]) + "\n"
+    return "\n".join([*lines, f"generations {len(generation_tags)}"]) + "\n"
 
 
 class PathTest(GoldTestCase):
     """Requests that pass through entry, broker and engine."""
 
-    def test_a_session_through_separate_processes_matches_its_gold(self):
+    def test_a_session_through_separate_processes_matches_the_golden_file(self):
         with Fleet(entries=2, engines=2) as fleet:
             url = f"http://{fleet.entries[0]}"
             client = httpx.Client(headers=AUTHORIZATION, timeout=20)
@@ -44,7 +44,7 @@
                 f"{url}/v1/completions",
                 json={"model": "chat", "prompt": "len=6", "stream": True},
             )
-            whole = client.post(
+            complete = client.post(
                 f"{url}/v1/chat/completions",
                 json={
                     "model": "chat",
@@ -60,18 +60,18 @@
             unknown = client.post(
                 f"{url}/v1/completions", json={"model": "none", "prompt": ""}
             )
-            stranger = httpx.post(f"{url}/v1/completions", json={})
+            unauthenticated = httpx.post(f"{url}/v1/completions", json={})
             text = (
                 _describe("streamed", streamed)
                 + _events(streamed)
-                + _describe("whole", whole)
-                + f"tokens {whole.json()['usage']['completion_tokens']}\n"
+                + _describe("whole", complete)
+                + f"tokens {complete.json()['usage']['completion_tokens']}\n"
                 + _describe("resumed at another entry", resumed)
                 + _events(resumed)
                 + _describe("plain service", plain)
                 + f"call {plain.json()['number']}\n"
                 + _describe("unknown model", unknown)
-                + _describe("no key", stranger)
+                + _describe("no key", unauthenticated)
             )
         self.assert_gold("path", text)
 
--- a/tests/test_proofs.py
+++ b/tests/test_proofs.py
@@ -23,10 +23,12 @@
     """Compares docs/PROOFS.md with the golden files."""
 
     def test_every_golden_file_is_named_and_every_named_one_exists(self):
-        named = set()
+        named_files = set()
         for row in _rows():
-            named |= set(re.findall(r"[\w.-]+\.txt", row[2]))
-        self.assertEqual(named, {path.name for path in GOLD.glob("*.txt")})
+            named_files |= set(re.findall(r"[\w.-]+\.txt", row[2]))
+        self.assertEqual(
+            named_files, {path.name for path in GOLD.glob("*.txt")}
+        )
 
     def test_every_row_has_a_known_state(self):
         for row in _rows():
--- a/tests/test_rolling.py
+++ b/tests/test_rolling.py
@@ -23,7 +23,7 @@
 
     def __init__(self):
         super().__init__(entries=VMS, engines=2, speed=2)
-        self._extra = [free_address() for _ in range(2 * VMS)]
+        self._other_addresses = [free_address() for _ in range(2 * VMS)]
 
     def __enter__(self):
         self.start("store", "lab.standins.kvstore", "--listen", self.store)
@@ -40,8 +40,8 @@
 
     def start_vm(self, i):
         """Starts the programs of a VM."""
-        self.start_role("control", f"control-{i}", self._extra[i])
-        self.start_role("broker", f"broker-{i}", self._extra[VMS + i])
+        self.start_role("control", f"control-{i}", self._other_addresses[i])
+        self.start_role("broker", f"broker-{i}", self._other_addresses[VMS + i])
         self.start_role("entry", f"entry-{i}", self.entries[i])
 
     def restart_vm(self, i):
@@ -90,10 +90,10 @@
     def _refresh(self):
         for address in self._addresses:
             try:
-                answer = self._client.get(f"http://{address}/v1/entries")
+                response = self._client.get(f"http://{address}/v1/entries")
             except httpx.ConnectError:
                 continue
-            listed = [e["address"] for e in answer.json()["entries"]]
+            listed = [e["address"] for e in response.json()["entries"]]
             if listed:
                 self._addresses = listed
             return
@@ -103,23 +103,23 @@
 
         Returns "whole" after a complete response, else what failed.
         """
-        refused = "no address"
-        end = time.monotonic() + TIMEOUT_S
+        last_refusal = "no address"
+        deadline = time.monotonic() + TIMEOUT_S
         for i, address in enumerate(itertools.cycle(self._addresses), 1):
-            if time.monotonic() > end:
-                return refused
+            if time.monotonic() > deadline:
+                return last_refusal
             if i % len(self._addresses) == 0:
                 time.sleep(PAUSE_S)
             try:
-                answer = self._send(address)
+                response = self._send(address)
             except httpx.ConnectError:
                 continue
             except httpx.HTTPError as error:
                 return repr(error)
-            if answer.headers.get("x-verdict") == "not-run":
-                refused = answer.text
+            if response.headers.get("x-verdict") == "not-run":
+                last_refusal = response.text
                 continue
-            return self._judge(answer)
+            return self._outcome_of(response)
         raise AssertionError("the loop over addresses ended")
 
     def _send(self, address):
@@ -130,10 +130,10 @@
         body = {"model": "chat", "prompt": prompt, "stream": True}
         return self._client.post(f"http://{address}/v1/completions", json=body)
 
-    def _judge(self, answer):
+    def _outcome_of(self, response):
         if self._plain:
-            return "whole" if answer.is_success else answer.text
-        blocks = answer.text.strip().split("\n\n")
+            return "whole" if response.is_success else response.text
+        blocks = response.text.strip().split("\n\n")
         is_whole = len(blocks) == self._tokens + 1
         if is_whole and blocks[-1] == "data: [DONE]":
             return "whole"
@@ -167,11 +167,13 @@
             for i, caller in enumerate(callers):
                 lines.append(f"caller {i}: failed {len(caller.failures)}")
                 lines += caller.failures[:3]
-            busy = all(caller.done >= VMS for caller in callers)
-            lines.append(f"each caller made a request for each VM: {busy}")
+            all_called = all(caller.done >= VMS for caller in callers)
+            lines.append(
+                f"each caller made a request for each VM: {all_called}"
+            )
         self.assert_gold("rolling-restart", "\n".join(lines) + "\n")
 
-    def test_a_stream_open_at_the_drain_limit_goes_on_at_another_entry(self):
+    def test_a_stream_open_at_the_drain_limit_resumes_at_another_entry(self):
         with Fleet(entries=2, engines=1, speed=2) as fleet:
             fleet.signal("entry-1", signal.SIGTERM)
             fleet.wait("entry-1")
@@ -179,23 +181,23 @@
             fleet.start_role("entry", "entry-1", fleet.entries[1], *options)
             fleet.wait_ready(fleet.entries[1])
             body = {"model": "chat", "prompt": "len=200", "stream": True}
-            first = []
+            first_part = []
             with httpx.stream(
                 "POST",
                 f"http://{fleet.entries[1]}/v1/completions",
                 json=body,
                 headers=AUTHORIZATION,
                 timeout=TIMEOUT_S,
-            ) as answer:
-                for line in answer.iter_lines():
-                    if len(first) in (0, 12):
+            ) as response:
+                for line in response.iter_lines():
+                    if len(first_part) in (0, 12):
                         # A second SIGTERM must not cut the stream.
                         fleet.signal("entry-1", signal.SIGTERM)
-                    first.append(line)
+                    first_part.append(line)
             status = fleet.wait("entry-1")
-            notice = json.loads(first[-2].removeprefix("data: "))
-            last_id = [x for x in first if x.startswith("id: ")][-1][4:]
-            rest = httpx.post(
+            notice = json.loads(first_part[-2].removeprefix("data: "))
+            last_id = [x for x in first_part if x.startswith("id: ")][-1][4:]
+            resumed = httpx.post(
                 f"http://{notice['entries'][0]}/v1/completions",
                 json=body,
                 headers=AUTHORIZATION | {"Last-Event-ID": last_id},
@@ -203,16 +205,16 @@
             ).text.splitlines()
         ids = [
             int(line.rpartition(":")[2])
-            for line in first + rest
+            for line in first_part + resumed
             if line.startswith("id: ")
         ]
-        is_other = notice["entries"] == [fleet.entries[0]]
+        names_other_entry = notice["entries"] == [fleet.entries[0]]
         text = (
             "# A stream that is open at the drain limit\n"
-            f"last event {first[-3]}\n"
-            f"it names the other entry: {is_other}\n"
+            f"last event {first_part[-3]}\n"
+            f"it names the other entry: {names_other_entry}\n"
             f"exit status {status}\n"
             f"tokens once and in order: {ids == list(range(200))}\n"
-            f"the rest ends with {rest[-2]}\n"
+            f"the rest ends with {resumed[-2]}\n"
         )
         self.assert_gold("drain-limit", text)
