--- a/lab/bare_relay.py
+++ b/lab/bare_relay.py
@@ -1,6 +1,7 @@
-"""The relay that a user would write: hypercorn and the stock httpx client.
+"""A minimal streaming relay, the baseline of `lab.bench_relay`.
 
-It passes bytes on as they come: no permit, no ids, no resume.
+Uses hypercorn and the unmodified httpx client and forwards bytes as they
+arrive, without permits, event ids or resume.
 """
 
 import argparse
@@ -13,7 +14,7 @@
 
 
 class BareRelay:
-    """An ASGI application.
+    """An ASGI application that forwards every request to one engine.
 
     Args:
         target: `a.b.c.d:port` of the engine.
--- a/lab/bench.py
+++ b/lab/bench.py
@@ -1,7 +1,8 @@
-"""Measures admission against baselines and an oracle: `make bench`.
+"""Simulates admission policies, baselines and an oracle (`make bench`).
 
-`--record NOTE` adds the figures to lab/history.jsonl and draws the plots.
-`--deployment NAME` measures one deployment only.
+`--record NOTE` appends the figures to lab/history.jsonl.
+`--deployment NAME` measures one deployment only. `python -m lab.bench_plots`
+draws the results.
 """
 
 import argparse
@@ -13,7 +14,7 @@
 
 
 def main() -> None:
-    """Runs the experiment and prints its table."""
+    """Runs all simulations and prints tables, targets and the comparison."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--record", default="", metavar="NOTE")
     parser.add_argument("--deployment", choices=sorted(bench_load.DEPLOYMENTS))
--- a/lab/bench_broker.py
+++ b/lab/bench_broker.py
@@ -1,8 +1,8 @@
-"""Permits a second of one pool's decisions on one core.
+"""Measures the permits per second that one core decides for one pool.
 
-64 engines, 1,000 requests waiting: `python -m lab.bench_broker`. It prints
-the time of a permit, which is one submission, its part of the reports and one
-release, and the memory of a held stream and of a waiting request.
+`python -m lab.bench_broker` runs `Admission` with 64 engines and 1,000 waiting
+requests. It prints the time per permit (one submission, a share of the load
+reports and one release) and the memory per open stream and per waiting request.
 """
 
 import argparse
@@ -21,7 +21,7 @@
 
 ENGINES = 64
 WAITING = 1000
-# A permit each 300 us of the pool's time, as the target has it.
+# The simulated rate: one permit every 300 us, the stated target.
 PERMITS_PER_SECOND = 3300
 LOAD_PERIOD_MS = 250
 CAPACITY_TOKENS = 60_000
@@ -30,11 +30,11 @@
 
 
 class BrokerBench:
-    """A full pool whose streams end as others start.
+    """A pool at full capacity where one stream ends for each that starts.
 
     Args:
-        waiting: How many requests wait at the start.
-        seed: Fixes the requests.
+        waiting: The number of queued requests to keep.
+        seed: The seed of the generated requests.
     """
 
     def __init__(self, waiting: int, seed: int = 1) -> None:
@@ -62,7 +62,7 @@
         return len(self._running)
 
     def permit(self) -> None:
-        """Ends a stream and submits a request, as time passes."""
+        """Advances the clock, ends a random stream and submits a request."""
         before = int(self._now_ms / LOAD_PERIOD_MS)
         self._now_ms += 1000 / PERMITS_PER_SECOND
         self._clock.set(int(self._now_ms))
@@ -79,7 +79,7 @@
         self._take(self.admission.release(release))
         self._take(self.admission.submit(self._request()))
         if self.admission.queued < self._waiting:
-            # Another took the place of one that waited.
+            # A queued request was granted; submit another to keep the number.
             self._take(self.admission.submit(self._request()))
 
     def _fill(self) -> None:
@@ -157,7 +157,7 @@
 
 
 def main() -> None:
-    """Measures and prints."""
+    """Measures time and memory and prints both."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--permits", type=int, default=20_000)
     options = parser.parse_args()
--- a/lab/bench_claims.py
+++ b/lab/bench_claims.py
@@ -1,8 +1,9 @@
-"""Measures claims a second and store writes for each claim.
+"""Measures the rate of claims and the store writes per claim.
 
-Entries claim and complete keys at a fixed rate over one store whose calls take
-some milliseconds: with many changes in a write and with one in each, and with
-one writer for each page and with all entries writing all pages.
+Several entries claim and complete idempotency keys at a fixed rate over one
+store with a delay of some milliseconds per call. Compares batched writes with
+one write per change, and one writer per claim page with all entries writing
+all pages.
 
     python -m lab.bench_claims
 """
@@ -33,11 +34,11 @@
 
 
 class SlowStore(MemoryStore):
-    """A store in memory whose calls take time.
+    """An in-memory store with a delay for each call.
 
     Args:
         clock: The source of time.
-        delay_ms: How long each call takes.
+        delay_ms: The duration of each call.
     """
 
     def __init__(self, clock: SystemClock, delay_ms: int) -> None:
@@ -60,7 +61,7 @@
 
 
 class Peers:
-    """Links between the entries of this process, without delay."""
+    """Links between the entries of this process, without a network or delay."""
 
     def __init__(self) -> None:
         self.routed: dict[str, RoutedPages] = {}
@@ -68,7 +69,7 @@
     async def call(
         self, address: str, message: Any, answer: type[T], timeout_ms: int
     ) -> T:
-        """Sends a message and returns the peer's answer."""
+        """Calls a peer and returns its reply; both are encoded and decoded."""
         _ = timeout_ms
         data = codec.encode(message)
         reply = await self.routed[address].answer(
@@ -77,20 +78,20 @@
         return codec.decode(codec.encode(reply), answer)
 
     def forget(self, address: str) -> None:
-        """Does nothing; there are no connections."""
+        """Does nothing, because there are no connections."""
 
 
 class NoOwners:
-    """Nobody else's claims are asked for."""
+    """A stub of the query for the standing of a claim's owner."""
 
     async def ask(self, _: ClaimRecord) -> Standing:
-        """Returns that the owner is at work."""
+        """Returns that the owner still holds the claim."""
         return Standing.HELD
 
 
 @attrs.define
 class Run:
-    """What one setting gave."""
+    """A combination of parameters and its measurements."""
 
     offered: int
     entries: int
@@ -181,7 +182,7 @@
 
 
 def main() -> None:
-    """Prints one line for each setting."""
+    """Prints a line for each combination of parameters."""
     parser = argparse.ArgumentParser(description="Claims a second")
     parser.add_argument("--seconds", type=float, default=5.0)
     parser.add_argument("--delay-ms", type=int, default=4)
--- a/lab/bench_config.py
+++ b/lab/bench_config.py
@@ -1,7 +1,8 @@
-"""Measures what a configuration costs a daemon, by its number of accounts.
+"""Measures the cost of a configuration in a daemon, by number of accounts.
 
-Prints a JSON line for each size: the time to build a snapshot from nothing,
-the memory it keeps and the bytes of a changed chunk.
+Prints a JSON line for each size: the processor time to build a snapshot from
+all chunks and to apply one changed chunk, the memory of the snapshot and the
+mean size of a chunk.
 """
 
 import argparse
@@ -26,8 +27,8 @@
     Attributes:
         accounts: Its number of client accounts.
         build_ms: Processor time to parse, check and index all records.
-        revise_ms: Processor time to take over one changed chunk.
-        memory_bytes: What the snapshot and the chunks keep.
+        revise_ms: Processor time to apply one changed chunk.
+        memory_bytes: Memory of the snapshot and the chunks.
         chunk_bytes: The mean size of a chunk, fetched for one change.
     """
 
@@ -39,7 +40,7 @@
 
 
 def account(number: int) -> Record:
-    """Returns an account's record of a usual size."""
+    """Returns an account record of typical size."""
     key = {"salt": f"{number:032x}", "digest": f"{number:064x}"}
     spec = {
         "keys": [key],
--- a/lab/bench_gateways.py
+++ b/lab/bench_gateways.py
@@ -1,7 +1,8 @@
-"""What gateways cost as their number grows: `python -m lab.bench_gateways`.
+"""Measures the cost of gateways by their number.
 
-For each number of gateways prints their processor time, idle and under the
-callers of the soak without faults, and the calls that they make to the store.
+`python -m lab.bench_gateways` prints, for each number of gateways, their
+processor time and store calls while idle and while serving the callers of the
+soak test without faults.
 """
 
 import argparse
@@ -16,7 +17,8 @@
 from lab.soak.run import make_callers
 from lab.soak.world import World
 
-# Interpreters that start at once share the cores; then all have to settle.
+# All gateways start together and share the cores, so the wait grows with their
+# number. SETTLE_S is added for the start of the last one.
 START_S_EACH = 0.3
 SETTLE_S = 5.0
 ENGINES = 8
@@ -24,12 +26,12 @@
 
 @attrs.frozen
 class Usage:
-    """What was used in a while.
+    """The resources used in a period.
 
     Attributes:
-        requests: Requests of callers that were served a second.
-        cores: Processor time of a gateway, as a share of a core.
-        store_calls: Calls of all gateways to the store a second.
+        requests: Requests served per second.
+        cores: Processor time per gateway, as a share of a core.
+        store_calls: Store calls per second of all gateways.
     """
 
     requests: float
@@ -46,7 +48,7 @@
 async def measure(
     gateways: int, callers: int, last_s: float, folder: pathlib.Path
 ) -> list[Usage]:
-    """Returns what gateways use idle and under callers."""
+    """Returns the usage of gateways while idle and while serving callers."""
     world = World(folder, random.Random(1), gateways, ENGINES)
     try:
         async with anyio.create_task_group() as tasks:
@@ -87,7 +89,7 @@
 
 
 def main() -> None:
-    """Measures each number of gateways."""
+    """Measures each number of gateways and prints the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--gateways", default="4,33,100")
     parser.add_argument("--callers", type=int, default=60)
--- a/lab/bench_links.py
+++ b/lab/bench_links.py
@@ -1,7 +1,7 @@
-"""Measures what a call between two processes costs, over the loopback address.
+"""Measures the cost of a call over a link on the loopback address.
 
-Both ends run in one process, so the processor time is that of the caller and
-the callee together. Prints a JSON line for each message.
+Client and server run in one process, so the processor time is the sum of both.
+Prints a JSON line for each message type.
 """
 
 import argparse
@@ -34,14 +34,14 @@
 
 @attrs.frozen
 class Cost:
-    """The cost of a call.
+    """The cost of a call with one message type.
 
     Attributes:
-        message: The message's class.
-        calls: How many calls were made.
-        cpu_us: Processor time of both ends for a call.
-        request_bytes: The encoded request.
-        reply_bytes: The encoded answer.
+        message: The class name of the request.
+        calls: The number of calls.
+        cpu_us: Processor time per call, client and server together.
+        request_bytes: The size of the encoded request.
+        reply_bytes: The size of the encoded reply.
     """
 
     message: str
@@ -52,7 +52,7 @@
 
 
 def permit_request() -> PermitRequest:
-    """Returns a permit request of a usual size."""
+    """Returns a permit request of typical size."""
     return PermitRequest(
         request_id="5f3a2b1c4d5e6f70-1a2b3c-0123456789ab",
         entry="entry-pl-south-a-1",
@@ -68,14 +68,14 @@
 
 
 def permit_reply() -> PermitReply:
-    """Returns a grant of a usual size."""
+    """Returns a granted permit of typical size."""
     request = permit_request()
     grant = PermitGrant(request.request_id, "engine-17", "10.20.30.40:8000")
     return PermitReply(grant=grant)
 
 
 def progress_report() -> ProgressReport:
-    """Returns a report of some open streams."""
+    """Returns a full report of `STREAMS_IN_REPORT` open streams."""
     stream = StreamProgress(permit_request(), "engine-17", 512)
     request = stream.request
     return ProgressReport(
@@ -84,7 +84,7 @@
 
 
 def digest_report() -> DigestReport:
-    """Returns a digest of open streams, one of which has grown."""
+    """Returns a digest report of open streams with the growth of one."""
     request = permit_request()
     grown = [StreamGrowth(request_key(request.request_id), 512)]
     return DigestReport(request.entry, request.pool, 20, 1 << 63, grown)
@@ -131,7 +131,7 @@
 
 
 async def run(count: int) -> None:
-    """Prints the costs of the messages."""
+    """Measures and prints the cost of each message type."""
     for request, reply in (
         (permit_request(), permit_reply()),
         (progress_report(), Ack()),
--- a/lab/bench_load.py
+++ b/lab/bench_load.py
@@ -1,4 +1,4 @@
-"""The traffic of the two deployments, from fixed seeds."""
+"""Generates the simulated traffic of the two deployments from a seed."""
 
 import math
 import random
@@ -18,20 +18,20 @@
 
 @attrs.frozen
 class TrafficClass:
-    """One kind of request.
+    """A class of requests with the same service and distribution of lengths.
 
     Attributes:
         name: The service's name.
         interactive: Whether a person waits for the first token.
-        wait_ms: The longest wait in the queue.
-        first_token_ms: The target for the first token.
-        per_second: The rate at a load of 1 before capacity is known.
-        prefix_blocks: Blocks that all prompts of an account share.
-        prompt_median: The tokens after the prefix.
-        prompt_sigma: The spread of their logarithm.
-        output_median: The tokens generated.
-        output_sigma: The spread of their logarithm.
-        max_tokens: The caller's bound on the output.
+        wait_ms: The maximum wait in the queue.
+        first_token_ms: The target for the time to the first token.
+        per_second: The arrival rate at load 1, not yet scaled by capacity.
+        prefix_blocks: Leading prompt blocks that an account's requests share.
+        prompt_median: The median number of prompt tokens after the prefix.
+        prompt_sigma: The standard deviation of their logarithm.
+        output_median: The median number of generated tokens.
+        output_sigma: The standard deviation of their logarithm.
+        max_tokens: The limit on the output that the caller sets.
     """
 
     name: str
@@ -52,8 +52,8 @@
     """A deployment of six engines and ten accounts.
 
     Attributes:
-        name: What it is called.
-        classes: Its kinds of requests.
+        name: The name in tables and in the history.
+        classes: The traffic classes, the interactive one first.
     """
 
     name: str
@@ -85,7 +85,7 @@
 
 
 def account_specs() -> dict[str, AccountSpec]:
-    """Returns the accounts' records; weights follow their sizes."""
+    """Returns the account records, weighted by the share of traffic."""
     return {
         name: AccountSpec(weight=float(size))
         for name, size in zip(ACCOUNTS, ACCOUNT_SIZES, strict=True)
@@ -94,15 +94,15 @@
 
 @attrs.frozen
 class Arrival:
-    """A request as the callers make it.
+    """A request at the time when its caller sends it.
 
     Attributes:
-        at_ms: When it comes.
-        kind: Its class.
-        request: What the broker is told.
+        at_ms: The time of arrival.
+        kind: The traffic class.
+        request: The permit request that the broker receives.
         prompt_tokens: The true length of the prompt.
         output_tokens: The true length of the output.
-        is_cancelled: Whether the caller hangs up after these tokens.
+        is_cancelled: Whether the caller disconnects after `output_tokens`.
     """
 
     at_ms: float
@@ -115,14 +115,14 @@
 
 @attrs.frozen
 class Shape:
-    """How the traffic differs from the usual.
+    """The load and its changes during a run.
 
     Attributes:
-        load: The multiple of the classes' rates.
-        shift_ms: From here on outputs are `shift_factor` times as long.
-        shift_factor: See above.
-        flood_ms: From here on one account sends `flood_factor` times as much.
-        flood_factor: See above.
+        load: The factor on the arrival rates of the classes.
+        shift_ms: The time from which outputs are longer.
+        shift_factor: The factor on output lengths from `shift_ms` on.
+        flood_ms: The time from which `FLOODER` sends more requests.
+        flood_factor: The factor on its arrival rate from `flood_ms` on.
     """
 
     load: float
@@ -135,10 +135,10 @@
 def arrivals(
     deployment: Deployment, shape: Shape, seed: int, end_ms: float
 ) -> Iterator[Arrival]:
-    """Yields the requests of one class after the other's, by time.
+    """Yields the requests of all classes and accounts, sorted by time.
 
-    Each class and account has a random source of its own, so that a flood of
-    one leaves the requests of the others as they are.
+    Each class and account has its own random generator, so that a flood by
+    one account does not change the requests of the others.
     """
     found: list[Arrival] = []
     for kind in deployment.classes:
@@ -152,7 +152,7 @@
 
 
 class _Source:
-    """The requests of one class and account."""
+    """Generates the requests of one class and account."""
 
     def __init__(
         self,
@@ -167,7 +167,7 @@
         self._per_ms = per_ms
         self._shape = shape
         self._rng = rng
-        # Accounts differ in how much they ask for.
+        # Output lengths differ between accounts.
         self._factor = math.exp(rng.gauss(0, 0.3))
         self._prefix = [rng.getrandbits(60) for _ in range(kind.prefix_blocks)]
 
--- a/lab/bench_loads.py
+++ b/lab/bench_loads.py
@@ -1,7 +1,7 @@
-"""Measures what a broker pays to read an engine's load.
+"""Measures the cost to a broker of polling the load of an engine.
 
-Starts the engine stand-in and reads its load again and again; prints a JSON
-line with the processor time and the bytes of a reading at the broker.
+Starts the engine stand-in, polls its load and prints a JSON line with the
+processor time of the broker's client and the bytes per poll.
 """
 
 import argparse
@@ -22,12 +22,12 @@
 
 @attrs.frozen
 class Cost:
-    """The cost of a reading.
+    """The cost of a poll.
 
     Attributes:
-        reads: How many were made.
-        cpu_us: Processor time of the reader for each.
-        answer_bytes: The answer with its head.
+        reads: The number of polls.
+        cpu_us: Processor time of the client per poll.
+        answer_bytes: The size of the response with its headers.
     """
 
     reads: int
@@ -36,7 +36,7 @@
 
 
 async def measure(address: str, count: int) -> Cost:
-    """Returns the cost of reading one engine's load."""
+    """Returns the cost of polling the load of the engine at `address`."""
     url = f"http://{address}/load"
     client = EndpointClient(SILENCE_MS)
     await client.read_json(url)
--- a/lab/bench_logging.py
+++ b/lab/bench_logging.py
@@ -1,7 +1,8 @@
-"""What the log of a gateway costs: `python -m lab.bench_logging`.
+"""Measures the cost of logging in a gateway.
 
-One gateway serves the callers of the soak without faults, by turns with its
-log and with errors only. Prints processor time, lines and bytes a request.
+`python -m lab.bench_logging` runs one gateway under the callers of the soak
+test without faults, alternately at log levels info and error. It prints
+processor time, log lines and log bytes per request.
 """
 
 import argparse
@@ -23,13 +24,13 @@
 
 @attrs.frozen
 class Cost:
-    """What was measured of a run.
+    """The measurements of one run.
 
     Attributes:
-        requests: Requests that were served.
-        cpu_ms: Processor time a request.
-        lines: Log lines a request.
-        log_bytes: Bytes of log a request.
+        requests: The number of requests served.
+        cpu_ms: Processor time per request.
+        lines: Log lines per request.
+        log_bytes: Log bytes per request.
     """
 
     requests: int
@@ -39,7 +40,7 @@
 
 
 async def measure(level: str, last_s: float, folder: pathlib.Path) -> Cost:
-    """Runs a gateway at a log level under the load of the soak."""
+    """Runs a gateway at a log level under the load of the soak test."""
     options = ("--log-level", level)
     world = World(folder, random.Random(1), 1, 3, options)
     log = folder / "g1.log"
@@ -75,7 +76,7 @@
 
 
 def main() -> None:
-    """Measures by turns and prints the medians."""
+    """Alternates between the log levels and prints the medians."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=3)
     parser.add_argument("--seconds", type=float, default=8.0)
