--- a/lab/bench_measure.py
+++ b/lab/bench_measure.py
@@ -1,4 +1,4 @@
-"""What the experiments measure, by class of requests."""
+"""Measurements of simulated requests, summed up by traffic class."""
 
 import math
 from collections import Counter
@@ -18,24 +18,26 @@
 
 @attrs.define(eq=False)
 class Job:
-    """A request and what became of it.
+    """A simulated request and its measurements.
 
     Attributes:
-        arrival: The request as its caller made it.
-        attempts: How often it was submitted.
-        refused_ms: When it was refused for good.
-        wanted_ms: When the last attempt was submitted.
-        first_ms: When its first token came.
-        last_ms: When its last token came, while it does not run.
-        tokens: The tokens that came.
-        slow_gaps: Gaps longer than the target.
-        longest_ms: The longest gap.
-        stall_ms: The time beyond the target, over all gaps.
-        preemptions: How often it lost its memory.
-        is_done: Whether it came to its end.
-        is_lost: Whether its engine was lost and it was not run again.
-        slow_base: The engine's count of slow steps when it joined.
-        stall_base: The engine's stall time when it joined.
+        arrival: The request and its time of arrival.
+        attempts: The number of submissions to the broker.
+        refused_ms: When the last attempt was refused or lost; None if the
+            request was not given up.
+        wanted_ms: When the latest attempt was submitted.
+        first_ms: When the first token arrived.
+        last_ms: When the latest run ended, by preemption or completion.
+        tokens: The number of tokens received.
+        slow_gaps: The number of gaps over `GAP_TARGET_MS`.
+        longest_ms: The longest gap caused by a preemption.
+        stall_ms: The sum over all gaps of the time beyond the target.
+        preemptions: How often its KV cache was evicted.
+        is_done: Whether it is complete.
+        is_lost: Whether its engine failed after the first token.
+        slow_base: The engine's number of slow steps when the request joined
+            the batch.
+        stall_base: The engine's stall time when the request joined the batch.
     """
 
     arrival: Arrival
@@ -56,14 +58,14 @@
 
     @property
     def wait_ms(self) -> float:
-        """The time from the caller's request to the first token."""
+        """The time from arrival to the first token."""
         if self.first_ms is None:
             return math.inf
         return self.first_ms - self.arrival.at_ms
 
     @property
     def is_met(self) -> bool:
-        """Whether it met its targets."""
+        """Whether it is complete and met all its targets."""
         return (
             self.is_done
             and self.wait_ms <= self.arrival.kind.first_token_ms
@@ -72,16 +74,16 @@
 
     @property
     def keeps_pace(self) -> bool:
-        """Whether 95 in 100 gaps were short and no pause was long."""
+        """Whether 95% of its gaps met the target and no pause was too long."""
         allowed = SLOW_GAPS_ALLOWED * max(1, self.tokens - 1)
-        # One slow gap of a short answer is not held against it.
+        # One slow gap is allowed even in a short response.
         few = self.slow_gaps <= max(1, allowed)
         return few and self.longest_ms <= PAUSE_TARGET_MS
 
 
 @attrs.frozen
 class Percentiles:
-    """The values at `PERCENTILES`, in ms."""
+    """The durations at `PERCENTILES`, in ms."""
 
     p50: float
     p95: float
@@ -90,7 +92,7 @@
 
 
 class Durations:
-    """Counts durations and returns their percentiles."""
+    """A histogram of durations."""
 
     def __init__(self) -> None:
         self._counts: Counter[int] = Counter()
@@ -100,7 +102,7 @@
         self._counts[max(1, int(ms * _US))] += count
 
     def percentiles(self) -> Percentiles:
-        """Returns the percentiles by HdrHistogram."""
+        """Returns the percentiles, computed with HdrHistogram."""
         histogram = HdrHistogram(1, _HOUR_US, 3)
         for value, count in self._counts.items():
             histogram.record_value(value, count)
@@ -112,22 +114,23 @@
 
 @attrs.frozen
 class ClassResult:
-    """What one class of requests got.
+    """The measurements of one traffic class.
 
     Attributes:
-        name: The class.
-        offered: Requests made in the measured time.
-        refused: Those that were refused.
-        refused_late: Those refused after more than 50 ms.
-        refusal_p99_ms: How fast refusals were.
-        first_in_time: The share of all whose first token was in time.
-        gaps_in_time: The share of started ones with short gaps.
-        met: The share of all that met every target.
-        goodput: Tokens a second of those.
-        stall_s: Time beyond the gap target, over all streams.
-        preemptions: Streams thrown out of memory.
-        gap: The gaps between tokens.
-        first: The times to the first token.
+        name: The name of the class.
+        offered: Requests that arrived in the measured window.
+        refused: Requests that were refused.
+        refused_late: Requests refused more than 50 ms after submission.
+        refusal_p99_ms: The 99th percentile of the time to a refusal.
+        first_in_time: The share of all requests whose first token met its
+            target.
+        gaps_in_time: The share of started requests that met the gap target.
+        met: The share of all requests that met every target.
+        goodput: Tokens per second of the requests that met every target.
+        stall_s: The time beyond the gap target, summed over all streams.
+        preemptions: The number of preemptions.
+        gap: Percentiles of the gaps between tokens.
+        first: Percentiles of the time to the first token.
     """
 
     name: str
@@ -147,20 +150,20 @@
 
 @attrs.frozen
 class RunResult:
-    """One run of an experiment.
+    """The measurements of one simulation.
 
     Attributes:
-        deployment: The deployment's name.
-        scenario: What was done.
-        load: Share of capacity.
-        policy: Who decided.
-        classes: The classes, the interactive one first.
-        goodput: Tokens a second of streams that met their targets.
-        others_goodput: The same without the account that floods.
-        fairness: Jain's index over accounts' shares of goodput to demand.
+        deployment: The name of the deployment.
+        scenario: The name of the scenario.
+        load: The load as a share of capacity.
+        policy: The name of the admission policy.
+        classes: The traffic classes, the interactive one first.
+        goodput: Tokens per second of streams that met their targets.
+        others_goodput: The goodput without the account that floods.
+        fairness: Jain's index over the accounts' ratios of goodput to demand.
         recovered_met: The share of interactive requests that met their
-            targets from 30 s after the engine was lost.
-        attempts: Submissions for each request.
+            targets among those from 30 s after the loss of the engine.
+        attempts: Submissions per request.
     """
 
     deployment: str
@@ -176,19 +179,19 @@
 
     @property
     def stall_s(self) -> float:
-        """The stall time of all classes."""
+        """The stall time summed over all classes."""
         return sum(c.stall_s for c in self.classes)
 
     @property
     def preemptions(self) -> int:
-        """The preemptions of all classes."""
+        """The preemptions summed over all classes."""
         return sum(c.preemptions for c in self.classes)
 
 
 def class_result(
     name: str, jobs: list[Job], gap: Durations, seconds: float
 ) -> ClassResult:
-    """Sums up the jobs of one class."""
+    """Returns the measurements of one class over `seconds`."""
     refusals = [j for j in jobs if j.refused_ms is not None]
     speeds, firsts = Durations(), Durations()
     for job in refusals:
@@ -218,7 +221,7 @@
 
 
 def fairness(jobs: list[Job]) -> float:
-    """Returns Jain's index of goodput over demand, by account."""
+    """Returns Jain's index over the accounts' ratios of goodput to demand."""
     demand: Counter[str] = Counter()
     served: Counter[str] = Counter()
     for job in jobs:
--- a/lab/bench_plan.py
+++ b/lab/bench_plan.py
@@ -1,4 +1,4 @@
-"""The runs of the experiment and the capacity that they refer to."""
+"""Plans the simulations and searches the capacity that their loads refer to."""
 
 import multiprocessing
 from collections.abc import Callable
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class Task:
-    """A run to be made."""
+    """A simulation to run."""
 
     deployment: str
     scenario: Scenario
@@ -39,13 +39,17 @@
 
 
 def perform(task: Task) -> RunResult:
-    """Makes a run."""
+    """Runs a simulation and returns its measurements."""
     deployment = bench_load.DEPLOYMENTS[task.deployment]
     return Run(deployment, task.scenario, task.contender, SEED).run()
 
 
 def find_capacity(name: str) -> float:
-    """Returns the greatest load at which the oracle meets the targets."""
+    """Returns the highest load at which the oracle meets the targets.
+
+    A binary search; the targets are met if `MET_SHARE` of each class meets
+    them.
+    """
     low, high = SEARCH_LOW, SEARCH_HIGH
     for _ in range(SEARCH_STEPS):
         middle = (low + high) / 2
@@ -59,7 +63,7 @@
 
 
 def scenarios(capacity: float) -> list[Scenario]:
-    """Returns what is done with each contender."""
+    """Returns the scenarios that each admission policy runs through."""
     steady = [
         Scenario(f"load {load}", load, Shape(load * capacity)) for load in LOADS
     ]
@@ -73,7 +77,7 @@
 
 
 def tasks(name: str, capacity: float) -> list[Task]:
-    """Returns all runs of a deployment."""
+    """Returns all simulations of a deployment."""
     found = [
         Task(name, scenario, contender)
         for scenario in scenarios(capacity)
@@ -91,7 +95,11 @@
 
 
 def _contenders(scenario: Scenario) -> list[Contender]:
-    """Returns who is measured; two baselines stand for all beside loads."""
+    """Returns the policies to run in a scenario.
+
+    All baselines run in the load scenarios, `BASELINES_BESIDE_LOADS` in the
+    others.
+    """
     if scenario.name.startswith("load"):
         return [PRODUCT, ORACLE, *BASELINES]
     beside = [b for b in BASELINES if b.name in BASELINES_BESIDE_LOADS]
@@ -99,7 +107,7 @@
 
 
 def in_parallel(function: Callable[[T], R], items: list[T]) -> list[R]:
-    """Returns the results in the order of the items."""
+    """Maps `items` in `PROCESSES` processes; results keep the order."""
     context = multiprocessing.get_context("spawn")
     with context.Pool(PROCESSES) as pool:
         return pool.map(function, items, chunksize=1)
--- a/lab/bench_plots.py
+++ b/lab/bench_plots.py
@@ -1,4 +1,4 @@
-"""Plots of the last `make bench`: `python -m lab.bench_plots`."""
+"""Plots the results of the last `make bench` (`python -m lab.bench_plots`)."""
 
 from typing import Any
 
@@ -39,7 +39,7 @@
 
 
 def draw(deployment: str, rows: list[dict[str, Any]]) -> None:
-    """Draws goodput, interactive targets, stalls and preemptions by load."""
+    """Plots goodput, interactive targets, stalls and preemptions by load."""
     panels = [
         ("goodput", "goodput, tokens/s"),
         ("interactive met", "interactive requests on target, %"),
@@ -63,7 +63,7 @@
 
 
 def main() -> None:
-    """Draws a page for each deployment."""
+    """Writes one figure per deployment."""
     rows = _read()
     for name in dict.fromkeys(row["deployment"] for row in rows):
         draw(name, [row for row in rows if row["deployment"] == name])
--- a/lab/bench_policies.py
+++ b/lab/bench_policies.py
@@ -1,4 +1,4 @@
-"""Who decides in an experiment: the product, baselines, the oracle."""
+"""The admission policies that are compared: product, baselines, oracle."""
 
 from collections.abc import Iterable
 
@@ -16,10 +16,10 @@
 
 
 class KnownLengths:
-    """Tells each length as it will be.
+    """Predicts each output length exactly, as an oracle.
 
     Args:
-        arrivals: The requests to come.
+        arrivals: All requests of the simulation with their lengths.
     """
 
     def __init__(self, arrivals: Iterable[Arrival]) -> None:
@@ -28,7 +28,7 @@
         }
 
     def outlook(self, request: PermitRequest, tokens: int) -> Outlook:
-        """Returns what will be."""
+        """Returns the true remaining length as a forecast."""
         request_id = request.request_id.partition("/")[0]
         left = max(0, self._lengths[request_id] - tokens)
         return Outlook([float(h < left) for h in HORIZONS], float(left))
@@ -36,17 +36,17 @@
     def observe(
         self, request: PermitRequest, tokens: int, is_complete: bool
     ) -> None:
-        """Has nothing to learn."""
+        """Does nothing, because all lengths are known."""
 
 
 @attrs.frozen
 class Contender:
-    """One that decides.
+    """An admission policy under comparison.
 
     Attributes:
-        name: What the table calls it.
-        options: Which decisions it makes.
-        is_oracle: Whether it is told every length.
+        name: The name in tables and in the history.
+        options: The options of `Admission`.
+        is_oracle: Whether it knows all output lengths in advance.
     """
 
     name: str
@@ -54,7 +54,7 @@
     is_oracle: bool = False
 
     def lengths(self, arrivals: Iterable[Arrival]) -> LengthEstimator:
-        """Returns what it knows of lengths."""
+        """Returns the estimator of output lengths."""
         return KnownLengths(arrivals) if self.is_oracle else LearnedLengths()
 
 
--- a/lab/bench_relay.py
+++ b/lab/bench_relay.py
@@ -1,7 +1,7 @@
-"""Measures the relay: the real entry beside a bare relay, in one run.
+"""Compares the relay of an entry with a minimal relay, `lab.bare_relay`.
 
-Every figure of processor time is that of the relay's own process, so the
-load of the rest of the machine matters little. `--quick` runs a part.
+Processor time is that of the relay's own process, so other load on the machine
+has little effect. `--quick` runs two of the loads.
 """
 
 import argparse
@@ -21,7 +21,8 @@
 TARGET_PER_CORE = 26_500
 WARM_UP = (50, 50, 2)
 REQUESTS = 1000
-# So many names of the one source that admission has room for every stream.
+# All engine records point to the one token source. Their number gives
+# admission enough capacity for every stream.
 ENGINES = 64
 WAIT_MS = 10_000
 TICKS = os.sysconf("SC_CLK_TCK")
@@ -30,13 +31,13 @@
 
 @attrs.frozen
 class Load:
-    """What callers ask for.
+    """A load on the relay.
 
     Attributes:
-        name: The row's name.
-        streams: Streams open at once.
-        length: Tokens of each.
-        gap_ms: The time between two tokens of a stream; 0 for none.
+        name: The name in the table.
+        streams: The number of concurrent streams.
+        length: The number of tokens per stream.
+        gap_ms: The time between two tokens of a stream; 0 sends unpaced.
     """
 
     name: str
@@ -57,7 +58,7 @@
 
 @attrs.frozen
 class Row:
-    """One measurement of one relay."""
+    """The measurements of one relay under one load."""
 
     relay: str
     load: str
@@ -72,14 +73,14 @@
 
 
 class BenchFleet(Fleet):
-    """A deployment whose engine is the token source."""
+    """A deployment with `lab.token_source` as its engine."""
 
     def start_engine(self, name: str, address: str) -> None:
         """Starts the token source."""
         self.start(name, "lab.token_source", "--listen", address)
 
     def records(self) -> list[builders.Record]:
-        """Returns the records, with room for every stream."""
+        """Returns records with enough capacity for every stream."""
         engines = [
             builders.endpoint(f"engine-{i}", self.engines[0])
             for i in range(ENGINES)
@@ -118,7 +119,7 @@
 
 
 def _measure(relay: str, pid: int | None, address: str, load: Load) -> Row:
-    """Runs a load against a relay; no pid stands for no relay at all."""
+    """Runs a load against a relay, or without one if `pid` is None."""
     before = _cpu_s(pid) if pid else 0.0
     idle = _resident_bytes(pid) if pid else 0
     callers = _call(address, load)
@@ -145,7 +146,7 @@
 
 
 def _request_us(pid: int, address: str) -> float:
-    """Returns the processor time of a request of one token, in us."""
+    """Returns the processor time per one-token request in us."""
     before = _cpu_s(pid)
     rounds = 10
     for _ in range(rounds):
@@ -192,7 +193,7 @@
 
 
 def main() -> None:
-    """Runs all loads and prints the table; fails after a wrong stream."""
+    """Runs the loads and prints the table; fails if a stream was wrong."""
     options = argparse.ArgumentParser(description="Relay bench")
     options.add_argument("--quick", action="store_true", help="two loads only")
     options.add_argument("--no-bare", action="store_true")
@@ -230,7 +231,7 @@
         )
     )
     if any(row.errors for row in rows):
-        sys.exit("a stream was not whole")
+        sys.exit("a stream was incomplete or out of order")
 
 
 if __name__ == "__main__":
--- a/lab/bench_report.py
+++ b/lab/bench_report.py
@@ -1,4 +1,4 @@
-"""The experiment's table, JSON lines and history."""
+"""Formats the results of `lab.bench` and stores them as JSON lines."""
 
 import pathlib
 import subprocess
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class Measured:
-    """The product's figures in one scenario, as the history keeps them."""
+    """The figures of the product policy in one scenario of the history."""
 
     deployment: str
     scenario: str
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class HistoryLine:
-    """What one commit measured."""
+    """A line of the history: the figures of one commit."""
 
     commit: str
     note: str
@@ -41,7 +41,7 @@
 
 
 def table(results: list[RunResult]) -> str:
-    """Returns the results as text, a block for each scenario."""
+    """Returns the results as a text table, one block per scenario."""
     lines = []
     seen = None
     for result in results:
@@ -79,14 +79,14 @@
 
 
 def write_lines(results: list[RunResult]) -> None:
-    """Writes a JSON line for each run."""
+    """Writes one JSON line per simulation to `LINES`."""
     LINES.parent.mkdir(exist_ok=True)
     rows = [orjson.dumps(attrs.asdict(result)) for result in results]
     LINES.write_bytes(b"\n".join(rows) + b"\n")
 
 
 def measured(results: list[RunResult]) -> list[Measured]:
-    """Returns the product's figures."""
+    """Returns the figures of the product policy."""
     return [
         Measured(
             r.deployment,
@@ -102,7 +102,7 @@
 
 
 def last_line() -> HistoryLine | None:
-    """Returns what the last measured commit got."""
+    """Returns the last line of the history, or None without a history."""
     if not HISTORY.exists():
         return None
     data = orjson.loads(HISTORY.read_bytes().splitlines()[-1])
@@ -113,7 +113,7 @@
 def add_line(
     note: str, capacity: dict[str, float], rows: list[Measured]
 ) -> None:
-    """Adds this commit to the history."""
+    """Appends the figures of the current commit to the history."""
     commit = subprocess.run(
         ["git", "rev-parse", "--short", "HEAD"],
         cwd=ROOT,
@@ -127,7 +127,7 @@
 
 
 def compare(now: list[Measured]) -> str:
-    """Returns the product beside the last measured commit."""
+    """Compares the figures with those of the last commit in the history."""
     last = last_line()
     if last is None:
         return "no commit was measured before"
--- a/lab/bench_sim.py
+++ b/lab/bench_sim.py
@@ -1,4 +1,4 @@
-"""Drives a pool's Admission against engine models, by events."""
+"""Discrete-event simulation of `Admission` with engine models."""
 
 import heapq
 import itertools
@@ -56,15 +56,16 @@
 
 @attrs.frozen
 class Scenario:
-    """What happens in a run.
+    """The conditions of a simulation.
 
     Attributes:
-        name: What it is called.
-        load: Share of capacity.
-        shape: The traffic, its load multiplied by capacity.
-        loses_engine: Whether an engine is lost at `LOSS_AT_MS`.
-        tries: How often callers submit a request that failed.
-        backs_off: Whether callers wait as they are told before a retry.
+        name: The name in tables and in the history.
+        load: The load as a share of capacity.
+        shape: The traffic; its load is already multiplied by capacity.
+        loses_engine: Whether an engine fails at `LOSS_AT_MS`.
+        tries: The maximum number of attempts per request.
+        backs_off: Whether callers wait for the time in the refusal, plus
+            backoff, before a retry.
     """
 
     name: str
@@ -76,7 +77,12 @@
 
 
 class _Engine:
-    """An engine model in the run."""
+    """An engine of the simulated pool.
+
+    The counters of slow steps and stall time grow with each step. A request
+    in the batch stores their values when it joins, and the differences are
+    its own when it leaves. So a step takes the same time for any batch size.
+    """
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -91,13 +97,13 @@
 
 
 class Run:
-    """One run: a deployment, a scenario and who decides.
+    """A simulation of one deployment, scenario and admission policy.
 
     Args:
         deployment: The deployment.
-        scenario: What happens.
-        contender: Who decides.
-        seed: Fixes the traffic and all ties.
+        scenario: The conditions.
+        contender: The admission policy.
+        seed: The seed of the traffic and of all random choices.
     """
 
     def __init__(
@@ -127,7 +133,7 @@
         self._now = 0.0
 
     def run(self) -> RunResult:
-        """Runs to the end and returns what was measured."""
+        """Runs the simulation to the end and returns its measurements."""
         for arrival in self._arrivals:
             job = Job(arrival)
             self._jobs[arrival.request.request_id] = job
@@ -147,10 +153,11 @@
         return self._result()
 
     def _stop(self) -> None:
-        """Judges streams that still run by what they got so far.
+        """Marks streams that are running at the end as complete.
 
-        Their whole length counts, or a stream that waited longer would seem
-        to have got fewer tokens.
+        They are judged by the gaps so far but counted with their full output
+        length. Otherwise a stream that started later would count fewer tokens
+        only because of its wait.
         """
         self._now = END_MS
         for engine in self._engines:
@@ -262,7 +269,7 @@
         self._at(end, lambda: self._end_step(engine, step))
 
     def _interrupt(self, engine: _Engine, job: Job) -> None:
-        """Takes over what the engine counted while the job was running."""
+        """Adds to the job what the engine counted since the job joined."""
         job.slow_gaps += engine.slow_steps - job.slow_base
         job.stall_ms += engine.stall_ms - job.stall_base
         job.last_ms = self._now
@@ -318,7 +325,7 @@
             engine.model.set_priority(change.request_id, change.priority)
 
     def _poll(self) -> None:
-        """Takes load and cache events; both reach the broker late."""
+        """Sends loads and cache events to the broker, each after a delay."""
         for engine in self._engines:
             if not engine.is_alive:
                 continue
@@ -356,7 +363,7 @@
         )
 
     def _report(self) -> None:
-        """Entries report their open streams."""
+        """Sends the progress reports of all entries to the broker."""
         streams: dict[str, list[StreamProgress]] = {
             f"entry-{i}": [] for i in range(bench_load.ENTRIES)
         }
@@ -388,7 +395,7 @@
         self._release(request_id, StreamEnd.ENDPOINT_LOST, 0)
         job.is_lost = has_tokens
         if has_tokens:
-            # What was passed on is gone; the caller starts anew.
+            # The tokens received so far are discarded: the caller starts over.
             job.first_ms, job.last_ms = None, 0.0
         if job.attempts < max(2, self._scenario.tries):
             self._submit(job, [name])
--- a/lab/bench_targets.py
+++ b/lab/bench_targets.py
@@ -1,4 +1,4 @@
-"""The stated targets, and whether a bench's results hold to them."""
+"""Checks the results of `lab.bench` against the stated targets."""
 
 import attrs
 
@@ -15,14 +15,14 @@
 
 @attrs.frozen
 class Verdict:
-    """A target of one deployment and what was measured.
+    """A target, the measured figure and whether the target is met.
 
     Attributes:
-        deployment: The deployment.
-        target: The target in words.
-        measured: The figure in words.
-        holds: Whether it holds.
-        short_by: By how much it falls short, in words.
+        deployment: The name of the deployment.
+        target: The target as text.
+        measured: The measured figure as text.
+        holds: Whether the target is met.
+        short_by: The shortfall as text, if the target is not met.
     """
 
     deployment: str
@@ -32,17 +32,17 @@
     short_by: str = ""
 
     def line(self) -> str:
-        """Returns the verdict in plain words."""
+        """Returns the line that is printed."""
         state = "holds" if self.holds else f"falls short by {self.short_by}"
         return f"{self.deployment}: {self.target}: {self.measured}; {state}"
 
 
 class Judge:
-    """Compares the results of one deployment with the targets.
+    """Checks the results of one deployment against the targets.
 
     Args:
-        name: The deployment.
-        results: Its results.
+        name: The name of the deployment.
+        results: The results of all deployments.
     """
 
     def __init__(self, name: str, results: list[RunResult]) -> None:
@@ -52,7 +52,7 @@
         }
 
     def verdicts(self) -> list[Verdict]:
-        """Returns a verdict for each target."""
+        """Returns the checked targets."""
         found = []
         for load in (0.7, 0.9, 1.0):
             product = self._product(f"load {load}").classes[0]
@@ -74,7 +74,7 @@
         return [*found, *self._overload(), self._flood(), self._loss()]
 
     def best_baseline(self, scenario: str) -> RunResult:
-        """Returns the baseline with the best goodput."""
+        """Returns the result of the baseline with the highest goodput."""
         runs = [self._results[scenario, b.name] for b in BASELINES]
         return max(runs, key=lambda r: r.goodput)
 
--- a/lab/capacity.py
+++ b/lab/capacity.py
@@ -1,7 +1,7 @@
-"""Works out docs/CAPACITY.md from the measured slopes and the target size.
+"""Computes docs/CAPACITY.md from the measured slopes and the target size.
 
-`python -m lab.capacity` writes the page's tables between their marks;
-`--check` only tells whether the page is up to date.
+`python -m lab.capacity` rewrites the tables between the markers of the page;
+`--check` only checks whether the page is up to date.
 """
 
 import argparse
@@ -15,7 +15,7 @@
 
 
 def tables(target: Target, slopes: Slopes) -> str:
-    """Returns the page's tables."""
+    """Returns the tables of the page as Markdown."""
     lines = [
         "| role | cost | at the target | limit | fits | mechanism |",
         "|---|---|---|---|---|---|",
@@ -40,14 +40,14 @@
 
 
 def render(page: str, target: Target, slopes: Slopes) -> str:
-    """Returns the page with its tables worked out anew."""
+    """Returns the page with its tables replaced by computed ones."""
     head, _, rest = page.partition(BEGIN)
     _, _, tail = rest.partition(END)
     return head + BEGIN + tables(target, slopes) + END + tail
 
 
 def main() -> None:
-    """Writes the page, or checks it."""
+    """Rewrites the page and prints its tables, or checks the page."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--check", action="store_true")
     page = PAGE.read_text()
--- a/lab/capacity_model.py
+++ b/lab/capacity_model.py
@@ -1,4 +1,4 @@
-"""The target size, the measured slopes and the rows of docs/CAPACITY.md."""
+"""Data classes for docs/CAPACITY.md: target size, slopes and table rows."""
 
 import pathlib
 
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class Target:
-    """The size that the design is for; the defaults are the stated ones."""
+    """The size that the system is designed for, with the stated values."""
 
     daemons: int = 340
     engines: int = 2_200
@@ -34,27 +34,27 @@
 
     @property
     def shards(self) -> int:
-        """Pools, split so that each has at most `shard_engines` engines."""
+        """The number of shards: pools split into at most `shard_engines`."""
         pools = self.models * self.data_centers
         per_pool = -(-self.engines // pools)
         return pools * -(-per_pool // self.shard_engines)
 
     @property
     def open_streams(self) -> int:
-        """Streams open at once when every gap is as long as allowed."""
+        """Concurrent streams if every gap between tokens is `gap_ms` long."""
         return self.tokens_per_s * self.gap_ms // 1000
 
 
 @attrs.frozen
 class Slope:
-    """A measured cost of one more of something.
+    """A measured cost per unit of work.
 
     Attributes:
         name: The name in the formulas.
         value: The cost.
-        unit: The cost's unit.
-        per: What it is the cost of.
-        command: The command that measured it.
+        unit: The unit of the cost.
+        per: The unit of work, such as a token or a request.
+        command: The command that measured the cost.
     """
 
     name: str
@@ -66,15 +66,15 @@
 
 @attrs.frozen
 class Row:
-    """A line of the page.
+    """A row of the cost table.
 
     Attributes:
         role: The program.
-        what: The cost.
-        amount: What it comes to at the target, with its unit.
-        limit: What is allowed, or empty.
+        what: The kind of cost.
+        amount: The cost at the target size, with its unit.
+        limit: The limit on the cost, or empty.
         fits: Whether the amount is within the limit; None without a limit.
-        mechanism: What carries it.
+        mechanism: The mechanism that keeps the cost low.
     """
 
     role: str
@@ -101,6 +101,6 @@
 
 
 def load_slopes() -> Slopes:
-    """Returns the slopes in lab/slopes.json."""
+    """Reads the slopes from lab/slopes.json."""
     data = orjson.loads((HERE / "slopes.json").read_bytes())
     return Slopes([Slope(**item) for item in data])
--- a/lab/capacity_rows.py
+++ b/lab/capacity_rows.py
@@ -1,4 +1,4 @@
-"""What each role costs at the target size, row by row."""
+"""Computes the cost rows of docs/CAPACITY.md at the target size."""
 
 from lab.capacity_model import DAY_S, Row, Slopes, Target
 from rhubarbwinch.admission.digests import GROWTH_TOKENS
@@ -6,7 +6,7 @@
 
 
 def config_rows(target: Target, slopes: Slopes) -> list[Row]:
-    """Returns what the configuration costs every daemon."""
+    """Returns the cost of the configuration in every daemon."""
     changes_per_s = target.changes_per_day / DAY_S
     core = changes_per_s * slopes["config_revise"] / 1000
     rate = changes_per_s * slopes["config_chunk"]
@@ -47,7 +47,8 @@
     ]
 
 
-# Framing of a message on a link: transport, version, kind and numbers.
+# Framing of a link message: transport, protocol version, type and sequence
+# numbers.
 FRAME_BYTES = 60
 MEMBER_LEASE_MS = 15_000
 RENEWALS_PER_LEASE = 3
@@ -56,12 +57,12 @@
 REPORT_PERIOD_S = MAX_PERIOD_MS / 1000
 METER_FLUSH_S = 30
 LOADS_PER_S = 4
-# Of the requests, those that run at most once; the letters give no share.
+# Share of requests that run at most once; the requirements do not state one.
 ONCE_SHARE = 0.01
 
 
 def entry_rows(target: Target, slopes: Slopes) -> list[Row]:
-    """Returns what an entry carries."""
+    """Returns the costs of an entry."""
     streams = target.open_streams / target.daemons
     tokens = target.tokens_per_s / target.daemons
     cores = tokens * slopes["relay_token"] / 1e6
@@ -98,7 +99,7 @@
 
 
 def broker_rows(target: Target, slopes: Slopes) -> list[Row]:
-    """Returns what the owner of one shard carries."""
+    """Returns the costs of a broker that owns one shard."""
     permits = target.requests_per_s / target.shards
     cost = slopes["permit_decide"] + slopes["permit_call"] / 2
     streams = target.open_streams / target.shards
@@ -150,7 +151,7 @@
 
 
 def traffic_rows(target: Target, slopes: Slopes) -> list[Row]:
-    """Returns the control traffic of an entry and of a pool's owner."""
+    """Returns the control traffic of an entry and of the owner of a shard."""
     digest = slopes["digest_bytes"] + 2 * FRAME_BYTES
     grown = target.tokens_per_s / target.shards / GROWTH_TOKENS
     shared = {
@@ -179,7 +180,7 @@
     target: Target,
     slopes: Slopes,
 ) -> list[Row]:
-    """Returns a role's lines and their sum, with the processor time."""
+    """Returns the traffic rows of a role, their sum and the processor time."""
     rows = [
         Row(role, f"control: {name}", f"{rate:,.0f} B/s", "", None, "-")
         for name, rate in parts.items()
@@ -213,7 +214,7 @@
 
 
 def store_rows(target: Target, slopes: Slopes) -> list[Row]:
-    """Returns the store's calls a second, by kind."""
+    """Returns the store calls per second by kind."""
     members = target.daemons * PROGRAMS_PER_VM
     renewals = members * RENEWALS_PER_LEASE / (MEMBER_LEASE_MS / 1000)
     changes = target.changes_per_day / DAY_S
@@ -271,7 +272,7 @@
 
 
 def failure_rows(target: Target, slopes: Slopes) -> list[Row]:
-    """Returns what losses and replacements cost."""
+    """Returns the costs of failures and replacements."""
     streams = target.open_streams / target.daemons
     moved = target.shards / target.daemons
     rebuilt = target.open_streams / target.shards * slopes["report_bytes"]
--- a/lab/catalogue.py
+++ b/lab/catalogue.py
@@ -1,6 +1,6 @@
-"""Writes the pages that are made from the code's own catalogues.
+"""Generates the reference pages under docs/ from definitions in the code.
 
-Run it as `make docs`; a test compares the pages with the code.
+`make docs` runs it; a test checks that the pages are up to date.
 """
 
 import inspect
@@ -24,7 +24,7 @@
 from rhubarbwinch.records import specs
 from rhubarbwinch.shared import events, metrics, settingtypes
 
-_NOTE = "This page is made from the code by `make docs`.\n"
+_NOTE = "This page is generated from the code by `make docs`.\n"
 _ATTRIBUTE = re.compile(r"^    (\w+): (.*)$")
 _LEVELS = {
     logging.INFO: "info",
@@ -34,69 +34,76 @@
 }
 
 _SETTINGS_TEXT = """\
-Every setting is a flag and an environment variable; the flag wins. All are
-checked at start: a bad or missing one, and a variable that no program knows,
-ends the program with one line on stderr that names the setting, the value and
-what is allowed, and with exit status 2. Give secrets by the environment: a
-flag is seen by every user of the VM. Secrets are never shown in help, errors
-or logs. `rhubarbwinchctl` has `--store` and `--output`; see [ctl.md](ctl.md).
-
-Exit statuses of the daemons: 0 ended as asked, 1 failed (the last event says
-why), 2 a bad setting.
+Every setting can be given as a flag or as an environment variable; the flag
+takes precedence. All settings are checked at start. An invalid or missing
+setting, or an unknown variable, ends the program with exit status 2 and one
+line on stderr that names the setting, the value and what is allowed. Pass
+secrets in environment variables, because every user of the VM can see flags.
+Secrets never appear in help, errors or logs. `rhubarbwinchctl` has `--store`
+and `--output`; see [ctl.md](ctl.md).
+
+Exit statuses of the daemons: 0 after a requested stop, 1 after a failure (the
+last log event gives the reason), 2 for an invalid setting.
 """
 
 _GATEWAY_SETTINGS_TEXT = """\
-The rest is in the platform's settings file, which is read again on SIGHUP and
-every five seconds. A file that can't be read at the start ends the program
-with status 2; later the settings before stay, with an event.
+All other settings are in the platform's settings file, which is reloaded on
+SIGHUP and every five seconds. If the file can't be read at the start, the
+program ends with exit status 2. If it can't be read later, the previous
+settings stay active and an event is logged.
 """
 
 _HTTP_TEXT = """\
-An entry speaks HTTP/1.1 and HTTP/2, with TLS if `--certfile` and `--keyfile`
-are set. Brokers and controls answer `/healthz` and `/readyz` only.
-
-Events of a stream have `id: <generation>:<index>`; the last is
-`data: [DONE]`. A caller that lost its connection sends its request to any
-entry with `Last-Event-ID`: it gets what it has not seen, from the same
-generation. A stream that can't go on ends with `event: error` and a problem.
-A stream that is open when its entry must end gets `event: resume`, whose data
-names other entries: go on at one of them with `Last-Event-ID`.
-
-Keep the list of `GET /v1/entries` for its time to live and use the first. After
-a refused connection or the verdict `not-run` with status 503 go on with the
-next; after a whole round wait as `Retry-After` says. An answer that was cut
-off without a verdict is neither: the request may have run.
+An entry serves HTTP/1.1 and HTTP/2, with TLS if `--certfile` and `--keyfile`
+are set. Brokers and controls serve only `/healthz` and `/readyz`.
+
+The events of a stream have `id: <generation>:<index>`; the last event is
+`data: [DONE]`. A caller that lost its connection repeats the request at any
+entry with `Last-Event-ID` and receives the remaining events of the same
+generation. A stream that can't continue ends with `event: error` and a problem.
+A stream that is still open when its entry has to exit receives `event: resume`,
+whose data names other entries; resume at one of them with `Last-Event-ID`.
+
+Cache the list of `GET /v1/entries` for its time to live and use the first
+entry. After a refused connection, or after status 503 with the verdict
+`not-run`, try the next entry. After one round over all entries, wait for the
+time in `Retry-After`. A response that was cut off has no verdict: the request
+may have run.
 """
 
 _PROBLEM_TEXT = """\
-A failure is a problem object (RFC 9457) of type `urn:rhubarbwinch:problem:`
-and the name below, with `title`, `status`, `detail`, `verdict`, and `error`
-as OpenAI's clients read it. With the verdict `not-run` the request certainly
-did not run. A head of a request over 32 KiB, or one that is not HTTP, is
-refused by the HTTP library with a bare 400 or 431; nothing has run.
+A failure is a problem object (RFC 9457). Its type is
+`urn:rhubarbwinch:problem:` followed by a name from the table. It has `title`,
+`status`, `detail`, `verdict`, and `error` in the format of OpenAI's clients.
+With the verdict `not-run` the request certainly did not run. The HTTP library
+refuses request heads over 32 KiB and requests that are not HTTP with a bare
+status 400 or 431; these requests did not run.
 """
 
 _EVENT_TEXT = """\
-With `--log-format text` a line holds `RW` and the number, the name and the
-fields. With `json` it is an object: `time`, `level`, `event` (the number),
-`name`, `process` and `fields`. A number is never given to another event.
+With `--log-format text` a line consists of `RW` and the number, the name and
+the fields. With `json` a line is an object with `time`, `level`, `event` (the
+number), `name`, `process` and `fields`. A number is never reused for another
+event.
 """
 
 _OPERATORS_TEXT = """\
 Start with [settings](settings.md), [records](records.md) and
-[rhubarbwinchctl](ctl.md). When something is wrong, look the number of the log
-event up in [events](events.md) and the metric in [metrics](metrics.md).
+[rhubarbwinchctl](ctl.md). To investigate a problem, look up the number of the
+log event in [events](events.md) and the metric in [metrics](metrics.md).
 
 ## Probes
 
-Every program answers `GET /healthz` (it runs) and `GET /readyz` (it has a
-configuration and is not draining) at its `--http` address. Restart a program
-whose `/healthz` fails; send no callers to an entry whose `/readyz` is 503.
+Every program serves `GET /healthz` and `GET /readyz` at its `--http` address.
+`/healthz` succeeds while the program runs; `/readyz` succeeds while it has a
+configuration and is not draining. Restart a program whose `/healthz` fails.
+Direct no callers to an entry whose `/readyz` returns 503.
 
 ## Stopping
 
-SIGTERM drains: the program is no longer listed, refuses new requests with the
-verdict `not-run`, finishes what is open up to `--drain-ms`, and exits with 0.
+SIGTERM starts a drain: the program is no longer listed, refuses new requests
+with the verdict `not-run`, completes open requests for at most `--drain-ms`,
+and exits with status 0.
 """
 
 _METRIC_TEXT = """\
@@ -106,25 +113,26 @@
 _GATEWAY_METRIC_TEXT = """\
 ## rhubarbwinch-gateway
 
-Served as text (Prometheus) at `/metrics` of the metrics port. Counters end in
-`_total` there; histograms count seconds.
+Served in the Prometheus text format at `/metrics` of the metrics port. There
+the names of counters end in `_total`. Histograms are in seconds.
 """
 
 _RECORD_TEXT = """\
-A record is an object with `schema` (1 or 2), `kind`, `name` and `spec`. Names
-have 1 to 63 of a-z, 0-9, dot and dash, and are unique within a kind. A TOML
-file holds `[[record]]` tables, a JSON file a list; see `examples/`. A record
-has at most 256 KiB. `rhubarbwinchctl validate` checks files, `apply` writes
-them; an error names record, field, value and what is allowed. A record that
-fails its checks in the store gets a status beside it, and the last good one
-stays in force. A schema newer than 2 is kept as it is and not used.
+A record is an object with `schema` (1 or 2), `kind`, `name` and `spec`. A name
+has 1 to 63 characters of a-z, 0-9, dot and dash, and is unique within its kind.
+A TOML file has `[[record]]` tables, a JSON file has a list; see `examples/`.
+The size limit of a record is 256 KiB. `rhubarbwinchctl validate` checks files,
+`apply` writes them to the store; an error names the record, the field, the
+value and what is allowed. If a record in the store is invalid, a status is
+written beside it and its last valid version stays active. A record with a
+schema newer than 2 is kept unchanged and not used.
 """
 
 _SCHEMA_1_TEXT = """\
 ## Schema 1
 
-Both schemas are in use side by side; schema 1 is converted when it is read.
-It has the fields of schema 2 but for these:
+Records of both schemas may be used together; schema 1 is converted when it is
+read. It has the same fields as schema 2, except for these:
 
 | kind | field of schema 1 | in schema 2 |
 |---|---|---|
@@ -143,7 +151,7 @@
 
 
 def pages() -> dict[str, str]:
-    """Returns the text of each page by its name under docs/."""
+    """Returns the text of each page, keyed by file name under docs/."""
     return {
         "settings.md": _settings_page(),
         "http.md": _http_page(),
@@ -161,7 +169,7 @@
 
 
 def _meanings(kind: type) -> dict[str, str]:
-    """Returns the attributes in a class's doc comment."""
+    """Parses the `Attributes:` section of a class doc comment."""
     found: dict[str, str] = {}
     name = ""
     for line in (inspect.getdoc(kind) or "").splitlines():
--- a/lab/control_traffic.py
+++ b/lab/control_traffic.py
@@ -1,9 +1,9 @@
-"""Control traffic and processor time of a member, over real links.
+"""Measures control traffic and processor time per member over real links.
 
 All members run in one process on the loopback address, each with its own
-sockets. Bytes are those handed to the links and taken from them, headers of
-the transport left out; processor time is the process's, divided by the
-members. The store is in memory and costs next to nothing.
+sockets. Bytes are counted at the interface of the links, without transport
+headers. Processor time is that of the process divided by the number of members.
+The store is in memory and its cost is negligible.
 """
 
 import argparse
@@ -12,7 +12,6 @@
 import time
 from typing import Any, TypeVar
 
-# libuv is told before it is loaded; io_uring is not allowed on our VMs.
 import anyio
 import attrs
 
@@ -36,24 +35,24 @@
 
 @attrs.define
 class Count:
-    """Bytes and messages of all members, in both directions."""
+    """Bytes and messages sent and received by all members."""
 
     octets: int = 0
     messages: int = 0
 
     def add(self, message: Any) -> None:
-        """Counts a message at its sender and at its receiver."""
+        """Counts a message once for its sender and once for its receiver."""
         size = len(codec.encode(message)) + HEADER_BYTES
         self.octets += 2 * (size + len(type(message).__name__))
         self.messages += 2
 
 
 class CountingLinks(Links):
-    """Links that count what calls send and what comes back.
+    """Links that count the requests and replies of calls.
 
     Args:
-        incarnation: The member's number.
-        count: Where to.
+        incarnation: The incarnation of the member.
+        count: The counters to add to.
     """
 
     def __init__(self, incarnation: int, count: Count) -> None:
@@ -63,7 +62,7 @@
     async def call(
         self, address: str, message: Any, answer: type[T], timeout_ms: int
     ) -> T:
-        """Sends a message and returns the peer's answer."""
+        """Calls a peer and returns its reply."""
         self._count.add(message)
         found = await super().call(address, message, answer, timeout_ms)
         self._count.add(found)
@@ -116,14 +115,14 @@
 
 @attrs.frozen
 class Figures:
-    """What a member spends.
+    """The traffic and processor time of a member.
 
     Attributes:
-        members: The size of the fleet.
-        bytes_per_s: Sent and received.
-        messages_per_s: Sent and received.
-        cpu_percent: Of one core.
-        store_calls_per_s: Of the whole fleet.
+        members: The number of members.
+        bytes_per_s: Bytes sent and received per second and member.
+        messages_per_s: Messages sent and received per second and member.
+        cpu_percent: Processor time per member in percent of a core.
+        store_calls_per_s: Store calls per second of all members.
     """
 
     members: int
@@ -134,7 +133,7 @@
 
 
 async def measure(size: int, settle_s: float, seconds: float) -> Figures:
-    """Returns what each of `size` members spends."""
+    """Returns the traffic and processor time per member of `size` members."""
     count = Count()
     store = MemoryStore(SystemClock())
     async with anyio.create_task_group() as tasks:
@@ -160,7 +159,7 @@
 
 
 def main() -> None:
-    """Prints a row for each size."""
+    """Prints a table row for each number of members."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("sizes", nargs="*", type=int, default=[4, 16, 64])
     parser.add_argument("--settle", type=float, default=70.0, help="s")
--- a/lab/demo.py
+++ b/lab/demo.py
@@ -1,7 +1,7 @@
-"""Shows the main job: two deployments, a stream that outlives its entry.
+"""Demonstrates two deployments and a stream that survives its entry.
 
-Everything runs on the loopback address and is ended at the end, also after
-an interrupt.
+All processes run on the loopback address and are stopped at the end, also
+after an interrupt.
 """
 
 import pathlib
@@ -31,14 +31,14 @@
 
 @attrs.frozen
 class Example:
-    """An example deployment and who calls it here.
+    """An example deployment and the calls that the demo makes to it.
 
     Attributes:
-        name: The file's name without its suffix.
+        name: The name of the file in examples/ without its suffix.
         region: The region of its data centres.
         account: One of its client accounts.
-        model: A service that generates.
-        plain: The path of a plain call that may not be repeated.
+        model: The name of a service for generations.
+        plain: The path of a plain call that must not be repeated.
     """
 
     name: str
@@ -49,7 +49,7 @@
 
     @property
     def headers(self) -> dict[str, str]:
-        """What authenticates the account."""
+        """The header that authenticates the account."""
         return {"authorization": f"Bearer {self.account}.example"}
 
 
@@ -72,12 +72,12 @@
 
 
 class Deployment:
-    """The stand-ins and programs of one example, on loopback addresses.
+    """The stand-ins and programs of an example on loopback addresses.
 
     Args:
-        example: What is deployed.
+        example: The example.
         processes: Starts the processes.
-        directory: For the records with the loopback addresses.
+        directory: The directory for the records with loopback addresses.
     """
 
     def __init__(
@@ -90,7 +90,7 @@
         self._records = directory / f"{example.name}.toml"
 
     def start(self) -> None:
-        """Starts every process and applies the records."""
+        """Starts all processes and applies the records."""
         start, name = self._processes.start, self.example.name
         listen = ("--listen", self.store)
         start(f"{name}-store", "lab.standins.kvstore", *listen)
@@ -113,7 +113,7 @@
             wait_until(partial(self._serves, address), f"entry {address}")
 
     def _serves(self, address: str) -> bool:
-        """Tells whether an entry answers a short request."""
+        """Returns whether an entry serves a short generation."""
         body = {"model": self.example.model, "prompt": "len=1"}
         url = f"http://{address}/v1/completions"
         return httpx.post(
@@ -121,7 +121,7 @@
         ).is_success
 
     def _start_endpoints(self) -> None:
-        """Starts the endpoints; writes the records with their addresses."""
+        """Starts the endpoints and writes the records with their addresses."""
         text = (ROOT / "examples" / f"{self.example.name}.toml").read_text()
         for record in tomllib.loads(text)["record"]:
             for endpoint in record["spec"].get("endpoints", []):
@@ -135,7 +135,7 @@
         self._records.write_text(text)
 
     def _start_vm(self, index: int) -> None:
-        """Starts one VM's programs."""
+        """Starts the programs of one VM."""
         for role in ("control", "broker", "entry"):
             http = self.entries[index] if role == "entry" else free_address()
             name = f"{self.example.name}-{role}-{index}"
@@ -157,13 +157,13 @@
 
 @attrs.define
 class Reading:
-    """A caller's stream: its position and its text.
+    """The state of a caller that reads a stream.
 
     Attributes:
-        last_id: The id of the event read last.
-        indexes: The index of each token, in the order they came.
+        last_id: The id of the last event.
+        indexes: The index of each token in order of receipt.
         texts: The text of each token.
-        done: Whether the stream ended as it should.
+        done: Whether the final event was received.
     """
 
     last_id: str = ""
@@ -172,7 +172,7 @@
     done: bool = False
 
     def take(self, line: str) -> None:
-        """Reads one line of an event stream."""
+        """Parses one line of an event stream and prints the token's text."""
         if line.startswith("id: "):
             self.last_id = line.removeprefix("id: ")
         elif line == "data: [DONE]":
@@ -194,10 +194,10 @@
 def _stream_through_a_loss(
     deployment: Deployment, processes: Processes
 ) -> None:
-    """Kills the entry in the middle and resumes at the other.
+    """Kills an entry during a stream and resumes at the other entry.
 
     Raises:
-        AssertionError: A token was lost, doubled or of another generation.
+        AssertionError: A token was lost, repeated or from another generation.
     """
     example, reading = deployment.example, Reading()
     body = {
@@ -226,7 +226,7 @@
     reading: Reading,
     processes: Processes | None,
 ) -> None:
-    """Reads a stream; kills the entry after some tokens if asked to."""
+    """Reads a stream; kills entry 0 after some tokens if given `processes`."""
     url = f"http://{address}/v1/completions"
     with httpx.stream(
         "POST", url, json=body, headers=headers, timeout=TIMEOUT_S
@@ -241,7 +241,7 @@
 
 
 def _show_plain_call(deployment: Deployment) -> None:
-    """Makes a call that may not be repeated, twice with one key."""
+    """Makes a call that must not be repeated, with an idempotency key."""
     example = deployment.example
     headers = example.headers | {
         "idempotency-key": _uuid7(),
@@ -264,7 +264,7 @@
 
 
 def _show_trace(logs: pathlib.Path) -> None:
-    """Prints the spans of the plain call from all processes' logs."""
+    """Prints the spans of the plain call, read from the logs."""
     spans = wait_until(lambda: _find_spans(logs), "the trace")
     _say(f"the trace {TRACE_ID}")
     ids = {span["span"] for span in spans}
@@ -296,12 +296,12 @@
 
 
 def _interrupt(number: int, _: types.FrameType | None) -> None:
-    """Turns a signal into an exception, so that all processes are ended."""
+    """Raises an exception for a signal, so that all processes are stopped."""
     raise KeyboardInterrupt(f"signal {number}")
 
 
 def main() -> None:
-    """Runs the demo; exits with 0 if all went as it should."""
+    """Runs the demo; a failed check raises an exception."""
     signal.signal(signal.SIGTERM, _interrupt)
     try:
         _run()
--- a/lab/enginemodel.py
+++ b/lab/enginemodel.py
@@ -1,12 +1,13 @@
-"""A model of an engine that batches continuously in limited memory.
+"""Simulates an engine with continuous batching and a limited KV cache.
 
-One step generates one token of every running sequence. Its time grows with
-the batch, the resident tokens and the prompts that are read in it. When
-memory is full, the sequence of the lowest priority that came last is thrown
-out and starts over from its prompt. Leading blocks of prompts are cached.
+A step generates one token of every running sequence. Its duration grows with
+the batch size, the resident tokens and the prompt tokens of its prefill. When
+the KV cache is full, the latest sequence of the lowest priority is preempted:
+it waits again and needs a new prefill of its prompt and generated tokens.
+Leading blocks of prompts are cached.
 
-A step costs time in proportion to the sequences that join or leave, not to
-the batch, so that the experiments can run many of them.
+The bookkeeping of sequences is proportional to those that join or leave the
+batch, not to the batch size, so that simulations can run many steps.
 """
 
 import heapq
@@ -19,16 +20,17 @@
 
 @attrs.frozen
 class EngineParameters:
-    """The speed and size of an engine.
+    """The speed and the limits of an engine.
 
     Attributes:
-        capacity_tokens: Tokens that fit in memory.
-        max_batch: Sequences that run at once.
-        base_ms: The time of a step with nothing to do.
-        sequence_ms: What each sequence in the batch adds to a step.
-        resident_ms: What each 1,000 resident tokens add to a step.
-        prefill_ms: What each 1,000 prompt tokens add to a step.
-        cached_blocks: Prompt blocks of `BLOCK_TOKENS` that stay cached.
+        capacity_tokens: The size of the KV cache in tokens.
+        max_batch: The maximum number of sequences in the batch.
+        base_ms: The duration of an empty step.
+        sequence_ms: Added to a step for each sequence in the batch.
+        resident_ms: Added to a step for each 1,000 resident tokens.
+        prefill_ms: Added to a step for each 1,000 tokens of prefill.
+        cached_blocks: The number of prompt blocks of `BLOCK_TOKENS` tokens
+            that the prefix cache holds.
     """
 
     capacity_tokens: int = 60_000
@@ -42,15 +44,15 @@
 
 @attrs.define(eq=False)
 class Sequence:
-    """A generation at an engine.
+    """A generation in an engine.
 
     Attributes:
         name: The generation id.
         prompt_tokens: The prompt's length.
-        output_tokens: How many tokens it will generate.
-        priority: A lower number goes first.
-        order: Rises with each arrival.
-        prefix: Hashes of the prompt's leading blocks, longest last.
+        output_tokens: The number of tokens to generate.
+        priority: A lower number runs first.
+        order: The position in the order of arrival.
+        prefix: Hashes of the prompt's leading blocks, longest prefix last.
     """
 
     name: str
@@ -65,14 +67,14 @@
 
     @property
     def done_tokens(self) -> int:
-        """The tokens generated; kept over a preemption."""
+        """The number of tokens generated so far; preemptions keep it."""
         if self._engine is None:
             return self._kept_tokens
         return self._kept_tokens + self._engine.steps - self._joined_step
 
     @property
     def resident_tokens(self) -> int:
-        """The memory that it takes while it runs."""
+        """The tokens that it occupies in the KV cache while it runs."""
         return self.prompt_tokens + self.done_tokens
 
     @property
@@ -82,33 +84,33 @@
 
     @property
     def rank(self) -> tuple[int, int]:
-        """The place in line; lower runs first."""
+        """The sort key of the queue; lower runs first."""
         return (self.priority, self.order)
 
     @property
     def last_step(self) -> int:
-        """The engine's step that generates its last token, if it runs on."""
+        """The engine step of its last token, if it is not preempted."""
         return self._joined_step + self.output_tokens - self._kept_tokens
 
     def join(self, engine: "EngineModel") -> None:
-        """Notes that it runs from the engine's next step on."""
+        """Marks the sequence as running from the next step of `engine` on."""
         self._engine, self._joined_step = engine, engine.steps
 
     def leave(self) -> None:
-        """Notes that it no longer runs."""
+        """Marks the sequence as not running."""
         self._kept_tokens, self._engine = self.done_tokens, None
 
 
 @attrs.frozen
 class Step:
-    """What one step did.
+    """The result of a step.
 
     Attributes:
-        ms: How long it took.
-        advanced: Sequences that generated a token.
-        joined: Those of them that were not in the step before.
-        finished: Those of them that are complete.
-        preempted: Sequences that lost their memory before the step.
+        ms: The duration.
+        advanced: The sequences that generated a token.
+        joined: Those of `advanced` that joined the batch in this step.
+        finished: Those of `advanced` that are complete.
+        preempted: The sequences that were preempted before the step.
     """
 
     ms: float
@@ -120,12 +122,12 @@
 
 @attrs.frozen
 class CacheEvent:
-    """A change of the cached prompt blocks.
+    """A change in the prefix cache.
 
     Attributes:
-        number: Rises by one with each event of the engine.
-        block: The block's hash.
-        is_stored: Whether it came in; otherwise it was dropped.
+        number: The sequence number of the event.
+        block: The hash of the block.
+        is_stored: Whether the block was stored; otherwise it was evicted.
     """
 
     number: int
@@ -134,10 +136,10 @@
 
 
 class PrefixCache:
-    """The prompt blocks that an engine keeps, least recently used out first.
+    """An LRU cache of prompt blocks.
 
     Args:
-        capacity: How many blocks fit.
+        capacity: The maximum number of blocks.
     """
 
     def __init__(self, capacity: int) -> None:
@@ -147,7 +149,7 @@
         self._number = 0
 
     def read(self, prefix: list[int]) -> int:
-        """Reads a prompt's blocks; returns the tokens that were cached."""
+        """Looks up and stores a prompt's blocks; returns the cached tokens."""
         hits = 0
         for block in prefix:
             if block not in self._blocks:
@@ -164,7 +166,7 @@
         return hits * BLOCK_TOKENS
 
     def take_events(self) -> list[CacheEvent]:
-        """Returns the events since the last call."""
+        """Returns the events since the last call and clears them."""
         events, self._events = self._events, []
         return events
 
@@ -174,10 +176,10 @@
 
 
 class EngineModel:
-    """An engine without a network or a clock of its own.
+    """An engine without a network or clock; `step` returns the duration.
 
     Args:
-        parameters: Its speed and size.
+        parameters: The speed and the limits.
     """
 
     def __init__(self, parameters: EngineParameters) -> None:
@@ -194,28 +196,28 @@
 
     @property
     def running(self) -> int:
-        """Sequences in the batch."""
+        """The number of sequences in the batch."""
         return len(self._running)
 
     @property
     def waiting(self) -> int:
-        """Sequences before the batch."""
+        """The number of sequences that wait to join the batch."""
         return len(self._waiting)
 
     @property
     def sequences(self) -> list[Sequence]:
-        """The sequences in the batch and before it."""
+        """All sequences, running and waiting."""
         waiting = [sequence for _, sequence in self._waiting]
         return [*self._running.values(), *waiting]
 
     def add(self, sequence: Sequence) -> None:
-        """Takes a sequence in."""
+        """Adds a sequence to the queue."""
         self._arrivals += 1
         sequence.order = self._arrivals
         heapq.heappush(self._waiting, (sequence.rank, sequence))
 
     def cancel(self, name: str) -> None:
-        """Drops a sequence."""
+        """Removes a sequence from the batch or the queue."""
         sequence = self._running.get(name)
         if sequence is not None:
             self._remove(sequence)
@@ -231,7 +233,7 @@
         heapq.heapify(self._waiting)
 
     def step(self) -> Step:
-        """Runs one step; without sequences it takes the base time."""
+        """Runs one step; an empty step takes `base_ms`."""
         preempted = self._make_room()
         joined: list[Sequence] = []
         prefill = self._admit(joined)
@@ -253,7 +255,8 @@
         while self._ends and self._ends[0][0] <= self.steps:
             end, _, sequence = heapq.heappop(self._ends)
             is_running = self._running.get(sequence.name) is sequence
-            # An entry made before a preemption names a step that is past.
+            # Skips an outdated item: after a preemption the sequence ends at a
+            # later step.
             if is_running and sequence.last_step == end:
                 self._remove(sequence)
                 finished.append(sequence)
@@ -265,7 +268,7 @@
         del self._running[sequence.name]
 
     def _make_room(self) -> list[Sequence]:
-        """Throws sequences out until one more token of each fits."""
+        """Preempts sequences until the batch can grow by one token each."""
         preempted = []
         while len(self._running) > 1 and not self._fits(0):
             sequence = max(self._running.values(), key=lambda s: s.rank)
@@ -276,7 +279,10 @@
         return preempted
 
     def _admit(self, joined: list[Sequence]) -> int:
-        """Starts waiting sequences that fit; returns prompt tokens read."""
+        """Moves waiting sequences that fit to the batch.
+
+        Returns the number of prefill tokens that were not cached.
+        """
         prefill = 0
         while self._waiting and len(self._running) < self.parameters.max_batch:
             head = self._waiting[0][1]
--- a/lab/memberset.py
+++ b/lab/memberset.py
@@ -1,7 +1,7 @@
-"""Members of a deployment in one process, over memory links and a hand clock.
+"""Runs the members of a deployment in one process with a manual clock.
 
-Each has the parts that its program has, without HTTP; the wiring is that of
-`rhubarbwinch.programs.daemon`.
+Each member has the components of its program without HTTP, connected as in
+`rhubarbwinch.programs.daemon`. Messages pass through in-memory links.
 """
 
 import random
@@ -26,15 +26,16 @@
 
 
 class Node:
-    """One member.
+    """A member with its components.
 
     Args:
         me: The member.
         store: The platform's store.
-        network: Carries messages.
+        network: The network for messages between members.
         clock: The source of time.
-        peers: Link addresses for a start without the store.
-        watches: Whether it watches the store's head whatever its peers do.
+        peers: Link addresses for a start while the store is unavailable.
+        watches: Whether the member always watches the head in the store. If
+            not, only seeds watch it and distribute changes to their peers.
     """
 
     def __init__(
@@ -77,7 +78,7 @@
         self._scope: anyio.CancelScope | None = None
 
     async def run(self) -> None:
-        """Runs the parts until `stop`."""
+        """Runs the components until `stop` is called."""
         with anyio.CancelScope() as self._scope:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self.registration.run)
@@ -88,16 +89,16 @@
                     tasks.start_soon(self.publishing.run)
 
     def stop(self) -> None:
-        """Ends the parts without a word to the others."""
+        """Stops the components without notice to the other members."""
         if self._scope is not None:
             self._scope.cancel()
 
 
 class MemberSet:
-    """Several members, a store and the network between them.
+    """Several members, their store and the network between them.
 
     Args:
-        tasks: Runs the members.
+        tasks: The task group for the members.
         watches: Whether every member watches the store.
     """
 
@@ -119,7 +120,7 @@
         peers: list[str] | None = None,
         store: Store | None = None,
     ) -> Node:
-        """Starts a member; its address is its name."""
+        """Starts a member whose link address is its name."""
         incarnation = len(self.nodes) + 1
         me = Member(
             name,
@@ -144,12 +145,12 @@
         return node
 
     def kill(self, name: str) -> None:
-        """Ends a member without a word; calls to it time out."""
+        """Stops a member without notice; calls to it time out."""
         self.network.cut.add(name)
         self.nodes.pop(name).stop()
 
     def generations(self) -> list[int]:
-        """Returns the generation in force at each member, by name."""
+        """Returns the active generation of each member, sorted by name."""
         return [
             self.nodes[name].follower.head.generation
             for name in sorted(self.nodes)
--- a/lab/processes.py
+++ b/lab/processes.py
@@ -1,4 +1,4 @@
-"""Starts processes on the loopback address and ends just those."""
+"""Starts child processes on the loopback address and stops them."""
 
 import contextlib
 import os
@@ -22,22 +22,22 @@
 LOWEST_PORT = 10_240
 FIRST_EPHEMERAL_PORT = 32_768
 
-# The ports that were given out. A port is free until the program that it is
-# for has started, so a probe alone would give it to a second program.
+# Ports that were assigned. A port stays free until its program has started, so
+# a probe alone could assign it to two programs.
 _given: set[int] = set()
 
 
 def free_address() -> str:
-    """Returns a loopback address whose port is free and never given before.
+    """Returns a loopback address with a free port that was not assigned before.
 
-    The port lies below those that the system gives to connections, so none
-    can take it before the program does that the address is for.
+    The port is below the range of ephemeral ports, so no outgoing connection
+    can use it before the program listens.
     """
     return f"127.0.0.1:{free_ports(1)}"
 
 
 def free_ports(count: int) -> int:
-    """Returns the first of `count` free ports in a row, never given before."""
+    """Returns the first of `count` consecutive free, unassigned ports."""
     while True:
         first = random.randrange(LOWEST_PORT, FIRST_EPHEMERAL_PORT - count)
         ports = range(first, first + count)
@@ -56,10 +56,10 @@
 
 
 def wait_until(check: Callable[[], T], what: str) -> T:
-    """Waits until `check` returns something true, and returns that.
+    """Waits until `check` returns a true value and returns that value.
 
     Raises:
-        AssertionError: It did not in `WAIT_S` seconds.
+        AssertionError: `check` returned no true value for `WAIT_S` seconds.
     """
     end = time.monotonic() + WAIT_S
     while time.monotonic() < end:
@@ -72,11 +72,12 @@
 
 
 class Processes(contextlib.AbstractContextManager["Processes"]):
-    """Starts processes and ends just those.
+    """Starts processes and kills them on exit from the context.
 
     Args:
-        logs: The directory for a log file of each process. Without it the
-            logs are dropped, or shown if SHOW_LOGS is set.
+        logs: The directory for the log file of each process. Without it the
+            logs are discarded, or stderr is inherited if the environment
+            variable SHOW_LOGS is set.
     """
 
     def __init__(self, logs: pathlib.Path | None = None) -> None:
@@ -90,7 +91,7 @@
         *arguments: str,
         env: dict[str, str] | None = None,
     ) -> None:
-        """Starts `python -m module arguments` with more environment `env`."""
+        """Starts `python -m module arguments` with `env` in the environment."""
         environment = dict(os.environ, PYTHONPATH=str(ROOT)) | (env or {})
         with contextlib.ExitStack() as stack:
             stdout: Any = subprocess.DEVNULL
@@ -109,7 +110,7 @@
             )
 
     def pid(self, name: str) -> int:
-        """Returns a process's id."""
+        """Returns the id of a process."""
         return self._running[name].pid
 
     def signal(self, name: str, number: int) -> None:
@@ -117,16 +118,16 @@
         self._running[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """Kills a process and waits for its end."""
+        """Kills a process and waits for its exit."""
         self.signal(name, signal.SIGKILL)
         self._running.pop(name).wait()
 
     def status(self, name: str) -> int | None:
-        """Returns a process's exit status, or None while it runs."""
+        """Returns the exit status of a process, or None while it runs."""
         return self._running[name].poll()
 
     def peak_mb(self, name: str) -> float:
-        """Returns the largest memory a process has taken; 0 when it ended."""
+        """Returns the peak resident memory in MiB, or 0 after the exit."""
         path = pathlib.Path(f"/proc/{self.pid(name)}/status")
         try:
             lines = path.read_text().splitlines()
@@ -136,19 +137,19 @@
         return int(rows[0].split()[1]) / 1024 if rows else 0.0
 
     def cpu_s(self, name: str) -> float:
-        """Returns the processor time that a running process has taken."""
+        """Returns the processor time of a running process in seconds."""
         text = pathlib.Path(f"/proc/{self.pid(name)}/stat").read_text()
-        # The name before the last parenthesis may hold spaces.
+        # The process name before the last parenthesis may contain spaces.
         fields = text.rpartition(")")[2].split()
         ticks = int(fields[11]) + int(fields[12])
         return ticks / os.sysconf("SC_CLK_TCK")
 
     def wait(self, name: str) -> int:
-        """Waits for a process's end and returns its exit status."""
+        """Waits for the exit of a process and returns its exit status."""
         return self._running.pop(name).wait(WAIT_S)
 
     def ended(self) -> dict[str, int]:
-        """Returns the exit statuses of the processes that ended unasked."""
+        """Returns the statuses of processes that exited on their own."""
         statuses = {name: self.status(name) for name in self._running}
         return {name: x for name, x in statuses.items() if x is not None}
 
--- a/lab/spread.py
+++ b/lab/spread.py
@@ -1,8 +1,9 @@
-"""Store calls and time until a change is in force at all members.
+"""Measures store calls and time until all members have applied a change.
 
-Compares every member watching the store with a few seeds that do, whose peers
-hand the change on. The clock is set by hand, so the figures are exact and the
-same on every run. The measured idea is that of EdgeDis, sections 3.1 to 3.3.
+Compares two ways: every member watches the store, or only a few seeds watch it
+and their peers distribute the change. The clock is manual, so the figures are
+exact and the same on every run. The distribution is based on EdgeDis, sections
+3.1 to 3.3.
 """
 
 import argparse
@@ -18,9 +19,10 @@
 from rhubarbwinch.stores.memstore import MemoryStore
 
 DATA_CENTERS = 3
-# From this size on there are three regions of that many data centres.
+# From this number of members on there are three times as many data centres, as
+# in three regions.
 LARGE = 128
-# News of the starts is passed on for a minute.
+# Updates about started members are gossiped for a minute.
 SETTLE_MS = 70_000
 STEP_MS = 1
 LIMIT_MS = 60_000
@@ -29,17 +31,17 @@
 
 @attrs.frozen
 class Figures:
-    """What one change cost.
+    """The cost of one change.
 
     Attributes:
-        members: The size of the fleet.
-        idle_calls: Store calls a second of the whole fleet without changes.
-        calls: Store calls of the change, the publisher's left out.
-        watches: Waiting watches on the head.
-        half_ms: Until half of the members had it in force.
-        all_ms: Until all had.
-        octets: Bytes on links a member for the change, headers left out.
-        idle_octets: Bytes on links a member and second without changes.
+        members: The number of members.
+        idle_calls: Store calls per second of all members without changes.
+        calls: Store calls for the change, without those of the publisher.
+        watches: The number of members that watch the head.
+        half_ms: The time until half of the members had applied the change.
+        all_ms: The time until all members had applied the change.
+        octets: Bytes on links per member for the change, without headers.
+        idle_octets: Bytes on links per second and member without changes.
     """
 
     members: int
@@ -63,7 +65,7 @@
 
 
 async def measure(members: int, watches: bool) -> Figures:
-    """Returns the cost of one change in a fleet of `members`."""
+    """Returns the cost of one change with `members` members."""
     centers = DATA_CENTERS * (3 if members >= LARGE else 1)
     async with anyio.create_task_group() as tasks:
         fleet = MemberSet(tasks, watches)
@@ -106,7 +108,7 @@
 
 
 def main() -> None:
-    """Prints a row for each size and way."""
+    """Prints a table row for each number of members and way."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("sizes", nargs="*", type=int, default=[4, 16, 64])
     options = parser.parse_args()
--- a/lab/stream_client.py
+++ b/lab/stream_client.py
@@ -1,8 +1,9 @@
-"""Callers for measuring the relay: many streams, each id checked.
+"""Load generator of `lab.bench_relay`: opens streams and checks event ids.
 
-Prints one JSON line: tokens, seconds, errors, and percentiles in microseconds
-of the time from the source's write to the caller's read and of the time to
-the first token. The clock is the machine's own, so it fits both processes.
+Prints one JSON line with tokens, seconds, errors, and percentiles in
+microseconds of two durations: from the write at the token source to the read at
+the caller, and from the request to the first token. Both processes use the
+monotonic clock of the machine, so their times are comparable.
 """
 
 import argparse
@@ -22,7 +23,7 @@
 
 
 class Results:
-    """What all streams add up to."""
+    """Counters and histograms over all streams."""
 
     def __init__(self) -> None:
         self.tokens = 0
@@ -33,12 +34,12 @@
 
 
 class Caller(asyncio.Protocol):
-    """One stream.
+    """A caller that reads one stream over its own connection.
 
     Args:
-        request: The bytes of the request.
-        length: The tokens that must come.
-        results: Where the outcome is added.
+        request: The encoded request.
+        length: The expected number of tokens.
+        results: The counters to add to.
     """
 
     def __init__(self, request: bytes, length: int, results: Results) -> None:
@@ -61,18 +62,18 @@
         self._transport.write(self._request)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Counts a stream that was cut."""
+        """Counts an error if the stream is incomplete."""
         if not self.done.done():
             self._results.errors += 1
             self.done.set_result(None)
 
     def _fail(self, data: bytes) -> None:
-        """Counts a stream that ended in a failure, and closes it."""
+        """Prints a failure and closes the connection, which counts an error."""
         sys.stderr.write(data.decode()[:200] + "\n")
         self._transport.close()
 
     def data_received(self, data: bytes) -> None:
-        """Checks the events and their times."""
+        """Checks the ids of events and records their delays."""
         now = time.monotonic_ns()
         if self._body is None:
             self._received += data
@@ -112,7 +113,7 @@
 async def run(
     address: str, streams: int, length: int, gap_ms: int, key: str
 ) -> Results:
-    """Opens all streams at once and reads them to their ends."""
+    """Opens all streams and reads them to the end."""
     results = Results()
     body = orjson.dumps(
         {
@@ -136,7 +137,7 @@
         )
         callers.append(caller)
         if gap_ms:
-            # Streams at an even offset, as independent callers have.
+            # Even offsets, as with independent callers.
             await asyncio.sleep(gap_ms / 1000 / streams)
         elif number % 50 == 49:
             await asyncio.sleep(0.005)
@@ -145,7 +146,7 @@
 
 
 def main() -> None:
-    """Runs the callers and prints their line."""
+    """Runs the callers and prints the results."""
     options = argparse.ArgumentParser(description="Callers")
     options.add_argument("--address", required=True)
     options.add_argument("--streams", type=int, required=True)
--- a/lab/token_source.py
+++ b/lab/token_source.py
@@ -1,7 +1,7 @@
-"""A cheap engine for measuring the relay: paced tokens, no model.
+"""A minimal engine for `lab.bench_relay` that sends paced tokens.
 
-The prompt tells `len=N gap=MS`; a gap of 0 sends as fast as the reader takes.
-Each event carries the time at which it was written.
+The prompt contains `len=N gap=MS`; with a gap of 0 tokens are sent as fast as
+the reader accepts them. Each event contains the time of its write.
 """
 
 import argparse
@@ -24,7 +24,7 @@
 
 
 class Source(asyncio.Protocol):
-    """One connection of the relay."""
+    """A connection from the relay."""
 
     def __init__(self) -> None:
         self._received = b""
@@ -34,7 +34,7 @@
         self._transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport."""
+        """Stores the transport."""
         self._transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -43,15 +43,15 @@
             self._sending.cancel()
 
     def pause_writing(self) -> None:
-        """Waits for a slow reader."""
+        """Suspends sending while the write buffer is full."""
         self._can_write.clear()
 
     def resume_writing(self) -> None:
-        """Goes on."""
+        """Resumes sending."""
         self._can_write.set()
 
     def data_received(self, data: bytes) -> None:
-        """Answers each whole request."""
+        """Responds to each complete request."""
         self._received += data
         head, end, body = self._received.partition(b"\r\n\r\n")
         length = _LENGTH.search(head)
@@ -101,7 +101,7 @@
 
 
 def main() -> None:
-    """Runs the source."""
+    """Runs the token source."""
     options = argparse.ArgumentParser(description="Token source")
     options.add_argument("--listen", required=True, help="a.b.c.d:port")
     asyncio.run(_run(options.parse_args().listen))
