--- a/lab/bench.py
+++ b/lab/bench.py
@@ -10,7 +10,7 @@
 import time
 
 from lab import bench_load, bench_plan, bench_report
-from lab.bench_targets import Judge
+from lab.bench_targets import TargetChecker
 
 
 def main() -> None:
@@ -19,32 +19,36 @@
     parser.add_argument("--record", default="", metavar="NOTE")
     parser.add_argument("--deployment", choices=sorted(bench_load.DEPLOYMENTS))
     options = parser.parse_args()
-    began = time.monotonic()
+    started_s = time.monotonic()
     names = list(bench_load.DEPLOYMENTS)
     if options.deployment:
         names = [options.deployment]
-    found = bench_plan.in_parallel(bench_plan.find_capacity, names)
+    found = bench_plan.run_in_parallel(bench_plan.find_capacity, names)
     capacity = dict(zip(names, found, strict=True))
-    tasks = [t for n in names for t in bench_plan.tasks(n, capacity[n])]
-    results = bench_plan.in_parallel(bench_plan.perform, tasks)
+    planned_tasks = [
+        t for n in names for t in bench_plan.planned_tasks(n, capacity[n])
+    ]
+    results = bench_plan.run_in_parallel(bench_plan.run_task, planned_tasks)
     results.sort(key=lambda r: (names.index(r.deployment), r.scenario))
-    bench_report.write_lines(results)
-    out = [f"seed {bench_plan.SEED}"]
+    bench_report.write_results(results)
+    lines = [f"seed {bench_plan.SEED}"]
     for name in names:
         rates = ", ".join(
-            f"{c.name} {c.per_second * capacity[name]:.2f}/s"
+            f"{c.name} {c.requests_per_s * capacity[name]:.2f}/s"
             for c in bench_load.DEPLOYMENTS[name].classes
         )
-        out.append(f"{name}: capacity {capacity[name]:.4f} ({rates})")
-    out += [bench_report.table(results), ""]
+        lines.append(f"{name}: capacity {capacity[name]:.4f} ({rates})")
+    lines += [bench_report.format_table(results), ""]
     for name in names:
-        out += [v.line() for v in Judge(name, results).verdicts()]
-    rows = bench_report.measured(results)
-    out += ["", bench_report.compare(rows)]
-    sys.stdout.write("\n".join(out) + "\n")
-    sys.stderr.write(f"{time.monotonic() - began:.0f} s\n")
+        lines += [
+            v.format_line() for v in TargetChecker(name, results).check_all()
+        ]
+    rows = bench_report.product_figures(results)
+    lines += ["", bench_report.format_comparison(rows)]
+    sys.stdout.write("\n".join(lines) + "\n")
+    sys.stderr.write(f"{time.monotonic() - started_s:.0f} s\n")
     if options.record:
-        bench_report.add_line(options.record, capacity, rows)
+        bench_report.append_history(options.record, capacity, rows)
 
 
 if __name__ == "__main__":
--- a/lab/bench_broker.py
+++ b/lab/bench_broker.py
@@ -13,7 +13,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from lab.bench_load import ACCOUNT_SIZES, ACCOUNTS, account_specs
+from lab.bench_load import ACCOUNT_WEIGHTS, ACCOUNTS, account_specs
 from rhubarbwinch.admission.admission import Admission, Decision, LoadReport
 from rhubarbwinch.links.messages import PermitRelease, PermitRequest, StreamEnd
 from rhubarbwinch.records.records import EndpointSpec, PoolSpec
@@ -100,7 +100,7 @@
             request_id=f"request-{self._number}",
             entry=f"entry-{self._number % 4}",
             pool="model.dc",
-            account=self._rng.choices(ACCOUNTS, ACCOUNT_SIZES)[0],
+            account=self._rng.choices(ACCOUNTS, ACCOUNT_WEIGHTS)[0],
             service="short" if is_interactive else "long",
             interactive=is_interactive,
             prompt_tokens=self._rng.randrange(50, 800),
--- a/lab/bench_load.py
+++ b/lab/bench_load.py
@@ -24,8 +24,8 @@
         name: The service's name.
         interactive: Whether a person waits for the first token.
         wait_ms: The maximum wait in the queue.
-        first_token_ms: The target for the time to the first token.
-        per_second: The arrival rate at load 1, not yet scaled by capacity.
+        first_token_target_ms: The target for the time to the first token.
+        requests_per_s: The arrival rate at load 1, not yet scaled by capacity.
         prefix_blocks: Leading prompt blocks that an account's requests share.
         prompt_median: The median number of prompt tokens after the prefix.
         prompt_sigma: The standard deviation of their logarithm.
@@ -37,8 +37,8 @@
     name: str
     interactive: bool
     wait_ms: int
-    first_token_ms: int
-    per_second: float
+    first_token_target_ms: int
+    requests_per_s: float
     prefix_blocks: int
     prompt_median: float
     prompt_sigma: float
@@ -79,16 +79,16 @@
     ],
 )
 DEPLOYMENTS = {d.name: d for d in (KIELICHOWA, KALGOORLIE)}
-ACCOUNT_SIZES = [6, 4, 3, 1, 1, 1, 1, 1, 1, 1]
-ACCOUNTS = [f"account-{i}" for i in range(len(ACCOUNT_SIZES))]
-FLOODER = "account-2"
+ACCOUNT_WEIGHTS = [6, 4, 3, 1, 1, 1, 1, 1, 1, 1]
+ACCOUNTS = [f"account-{i}" for i in range(len(ACCOUNT_WEIGHTS))]
+FLOODING_ACCOUNT = "account-2"
 
 
 def account_specs() -> dict[str, AccountSpec]:
     """Returns the account records, weighted by the share of traffic."""
     return {
         name: AccountSpec(weight=float(size))
-        for name, size in zip(ACCOUNTS, ACCOUNT_SIZES, strict=True)
+        for name, size in zip(ACCOUNTS, ACCOUNT_WEIGHTS, strict=True)
     }
 
 
@@ -114,26 +114,26 @@
 
 
 @attrs.frozen
-class Shape:
+class TrafficPattern:
     """The load and its changes during a run.
 
     Attributes:
         load: The factor on the arrival rates of the classes.
-        shift_ms: The time from which outputs are longer.
-        shift_factor: The factor on output lengths from `shift_ms` on.
-        flood_ms: The time from which `FLOODER` sends more requests.
-        flood_factor: The factor on its arrival rate from `flood_ms` on.
+        shift_at_ms: The time from which outputs are longer.
+        shift_factor: The factor on output lengths from `shift_at_ms` on.
+        flood_at_ms: The time from which `FLOODING_ACCOUNT` sends more requests.
+        flood_factor: The factor on its arrival rate from `flood_at_ms` on.
     """
 
     load: float
-    shift_ms: float = math.inf
+    shift_at_ms: float = math.inf
     shift_factor: float = 2.0
-    flood_ms: float = math.inf
+    flood_at_ms: float = math.inf
     flood_factor: float = 6.0
 
 
 def arrivals(
-    deployment: Deployment, shape: Shape, seed: int, end_ms: float
+    deployment: Deployment, traffic: TrafficPattern, seed: int, end_ms: float
 ) -> Iterator[Arrival]:
     """Yields the requests of all classes and accounts, sorted by time.
 
@@ -142,41 +142,46 @@
     """
     found: list[Arrival] = []
     for kind in deployment.classes:
-        for account, size in zip(ACCOUNTS, ACCOUNT_SIZES, strict=True):
+        for account, size in zip(ACCOUNTS, ACCOUNT_WEIGHTS, strict=True):
             rng = random.Random(f"{seed}/{kind.name}/{account}")
-            per_ms = kind.per_second * shape.load / 1000
-            share = size / sum(ACCOUNT_SIZES)
-            source = _Source(kind, account, per_ms * share, shape, rng)
-            found.extend(source.until(end_ms))
+            requests_per_ms = kind.requests_per_s * traffic.load / 1000
+            share = size / sum(ACCOUNT_WEIGHTS)
+            source = _RequestSource(
+                kind, account, requests_per_ms * share, traffic, rng
+            )
+            found.extend(source.arrivals_until(end_ms))
     yield from sorted(found, key=lambda a: a.at_ms)
 
 
-class _Source:
+class _RequestSource:
     """Generates the requests of one class and account."""
 
     def __init__(
         self,
         kind: TrafficClass,
         account: str,
-        per_ms: float,
-        shape: Shape,
+        requests_per_ms: float,
+        traffic: TrafficPattern,
         rng: random.Random,
     ) -> None:
         self._kind = kind
         self._account = account
-        self._per_ms = per_ms
-        self._shape = shape
+        self._requests_per_ms = requests_per_ms
+        self._traffic = traffic
         self._rng = rng
         # Output lengths differ between accounts.
-        self._factor = math.exp(rng.gauss(0, 0.3))
+        self._length_factor = math.exp(rng.gauss(0, 0.3))
         self._prefix = [rng.getrandbits(60) for _ in range(kind.prefix_blocks)]
 
-    def until(self, end_ms: float) -> Iterator[Arrival]:
+    def arrivals_until(self, end_ms: float) -> Iterator[Arrival]:
         now, number = 0.0, 0
         while True:
-            floods = self._account == FLOODER and now >= self._shape.flood_ms
-            factor = self._shape.flood_factor if floods else 1.0
-            now += self._rng.expovariate(self._per_ms * factor)
+            is_flooding = (
+                self._account == FLOODING_ACCOUNT
+                and now >= self._traffic.flood_at_ms
+            )
+            factor = self._traffic.flood_factor if is_flooding else 1.0
+            now += self._rng.expovariate(self._requests_per_ms * factor)
             if now >= end_ms:
                 return
             number += 1
@@ -184,13 +189,13 @@
 
     def _arrival(self, now: float, number: int) -> Arrival:
         kind, rng = self._kind, self._rng
-        own = rng.lognormvariate(
+        own_tokens = rng.lognormvariate(
             math.log(kind.prompt_median), kind.prompt_sigma
         )
-        prompt = kind.prefix_blocks * BLOCK_TOKENS + int(own) + 1
-        median = kind.output_median * self._factor
-        if now >= self._shape.shift_ms:
-            median *= self._shape.shift_factor
+        prompt = kind.prefix_blocks * BLOCK_TOKENS + int(own_tokens) + 1
+        median = kind.output_median * self._length_factor
+        if now >= self._traffic.shift_at_ms:
+            median *= self._traffic.shift_factor
         output = rng.lognormvariate(math.log(median), kind.output_sigma)
         length = max(1, min(kind.max_tokens, int(output)))
         is_cancelled = rng.random() < CANCELLED_SHARE
--- a/lab/bench_measure.py
+++ b/lab/bench_measure.py
@@ -10,9 +10,9 @@
 
 GAP_TARGET_MS = 41.0
 PAUSE_TARGET_MS = 890.0
-SLOW_GAPS_ALLOWED = 0.05
+SLOW_GAP_SHARE_ALLOWED = 0.05
 PERCENTILES = (50, 95, 99, 99.9)
-_US = 1000
+_US_PER_MS = 1000
 _HOUR_US = 3_600_000_000
 
 
@@ -23,62 +23,64 @@
     Attributes:
         arrival: The request and its time of arrival.
         attempts: The number of submissions to the broker.
-        refused_ms: When the last attempt was refused or lost; None if the
+        refused_at_ms: When the last attempt was refused or lost; None if the
             request was not given up.
-        wanted_ms: When the latest attempt was submitted.
-        first_ms: When the first token arrived.
-        last_ms: When the latest run ended, by preemption or completion.
+        submitted_at_ms: When the latest attempt was submitted.
+        first_token_at_ms: When the first token arrived.
+        left_batch_at_ms: When it last left the batch, preempted or complete.
         tokens: The number of tokens received.
         slow_gaps: The number of gaps over `GAP_TARGET_MS`.
-        longest_ms: The longest gap caused by a preemption.
+        longest_pause_ms: The longest gap caused by a preemption.
         stall_ms: The sum over all gaps of the time beyond the target.
         preemptions: How often its KV cache was evicted.
         is_done: Whether it is complete.
         is_lost: Whether its engine failed after the first token.
-        slow_base: The engine's number of slow steps when the request joined
-            the batch.
-        stall_base: The engine's stall time when the request joined the batch.
+        slow_steps_at_join: The engine's number of slow steps when the request
+            joined the batch.
+        stall_ms_at_join: The engine's stall time when the request joined the
+            batch.
     """
 
     arrival: Arrival
     attempts: int = 0
-    refused_ms: float | None = None
-    wanted_ms: float = 0.0
-    first_ms: float | None = None
-    last_ms: float = 0.0
+    refused_at_ms: float | None = None
+    submitted_at_ms: float = 0.0
+    first_token_at_ms: float | None = None
+    left_batch_at_ms: float = 0.0
     tokens: int = 0
     slow_gaps: int = 0
-    longest_ms: float = 0.0
+    longest_pause_ms: float = 0.0
     stall_ms: float = 0.0
     preemptions: int = 0
     is_done: bool = False
     is_lost: bool = False
-    slow_base: int = 0
-    stall_base: float = 0.0
+    slow_steps_at_join: int = 0
+    stall_ms_at_join: float = 0.0
 
     @property
-    def wait_ms(self) -> float:
+    def time_to_first_token_ms(self) -> float:
         """The time from arrival to the first token."""
-        if self.first_ms is None:
+        if self.first_token_at_ms is None:
             return math.inf
-        return self.first_ms - self.arrival.at_ms
+        return self.first_token_at_ms - self.arrival.at_ms
 
     @property
-    def is_met(self) -> bool:
+    def met_targets(self) -> bool:
         """Whether it is complete and met all its targets."""
         return (
             self.is_done
-            and self.wait_ms <= self.arrival.kind.first_token_ms
-            and self.keeps_pace
+            and self.time_to_first_token_ms
+            <= self.arrival.kind.first_token_target_ms
+            and self.met_gap_targets
         )
 
     @property
-    def keeps_pace(self) -> bool:
+    def met_gap_targets(self) -> bool:
         """Whether 95% of its gaps met the target and no pause was too long."""
-        allowed = SLOW_GAPS_ALLOWED * max(1, self.tokens - 1)
+        allowed = SLOW_GAP_SHARE_ALLOWED * max(1, self.tokens - 1)
         # One slow gap is allowed even in a short response.
-        few = self.slow_gaps <= max(1, allowed)
-        return few and self.longest_ms <= PAUSE_TARGET_MS
+        has_few_slow_gaps = self.slow_gaps <= max(1, allowed)
+        return has_few_slow_gaps and self.longest_pause_ms <= PAUSE_TARGET_MS
 
 
 @attrs.frozen
@@ -99,7 +101,7 @@
 
     def add(self, ms: float, count: int = 1) -> None:
         """Adds a duration `count` times."""
-        self._counts[max(1, int(ms * _US))] += count
+        self._counts[max(1, int(ms * _US_PER_MS))] += count
 
     def percentiles(self) -> Percentiles:
         """Returns the percentiles, computed with HdrHistogram."""
@@ -107,7 +109,8 @@
         for value, count in self._counts.items():
             histogram.record_value(value, count)
         found = [
-            histogram.get_value_at_percentile(p) / _US for p in PERCENTILES
+            histogram.get_value_at_percentile(p) / _US_PER_MS
+            for p in PERCENTILES
         ]
         return Percentiles(*found)
 
@@ -188,35 +191,40 @@
         return sum(c.preemptions for c in self.classes)
 
 
-def class_result(
+def summarize_class(
     name: str, jobs: list[Job], gap: Durations, seconds: float
 ) -> ClassResult:
     """Returns the measurements of one class over `seconds`."""
-    refusals = [j for j in jobs if j.refused_ms is not None]
-    speeds, firsts = Durations(), Durations()
+    refusals = [j for j in jobs if j.refused_at_ms is not None]
+    refusal_times, first_token_times = Durations(), Durations()
     for job in refusals:
-        speeds.add((job.refused_ms or 0.0) - job.wanted_ms)
-    started = [j for j in jobs if j.first_ms is not None]
+        refusal_times.add((job.refused_at_ms or 0.0) - job.submitted_at_ms)
+    started = [j for j in jobs if j.first_token_at_ms is not None]
     for job in started:
-        firsts.add(job.wait_ms)
-    in_time = [j for j in started if j.wait_ms <= j.arrival.kind.first_token_ms]
+        first_token_times.add(job.time_to_first_token_ms)
+    in_time = [
+        j
+        for j in started
+        if j.time_to_first_token_ms <= j.arrival.kind.first_token_target_ms
+    ]
     count = max(1, len(jobs))
     return ClassResult(
         name=name,
         offered=len(jobs),
         refused=len(refusals),
         refused_late=sum(
-            (j.refused_ms or 0) - j.wanted_ms > 50 for j in refusals
+            (j.refused_at_ms or 0) - j.submitted_at_ms > 50 for j in refusals
         ),
-        refusal_p99_ms=speeds.percentiles().p99,
+        refusal_p99_ms=refusal_times.percentiles().p99,
         first_in_time=len(in_time) / count,
-        gaps_in_time=sum(j.keeps_pace for j in started) / max(1, len(started)),
-        met=sum(j.is_met for j in jobs) / count,
-        goodput=sum(j.tokens for j in jobs if j.is_met) / seconds,
+        gaps_in_time=sum(j.met_gap_targets for j in started)
+        / max(1, len(started)),
+        met=sum(j.met_targets for j in jobs) / count,
+        goodput=sum(j.tokens for j in jobs if j.met_targets) / seconds,
         stall_s=sum(j.stall_ms for j in jobs) / 1000,
         preemptions=sum(j.preemptions for j in jobs),
         gap=gap.percentiles(),
-        first=firsts.percentiles(),
+        first=first_token_times.percentiles(),
     )
 
 
@@ -227,7 +235,7 @@
     for job in jobs:
         account = job.arrival.request.account
         demand[account] += job.arrival.output_tokens
-        served[account] += job.tokens if job.is_met else 0
+        served[account] += job.tokens if job.met_targets else 0
     shares = [served[a] / demand[a] for a in demand]
     squares = sum(s * s for s in shares)
     if not squares:
--- a/lab/bench_plots.py
+++ b/lab/bench_plots.py
@@ -5,7 +5,7 @@
 import matplotlib as mpl
 import orjson
 
-from lab.bench_report import LINES, ROOT
+from lab.bench_report import RESULTS, ROOT
 
 mpl.use("Agg")
 
@@ -16,17 +16,19 @@
 
 
 def _read() -> list[dict[str, Any]]:
-    return [orjson.loads(line) for line in LINES.read_bytes().splitlines()]
+    return [orjson.loads(line) for line in RESULTS.read_bytes().splitlines()]
 
 
 def _series(
     rows: list[dict[str, Any]], policy: str, key: str
 ) -> tuple[list[float], list[float]]:
-    found = sorted((r["load"], _value(r, key)) for r in rows if _is(r, policy))
+    found = sorted(
+        (r["load"], _value(r, key)) for r in rows if _is_load_run(r, policy)
+    )
     return [load for load, _ in found], [value for _, value in found]
 
 
-def _is(row: dict[str, Any], policy: str) -> bool:
+def _is_load_run(row: dict[str, Any], policy: str) -> bool:
     return row["policy"] == policy and row["scenario"].startswith("load")
 
 
@@ -38,7 +40,7 @@
     return float(sum(c[key] for c in row["classes"]))
 
 
-def draw(deployment: str, rows: list[dict[str, Any]]) -> None:
+def plot_deployment(deployment: str, rows: list[dict[str, Any]]) -> None:
     """Plots goodput, interactive targets, stalls and preemptions by load."""
     panels = [
         ("goodput", "goodput, tokens/s"),
@@ -66,7 +68,9 @@
     """Writes one figure per deployment."""
     rows = _read()
     for name in dict.fromkeys(row["deployment"] for row in rows):
-        draw(name, [row for row in rows if row["deployment"] == name])
+        plot_deployment(
+            name, [row for row in rows if row["deployment"] == name]
+        )
 
 
 if __name__ == "__main__":
--- a/lab/bench_policies.py
+++ b/lab/bench_policies.py
@@ -15,7 +15,7 @@
 from rhubarbwinch.links.messages import PermitRequest
 
 
-class KnownLengths:
+class OracleLengths:
     """Predicts each output length exactly, as an oracle.
 
     Args:
@@ -30,8 +30,11 @@
     def outlook(self, request: PermitRequest, tokens: int) -> Outlook:
         """Returns the true remaining length as a forecast."""
         request_id = request.request_id.partition("/")[0]
-        left = max(0, self._lengths[request_id] - tokens)
-        return Outlook([float(h < left) for h in HORIZONS], float(left))
+        remaining_tokens = max(0, self._lengths[request_id] - tokens)
+        return Outlook(
+            [float(h < remaining_tokens) for h in HORIZONS],
+            float(remaining_tokens),
+        )
 
     def observe(
         self, request: PermitRequest, tokens: int, is_complete: bool
@@ -40,7 +43,7 @@
 
 
 @attrs.frozen
-class Contender:
+class AdmissionPolicy:
     """An admission policy under comparison.
 
     Attributes:
@@ -53,12 +56,12 @@
     options: Options
     is_oracle: bool = False
 
-    def lengths(self, arrivals: Iterable[Arrival]) -> LengthEstimator:
+    def length_estimator(self, arrivals: Iterable[Arrival]) -> LengthEstimator:
         """Returns the estimator of output lengths."""
-        return KnownLengths(arrivals) if self.is_oracle else LearnedLengths()
+        return OracleLengths(arrivals) if self.is_oracle else LearnedLengths()
 
 
-def _baseline(placement: str) -> Contender:
+def _baseline(placement: str) -> AdmissionPolicy:
     options = Options(
         placement=placement,
         is_fair=False,
@@ -66,12 +69,14 @@
         limits_retries=False,
         lowers_priority=False,
     )
-    return Contender(placement, options)
+    return AdmissionPolicy(placement, options)
 
 
-PRODUCT = Contender("product", Options())
-WITHOUT_BUDGETS = Contender("no-budgets", Options(limits_retries=False))
-ORACLE = Contender("oracle", Options(), is_oracle=True)
+PRODUCT = AdmissionPolicy("product", Options())
+WITHOUT_RETRY_BUDGETS = AdmissionPolicy(
+    "no-budgets", Options(limits_retries=False)
+)
+ORACLE = AdmissionPolicy("oracle", Options(), is_oracle=True)
 BASELINES = [
     _baseline("round-robin"),
     _baseline("least-outstanding"),
--- a/lab/bench_report.py
+++ b/lab/bench_report.py
@@ -10,8 +10,8 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 HISTORY = ROOT / "lab" / "history.jsonl"
-LINES = ROOT / ".work" / "bench.jsonl"
-_HEAD = (
+RESULTS = ROOT / ".work" / "bench.jsonl"
+_HEADER = (
     f"{'policy':<18}{'class':<10}{'met':>7}{'goodput':>8}{'stall s':>8}"
     f"{'preempt':>8}{'refused':>8}{'late':>6}{'speed':>7}"
     f"{'gap ms 50/95/99/99.9':>23}{'first ms 50/95/99/99.9':>27}{'fair':>6}"
@@ -19,7 +19,7 @@
 
 
 @attrs.frozen
-class Measured:
+class ProductFigures:
     """The figures of the product policy in one scenario of the history."""
 
     deployment: str
@@ -37,31 +37,31 @@
     commit: str
     note: str
     capacity: dict[str, float]
-    measured: list[Measured]
+    measured: list[ProductFigures]
 
 
-def table(results: list[RunResult]) -> str:
+def format_table(results: list[RunResult]) -> str:
     """Returns the results as a text table, one block per scenario."""
     lines = []
-    seen = None
+    previous_title = None
     for result in results:
         title = f"{result.deployment}, {result.scenario}"
-        if title != seen:
-            lines += ["", title, _HEAD]
-            seen = title
-        lines += _rows(result)
+        if title != previous_title:
+            lines += ["", title, _HEADER]
+            previous_title = title
+        lines += _format_rows(result)
     return "\n".join(lines)
 
 
-def _rows(result: RunResult) -> list[str]:
+def _format_rows(result: RunResult) -> list[str]:
     rows = []
     for item in result.classes:
         rows.append(
             f"{result.policy:<18}{item.name:<10}{item.met:>7.1%}"
             f"{item.goodput:>8.0f}{item.stall_s:>8.1f}{item.preemptions:>8}"
             f"{item.refused:>8}{item.refused_late:>6}"
-            f"{item.refusal_p99_ms:>7.0f}{_spread(item.gap):>23}"
-            f"{_spread(item.first):>27}{result.fairness:>6.2f}"
+            f"{item.refusal_p99_ms:>7.0f}{_format_percentiles(item.gap):>23}"
+            f"{_format_percentiles(item.first):>27}{result.fairness:>6.2f}"
         )
     if result.scenario == "loss":
         rows.append(
@@ -73,22 +73,22 @@
     return rows
 
 
-def _spread(found: Percentiles) -> str:
+def _format_percentiles(found: Percentiles) -> str:
     values = (found.p50, found.p95, found.p99, found.p999)
     return "/".join(f"{value:.0f}" for value in values)
 
 
-def write_lines(results: list[RunResult]) -> None:
-    """Writes one JSON line per simulation to `LINES`."""
-    LINES.parent.mkdir(exist_ok=True)
+def write_results(results: list[RunResult]) -> None:
+    """Writes one JSON line per simulation to `RESULTS`."""
+    RESULTS.parent.mkdir(exist_ok=True)
     rows = [orjson.dumps(attrs.asdict(result)) for result in results]
-    LINES.write_bytes(b"\n".join(rows) + b"\n")
+    RESULTS.write_bytes(b"\n".join(rows) + b"\n")
 
 
-def measured(results: list[RunResult]) -> list[Measured]:
+def product_figures(results: list[RunResult]) -> list[ProductFigures]:
     """Returns the figures of the product policy."""
     return [
-        Measured(
+        ProductFigures(
             r.deployment,
             r.scenario,
             round(r.goodput, 1),
@@ -101,17 +101,17 @@
     ]
 
 
-def last_line() -> HistoryLine | None:
+def read_last_line() -> HistoryLine | None:
     """Returns the last line of the history, or None without a history."""
     if not HISTORY.exists():
         return None
     data = orjson.loads(HISTORY.read_bytes().splitlines()[-1])
-    rows = [Measured(**row) for row in data.pop("measured")]
+    rows = [ProductFigures(**row) for row in data.pop("measured")]
     return HistoryLine(measured=rows, **data)
 
 
-def add_line(
-    note: str, capacity: dict[str, float], rows: list[Measured]
+def append_history(
+    note: str, capacity: dict[str, float], rows: list[ProductFigures]
 ) -> None:
     """Appends the figures of the current commit to the history."""
     commit = subprocess.run(
@@ -126,9 +126,9 @@
         file.write(orjson.dumps(attrs.asdict(line)) + b"\n")
 
 
-def compare(now: list[Measured]) -> str:
+def format_comparison(now: list[ProductFigures]) -> str:
     """Compares the figures with those of the last commit in the history."""
-    last = last_line()
+    last = read_last_line()
     if last is None:
         return "no commit was measured before"
     old = {(m.deployment, m.scenario): m for m in last.measured}
