--- a/lab/catalogue.py
+++ b/lab/catalogue.py
@@ -67,7 +67,7 @@
 Cache the list of `GET /v1/entries` for its time to live and use the first
 entry. After a refused connection, or after status 503 with the verdict
 `not-run`, try the next entry. After one round over all entries, wait for the
-time in `Retry-After`. A response that was cut off has no verdict: the request
+time in `Retry-After`. If a response was cut off without a verdict, the request
 may have run.
 """
 
