--- a/lab/bare_relay.py
+++ b/lab/bare_relay.py
@@ -31,11 +31,11 @@
         if scope["type"] != "http":
             return
         body = b""
-        more = True
-        while more:
+        has_more = True
+        while has_more:
             message = await receive()
             body += message.get("body", b"")
-            more = message.get("more_body", False)
+            has_more = message.get("more_body", False)
         url = f"http://{self._target}{scope['path']}"
         headers = {"x-generation-id": "1-1-x~e"}
         async with self._client.stream(
@@ -61,10 +61,10 @@
 
 def main() -> None:
     """Runs the relay."""
-    options_parser = argparse.ArgumentParser(description="Bare relay")
-    options_parser.add_argument("--listen", required=True)
-    options_parser.add_argument("--target", required=True)
-    options = options_parser.parse_args()
+    parser = argparse.ArgumentParser(description="Bare relay")
+    parser.add_argument("--listen", required=True)
+    parser.add_argument("--target", required=True)
+    options = parser.parse_args()
     config = Config()
     config.bind = [options.listen]
     config.errorlog = None
--- a/lab/bench_broker.py
+++ b/lab/bench_broker.py
@@ -20,12 +20,12 @@
 from rhubarbwinch.shared.clock import ManualClock
 
 ENGINES = 64
-WAITING = 1000
+QUEUED_REQUESTS = 1000
 # The simulated rate: one permit every 300 us, the stated target.
 PERMITS_PER_SECOND = 3300
 LOAD_PERIOD_MS = 250
 CAPACITY_TOKENS = 60_000
-WARM_PERMITS = 4000
+WARM_UP_PERMITS = 4000
 MAX_US = 1_000_000
 
 
@@ -51,22 +51,22 @@
         )
         self._running: list[str] = []
         self._number = 0
-        self._waiting = waiting
+        self._queue_length = waiting
         self._now_ms = 0.0
         self._report_loads()
-        self._fill()
+        self._fill_queue()
 
     @property
     def running(self) -> int:
         """The number of held permits."""
         return len(self._running)
 
-    def permit(self) -> None:
+    def replace_stream(self) -> None:
         """Advances the clock, ends a random stream and submits a request."""
-        before = int(self._now_ms / LOAD_PERIOD_MS)
+        last_period = int(self._now_ms / LOAD_PERIOD_MS)
         self._now_ms += 1000 / PERMITS_PER_SECOND
         self._clock.set(int(self._now_ms))
-        if int(self._now_ms / LOAD_PERIOD_MS) != before:
+        if int(self._now_ms / LOAD_PERIOD_MS) != last_period:
             self._report_loads()
         index = self._rng.randrange(len(self._running))
         self._running[index], self._running[-1] = (
@@ -76,17 +76,17 @@
         release = PermitRelease(
             self._running.pop(), "model.dc", StreamEnd.FINISHED, self._length()
         )
-        self._take(self.admission.release(release))
-        self._take(self.admission.submit(self._request()))
-        if self.admission.queued < self._waiting:
+        self._record_grants(self.admission.release(release))
+        self._record_grants(self.admission.submit(self._request()))
+        if self.admission.queued < self._queue_length:
             # A queued request was granted; submit another to keep the number.
-            self._take(self.admission.submit(self._request()))
+            self._record_grants(self.admission.submit(self._request()))
 
-    def _fill(self) -> None:
-        while self.admission.queued < self._waiting:
-            self._take(self.admission.submit(self._request()))
+    def _fill_queue(self) -> None:
+        while self.admission.queued < self._queue_length:
+            self._record_grants(self.admission.submit(self._request()))
 
-    def _take(self, decisions: list[Decision]) -> None:
+    def _record_grants(self, decisions: list[Decision]) -> None:
         granted = [d.request_id for d in decisions if d.reply.grant]
         self._running += granted
 
@@ -122,14 +122,14 @@
 
 
 def _measure(permits: int) -> None:
-    bench = BrokerBench(WAITING)
-    for _ in range(WARM_PERMITS):
-        bench.permit()
+    bench = BrokerBench(QUEUED_REQUESTS)
+    for _ in range(WARM_UP_PERMITS):
+        bench.replace_stream()
     histogram = HdrHistogram(1, MAX_US, 3)
     began = time.process_time()
     for _ in range(permits):
         start = time.perf_counter_ns()
-        bench.permit()
+        bench.replace_stream()
         elapsed_us = (time.perf_counter_ns() - start) // 1000
         histogram.record_value(max(1, elapsed_us))
     cpu_s = time.process_time() - began
@@ -143,16 +143,21 @@
 
 def _measure_memory() -> None:
     tracemalloc.start()
-    small = BrokerBench(1)
-    base, streams = tracemalloc.get_traced_memory()[0], small.running
-    large = BrokerBench(WAITING)
-    grown = tracemalloc.get_traced_memory()[0] - base
-    stream = base / streams
-    queued = (grown - stream * large.running) / WAITING
+    small_bench = BrokerBench(1)
+    base_bytes, streams = (
+        tracemalloc.get_traced_memory()[0],
+        small_bench.running,
+    )
+    large_bench = BrokerBench(QUEUED_REQUESTS)
+    growth_bytes = tracemalloc.get_traced_memory()[0] - base_bytes
+    stream_bytes = base_bytes / streams
+    queued = (
+        growth_bytes - stream_bytes * large_bench.running
+    ) / QUEUED_REQUESTS
     sys.stdout.write(
-        f"memory: {stream:.0f} bytes a stream with its request, "
+        f"memory: {stream_bytes:.0f} bytes a stream with its request, "
         f"{queued:.0f} bytes a waiting request "
-        f"({streams} and {large.running} streams)\n"
+        f"({streams} and {large_bench.running} streams)\n"
     )
 
 
--- a/lab/bench_claims.py
+++ b/lab/bench_claims.py
@@ -60,7 +60,7 @@
         return swap
 
 
-class Peers:
+class DirectLinks:
     """Links between the entries of this process, without a network or delay."""
 
     def __init__(self) -> None:
@@ -81,7 +81,7 @@
         """Does nothing, because there are no connections."""
 
 
-class NoOwners:
+class OwnerQueryStub:
     """A stub of the query for the standing of a claim's owner."""
 
     async def ask(self, _: ClaimRecord) -> Standing:
@@ -124,12 +124,12 @@
     key = ClaimKey("acme", "booking", _uuid7(clock, rng), "00" * 16, 86_400_000)
     began = clock.now()
     found = await claims.find(key)
-    taken = await claims.take(key) if isinstance(found, Ok) else found
-    if not isinstance(taken, Ok) or taken.ok_value is None:
+    claimed = await claims.take(key) if isinstance(found, Ok) else found
+    if not isinstance(claimed, Ok) or claimed.ok_value is None:
         run.refused += 1
         return
     run.waits_ms.append(clock.now() - began)
-    claim = taken.ok_value
+    claim = claimed.ok_value
     claims.begin_send(claim, "desk")  # type: ignore[arg-type]
     outcome = make_outcome(200, "application/json", b'{"ok":true}')
     await claims.complete(claim, outcome)  # type: ignore[arg-type]
@@ -143,7 +143,7 @@
     async with anyio.create_task_group() as tasks:
         claims = []
         pages = []
-        peers = Peers()
+        peers = DirectLinks()
         entries = [_member(number) for number in range(run.entries)]
         for number, entry in enumerate(entries):
             page = ClaimPages(store, clock, WRITES_PER_S, run.batched)
@@ -156,7 +156,7 @@
             claims.append(
                 Claims(
                     routed if run.routed else page,
-                    NoOwners(),
+                    OwnerQueryStub(),
                     ClaimFloor(store, clock),
                     clock,
                     random.Random(number),
--- a/lab/bench_config.py
+++ b/lab/bench_config.py
@@ -68,15 +68,15 @@
     accepted.revise(snapshot, 2, changed, changed)
     revised = time.process_time()
     tracemalloc.start()
-    kept = build(chunks)
-    memory, _ = tracemalloc.get_traced_memory()
+    traced_snapshot = build(chunks)
+    snapshot_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     sizes = [len(chunk) for chunk in chunks]
     return Cost(
-        accounts=len(kept.accounts),
+        accounts=len(traced_snapshot.accounts),
         build_ms=round((built - began) * 1000, 1),
         revise_ms=round((revised - built) * 1000, 2),
-        memory_bytes=memory + sum(sizes),
+        memory_bytes=snapshot_bytes + sum(sizes),
         chunk_bytes=sum(sizes) // len(sizes),
     )
 
--- a/lab/bench_gateways.py
+++ b/lab/bench_gateways.py
@@ -19,7 +19,7 @@
 
 # All gateways start together and share the cores, so the wait grows with their
 # number. SETTLE_S is added for the start of the last one.
-START_S_EACH = 0.3
+START_S_PER_GATEWAY = 0.3
 SETTLE_S = 5.0
 ENGINES = 8
 
@@ -46,38 +46,38 @@
 
 
 async def measure(
-    gateways: int, callers: int, last_s: float, folder: pathlib.Path
+    gateways: int, callers: int, duration_s: float, folder: pathlib.Path
 ) -> list[Usage]:
     """Returns the usage of gateways while idle and while serving callers."""
     world = World(folder, random.Random(1), gateways, ENGINES)
     try:
         async with anyio.create_task_group() as tasks:
             await world.start(tasks)
-            await anyio.sleep(START_S_EACH * gateways + SETTLE_S)
-            idle = await _watch(world, 0, last_s)
-            busy = await _watch(world, callers, last_s)
+            await anyio.sleep(START_S_PER_GATEWAY * gateways + SETTLE_S)
+            idle = await _measure_usage(world, 0, duration_s)
+            busy = await _measure_usage(world, callers, duration_s)
             tasks.cancel_scope.cancel()
     finally:
         world.close()
     return [idle, busy]
 
 
-async def _watch(world: World, count: int, last_s: float) -> Usage:
+async def _measure_usage(world: World, count: int, duration_s: float) -> Usage:
     cpu, calls = _cpu_s(world), len(world.store.calls)
-    served = _served(world)
+    served_before = _served(world)
     callers = make_callers(world, random.Random(1), count)
     async with anyio.create_task_group() as tasks:
         for caller in callers:
             tasks.start_soon(caller.run)
-        await anyio.sleep(last_s)
-        used = Usage(
-            (_served(world) - served) / last_s,
-            (_cpu_s(world) - cpu) / last_s / len(world.gateways),
-            (len(world.store.calls) - calls) / last_s,
+        await anyio.sleep(duration_s)
+        usage = Usage(
+            (_served(world) - served_before) / duration_s,
+            (_cpu_s(world) - cpu) / duration_s / len(world.gateways),
+            (len(world.store.calls) - calls) / duration_s,
         )
         for caller in callers:
             caller.is_stopping = True
-    return used
+    return usage
 
 
 def _cpu_s(world: World) -> float:
--- a/lab/bench_links.py
+++ b/lab/bench_links.py
@@ -101,10 +101,10 @@
         address = f"127.0.0.1:{probe.getsockname()[1]}"
     server = LinkServer(address)
 
-    async def answer(_: object) -> PermitReply | Ack | DigestReply:
+    async def handle(_: object) -> PermitReply | Ack | DigestReply:
         return reply
 
-    server.on(type(request), answer)
+    server.on(type(request), handle)
     links = Links(1)
 
     async def call_many() -> None:
@@ -119,12 +119,12 @@
         async with anyio.create_task_group() as callers:
             for _ in range(CALLERS):
                 callers.start_soon(call_many)
-        spent = time.process_time() - began
+        cpu_s = time.process_time() - began
         tasks.cancel_scope.cancel()
     return Cost(
         message=type(request).__name__,
         calls=count,
-        cpu_us=round(spent / count * 1e6, 1),
+        cpu_us=round(cpu_s / count * 1e6, 1),
         request_bytes=len(codec.encode(request)),
         reply_bytes=len(codec.encode(reply)),
     )
--- a/lab/bench_loads.py
+++ b/lab/bench_loads.py
@@ -41,23 +41,23 @@
     client = EndpointClient(SILENCE_MS)
     await client.read_json(url)
 
-    async def read_many() -> None:
+    async def poll_many() -> None:
         for _ in range(count // READERS):
             await client.read_json(url)
 
     began = time.process_time()
     async with anyio.create_task_group() as tasks:
         for _ in range(READERS):
-            tasks.start_soon(read_many)
-    spent = time.process_time() - began
+            tasks.start_soon(poll_many)
+    cpu_s = time.process_time() - began
     await client.close()
-    return Cost(count, round(spent / count * 1e6, 1), _answer_bytes(url))
+    return Cost(count, round(cpu_s / count * 1e6, 1), _response_bytes(url))
 
 
-def _answer_bytes(url: str) -> int:
-    answer = httpx.get(url)
-    head = sum(len(k) + len(v) + 4 for k, v in answer.headers.raw)
-    return head + len(answer.content)
+def _response_bytes(url: str) -> int:
+    response = httpx.get(url)
+    head = sum(len(k) + len(v) + 4 for k, v in response.headers.raw)
+    return head + len(response.content)
 
 
 def main() -> None:
--- a/lab/bench_logging.py
+++ b/lab/bench_logging.py
@@ -18,7 +18,7 @@
 from lab.soak.run import make_callers
 from lab.soak.world import World
 
-START_S = 2.0
+SETTLE_S = 2.0
 CALLERS = 32
 
 
@@ -39,7 +39,7 @@
     log_bytes: float
 
 
-async def measure(level: str, last_s: float, folder: pathlib.Path) -> Cost:
+async def measure(level: str, duration_s: float, folder: pathlib.Path) -> Cost:
     """Runs a gateway at a log level under the load of the soak test."""
     options = ("--log-level", level)
     world = World(folder, random.Random(1), 1, 3, options)
@@ -47,15 +47,18 @@
     try:
         async with anyio.create_task_group() as tasks:
             await world.start(tasks)
-            await anyio.sleep(START_S)
+            await anyio.sleep(SETTLE_S)
             gateway = world.gateways[0]
-            before, size = world.cpu_s(gateway), log.stat().st_size
-            await _call(world, last_s)
-            cpu_s = world.cpu_s(gateway) - before
+            cpu_before_s, log_size_before = (
+                world.cpu_s(gateway),
+                log.stat().st_size,
+            )
+            await _run_callers(world, duration_s)
+            cpu_s = world.cpu_s(gateway) - cpu_before_s
             tasks.cancel_scope.cancel()
     finally:
         world.close()
-    written = log.read_bytes()[size:]
+    written = log.read_bytes()[log_size_before:]
     count = sum(a.status == 200 for a in world.journal.attempts)
     return Cost(
         count,
@@ -65,12 +68,12 @@
     )
 
 
-async def _call(world: World, last_s: float) -> None:
+async def _run_callers(world: World, duration_s: float) -> None:
     callers = make_callers(world, random.Random(1), CALLERS)
     async with anyio.create_task_group() as tasks:
         for caller in callers:
             tasks.start_soon(caller.run)
-        await anyio.sleep(last_s)
+        await anyio.sleep(duration_s)
         for caller in callers:
             caller.is_stopping = True
 
@@ -81,13 +84,13 @@
     parser.add_argument("--rounds", type=int, default=3)
     parser.add_argument("--seconds", type=float, default=8.0)
     options = parser.parse_args()
-    found: dict[str, list[Cost]] = {"info": [], "error": []}
+    costs_by_level: dict[str, list[Cost]] = {"info": [], "error": []}
     for _ in range(options.rounds):
-        for level, costs in found.items():
+        for level, costs in costs_by_level.items():
             with tempfile.TemporaryDirectory() as name:
                 folder = pathlib.Path(name)
                 costs.append(anyio.run(measure, level, options.seconds, folder))
-    for level, costs in found.items():
+    for level, costs in costs_by_level.items():
         cpu = [cost.cpu_ms for cost in costs]
         sys.stdout.write(
             f"{level}: {statistics.median(cpu):.2f} ms of processor time a "
--- a/lab/bench_relay.py
+++ b/lab/bench_relay.py
@@ -106,7 +106,7 @@
         return int(statm.read().split()[1]) * PAGE_BYTES
 
 
-def _call(address: str, load: Load) -> subprocess.Popen[bytes]:
+def _start_callers(address: str, load: Load) -> subprocess.Popen[bytes]:
     arguments = ["--address", address, "--key", builders.API_KEY]
     arguments += ["--streams", str(load.streams), "--length", str(load.length)]
     arguments += ["--gap-ms", str(load.gap_ms)]
@@ -121,27 +121,27 @@
 def _measure(relay: str, pid: int | None, address: str, load: Load) -> Row:
     """Runs a load against a relay, or without one if `pid` is None."""
     before = _cpu_s(pid) if pid else 0.0
-    idle = _resident_bytes(pid) if pid else 0
-    callers = _call(address, load)
-    top = idle
+    idle_bytes = _resident_bytes(pid) if pid else 0
+    callers = _start_callers(address, load)
+    peak_bytes = idle_bytes
     while callers.poll() is None:
-        top = max(top, _resident_bytes(pid) if pid else 0)
+        peak_bytes = max(peak_bytes, _resident_bytes(pid) if pid else 0)
         time.sleep(0.1)
     assert callers.stdout is not None
-    found = orjson.loads(callers.stdout.read())
-    used = (_cpu_s(pid) if pid else 0.0) - before
-    us = used * 1e6 / max(1, found["tokens"])
+    report = orjson.loads(callers.stdout.read())
+    cpu_s = (_cpu_s(pid) if pid else 0.0) - before
+    us_per_token = cpu_s * 1e6 / max(1, report["tokens"])
     return Row(
         relay,
         load.name,
-        found["tokens"],
-        found["errors"],
-        round(us, 1),
-        int(1e6 / us) if us else 0,
-        found["delay_p50_us"] / 1000,
-        found["delay_p95_us"] / 1000,
-        found["first_p95_us"] / 1000,
-        (top - idle) // load.streams,
+        report["tokens"],
+        report["errors"],
+        round(us_per_token, 1),
+        int(1e6 / us_per_token) if us_per_token else 0,
+        report["delay_p50_us"] / 1000,
+        report["delay_p95_us"] / 1000,
+        report["first_p95_us"] / 1000,
+        (peak_bytes - idle_bytes) // load.streams,
     )
 
 
@@ -151,11 +151,11 @@
     rounds = 10
     for _ in range(rounds):
         load = Load("requests", REQUESTS // rounds, 1, 0)
-        _call(address, load).communicate()
+        _start_callers(address, load).communicate()
     return (_cpu_s(pid) - before) * 1e6 / REQUESTS
 
 
-def _print_head() -> None:
+def _print_header() -> None:
     print(
         f"{'load':26} {'relay':7} {'tokens':>7} {'err':>4} {'us/token':>8} "
         f"{'tokens/s':>9} {'p50 ms':>7} {'p95 ms':>7} {'first95':>8} "
@@ -173,7 +173,7 @@
     )
 
 
-def _summarise(rows: list[Row], request_us: float) -> None:
+def _print_summary(rows: list[Row], request_us: float) -> None:
     by_key = {(row.relay, row.load): row for row in rows}
     for load in LOADS:
         entry = by_key.get(("entry", load.name))
@@ -194,11 +194,11 @@
 
 def main() -> None:
     """Runs the loads and prints the table; fails if a stream was wrong."""
-    options = argparse.ArgumentParser(description="Relay bench")
-    options.add_argument("--quick", action="store_true", help="two loads only")
-    options.add_argument("--no-bare", action="store_true")
-    found = options.parse_args()
-    loads = LOADS[:3:2] if found.quick else LOADS
+    parser = argparse.ArgumentParser(description="Relay bench")
+    parser.add_argument("--quick", action="store_true", help="two loads only")
+    parser.add_argument("--no-bare", action="store_true")
+    options = parser.parse_args()
+    loads = LOADS[:3:2] if options.quick else LOADS
     rows = []
     with BenchFleet() as fleet:
         source = fleet.engines[0]
@@ -208,20 +208,20 @@
         wait_until(lambda: httpx.post(f"http://{bare}/x").text, "bare relay")
         entry, entry_pid = fleet.entries[0], fleet.pid("entry-0")
         relays = [("entry", entry_pid, entry)]
-        if not found.no_bare:
+        if not options.no_bare:
             relays.append(("bare", fleet.pid("bare"), bare))
         for _, pid, address in relays:
             _measure("", pid, address, Load("", *WARM_UP))
-        _print_head()
+        _print_header()
         for load in loads:
             targets: list[tuple[str, int | None, str]] = [*relays]
-            if load.gap_ms and not found.no_bare:
+            if load.gap_ms and not options.no_bare:
                 targets.insert(0, ("direct", None, source))
             for name, pid, address in targets:
                 rows.append(_measure(name, pid, address, load))
                 _print_row(rows[-1])
         request_us = _request_us(entry_pid, entry)
-    _summarise(rows, request_us)
+    _print_summary(rows, request_us)
     (ROOT / ".work" / "bench_relay.json").write_bytes(
         orjson.dumps(
             {
--- a/lab/bench_sim.py
+++ b/lab/bench_sim.py
@@ -352,7 +352,7 @@
             self._send_cache_events(engine)
 
     def _send_cache_events(self, engine: _Engine) -> None:
-        events = engine.model.cache.take_events()
+        events = engine.model.cache.pop_events()
         is_lost = self._rng.random() < CACHE_REPORT_LOSS_SHARE
         if not events:
             return
--- a/lab/capacity.py
+++ b/lab/capacity.py
@@ -7,11 +7,11 @@
 import argparse
 import sys
 
-from lab.capacity_model import HERE, Slopes, Target, load_slopes
-from lab.capacity_rows import PARTS
+from lab.capacity_model import LAB_DIR, Slopes, Target, load_slopes
+from lab.capacity_rows import ROW_FUNCTIONS
 
-PAGE = HERE.parent / "docs" / "CAPACITY.md"
-BEGIN, END = "<!-- tables -->\n", "<!-- end of tables -->\n"
+PAGE = LAB_DIR.parent / "docs" / "CAPACITY.md"
+TABLES_BEGIN, TABLES_END = "<!-- tables -->\n", "<!-- end of tables -->\n"
 
 
 def tables(target: Target, slopes: Slopes) -> str:
@@ -20,11 +20,11 @@
         "| role | cost | at the target | limit | fits | mechanism |",
         "|---|---|---|---|---|---|",
     ]
-    for part in PARTS:
-        for row in part(target, slopes):
+    for row_function in ROW_FUNCTIONS:
+        for row in row_function(target, slopes):
             fits = {True: "yes", False: "**no**", None: "-"}[row.fits]
             lines.append(
-                f"| {row.role} | {row.what} | {row.amount} | {row.limit or '-'}"
+                f"| {row.role} | {row.cost} | {row.amount} | {row.limit or '-'}"
                 f" | {fits} | {row.mechanism} |"
             )
     lines += [
@@ -41,9 +41,9 @@
 
 def render(page: str, target: Target, slopes: Slopes) -> str:
     """Returns the page with its tables replaced by computed ones."""
-    head, _, rest = page.partition(BEGIN)
-    _, _, tail = rest.partition(END)
-    return head + BEGIN + tables(target, slopes) + END + tail
+    head, _, rest = page.partition(TABLES_BEGIN)
+    _, _, tail = rest.partition(TABLES_END)
+    return head + TABLES_BEGIN + tables(target, slopes) + TABLES_END + tail
 
 
 def main() -> None:
@@ -51,10 +51,10 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--check", action="store_true")
     page = PAGE.read_text()
-    fresh = render(page, Target(), load_slopes())
+    updated = render(page, Target(), load_slopes())
     if parser.parse_args().check:
-        sys.exit(0 if fresh == page else "docs/CAPACITY.md is not up to date")
-    PAGE.write_text(fresh)
+        sys.exit(0 if updated == page else "docs/CAPACITY.md is not up to date")
+    PAGE.write_text(updated)
     sys.stdout.write(tables(Target(), load_slopes()))
 
 
--- a/lab/capacity_model.py
+++ b/lab/capacity_model.py
@@ -5,7 +5,7 @@
 import attrs
 import orjson
 
-HERE = pathlib.Path(__file__).parent
+LAB_DIR = pathlib.Path(__file__).parent
 DAY_S = 86_400
 
 
@@ -70,7 +70,7 @@
 
     Attributes:
         role: The program.
-        what: The kind of cost.
+        cost: The kind of cost.
         amount: The cost at the target size, with its unit.
         limit: The limit on the cost, or empty.
         fits: Whether the amount is within the limit; None without a limit.
@@ -78,7 +78,7 @@
     """
 
     role: str
-    what: str
+    cost: str
     amount: str
     limit: str
     fits: bool | None
@@ -102,5 +102,5 @@
 
 def load_slopes() -> Slopes:
     """Reads the slopes from lab/slopes.json."""
-    data = orjson.loads((HERE / "slopes.json").read_bytes())
+    data = orjson.loads((LAB_DIR / "slopes.json").read_bytes())
     return Slopes([Slope(**item) for item in data])
--- a/lab/capacity_rows.py
+++ b/lab/capacity_rows.py
@@ -8,7 +8,7 @@
 def config_rows(target: Target, slopes: Slopes) -> list[Row]:
     """Returns the cost of the configuration in every daemon."""
     changes_per_s = target.changes_per_day / DAY_S
-    core = changes_per_s * slopes["config_revise"] / 1000
+    core_share = changes_per_s * slopes["config_revise"] / 1000
     rate = changes_per_s * slopes["config_chunk"]
     memory = slopes["config_memory"]
     return [
@@ -23,9 +23,9 @@
         Row(
             "every daemon",
             "configuration: processor time of changes",
-            f"{core:.5%} of a core",
+            f"{core_share:.5%} of a core",
             f"{target.control_core:.0%}",
-            core <= target.control_core,
+            core_share <= target.control_core,
             "only the changed chunk is parsed",
         ),
         Row(
@@ -58,7 +58,7 @@
 METER_FLUSH_S = 30
 LOADS_PER_S = 4
 # Share of requests that run at most once; the requirements do not state one.
-ONCE_SHARE = 0.01
+AT_MOST_ONCE_SHARE = 0.01
 
 
 def entry_rows(target: Target, slopes: Slopes) -> list[Row]:
@@ -67,7 +67,7 @@
     tokens = target.tokens_per_s / target.daemons
     cores = tokens * slopes["relay_token"] / 1e6
     requests = target.requests_per_s / target.daemons
-    request_core = requests * slopes["relay_request"] / 1e6
+    request_core_share = requests * slopes["relay_request"] / 1e6
     memory = streams * slopes["relay_stream"]
     return [
         Row(
@@ -82,7 +82,7 @@
         Row(
             "entry",
             "requests: processor time",
-            f"{request_core:.0%} of a core for {requests:.0f} requests/s",
+            f"{request_core_share:.0%} of a core for {requests:.0f} requests/s",
             "",
             None,
             "one permit call, one stream",
@@ -101,7 +101,7 @@
 def broker_rows(target: Target, slopes: Slopes) -> list[Row]:
     """Returns the costs of a broker that owns one shard."""
     permits = target.requests_per_s / target.shards
-    cost = slopes["permit_decide"] + slopes["permit_call"] / 2
+    us_per_permit = slopes["permit_decide"] + slopes["permit_call"] / 2
     streams = target.open_streams / target.shards
     memory = streams * slopes["broker_stream"]
     reads = target.engines / target.shards * LOADS_PER_S
@@ -109,9 +109,10 @@
         Row(
             "broker",
             "permits: processor time",
-            f"{permits * cost / 1e6:.0%} of a core for {permits:.0f} permits/s",
+            f"{permits * us_per_permit / 1e6:.0%} of a core for "
+            f"{permits:.0f} permits/s",
             "1 core",
-            permits * cost / 1e6 <= 1,
+            permits * us_per_permit / 1e6 <= 1,
             f"{target.shards} shards, owners by rendezvous hashing",
         ),
         Row(
@@ -154,26 +155,32 @@
     """Returns the control traffic of an entry and of the owner of a shard."""
     digest = slopes["digest_bytes"] + 2 * FRAME_BYTES
     grown = target.tokens_per_s / target.shards / GROWTH_TOKENS
-    shared = {
+    common_parts = {
         "heartbeats and news of members": slopes["gossip_bytes"],
         "configuration": (
             target.changes_per_day / DAY_S * slopes["config_chunk"]
         ),
     }
-    told = target.shards / REPORT_PERIOD_S
-    heard = target.daemons / REPORT_PERIOD_S
-    entry = shared | {"digests sent": told * digest}
-    broker = shared | {
-        "digests heard": heard * digest,
+    digests_sent_per_s = target.shards / REPORT_PERIOD_S
+    digests_received_per_s = target.daemons / REPORT_PERIOD_S
+    entry = common_parts | {"digests sent": digests_sent_per_s * digest}
+    broker = common_parts | {
+        "digests heard": digests_received_per_s * digest,
         "growth of streams heard": grown * slopes["growth_bytes"],
     }
     return [
-        *_traffic("entry", entry, told, target, slopes),
-        *_traffic("broker, owner of a shard", broker, heard, target, slopes),
+        *_role_traffic_rows("entry", entry, digests_sent_per_s, target, slopes),
+        *_role_traffic_rows(
+            "broker, owner of a shard",
+            broker,
+            digests_received_per_s,
+            target,
+            slopes,
+        ),
     ]
 
 
-def _traffic(
+def _role_traffic_rows(
     role: str,
     parts: dict[str, float],
     digests_per_s: float,
@@ -185,17 +192,19 @@
         Row(role, f"control: {name}", f"{rate:,.0f} B/s", "", None, "-")
         for name, rate in parts.items()
     ]
-    total = sum(parts.values())
-    core = digests_per_s * slopes["digest_call"] / 2 / 1e6
-    core += slopes["gossip_core"] / 100
-    core += target.changes_per_day / DAY_S * slopes["config_revise"] / 1000
+    bytes_per_s = sum(parts.values())
+    core_share = digests_per_s * slopes["digest_call"] / 2 / 1e6
+    core_share += slopes["gossip_core"] / 100
+    core_share += (
+        target.changes_per_day / DAY_S * slopes["config_revise"] / 1000
+    )
     rows.append(
         Row(
             role,
             "control: bytes, sum",
-            f"{total:,.0f} B/s",
+            f"{bytes_per_s:,.0f} B/s",
             f"{target.control_bytes_per_s:,} B/s",
-            total <= target.control_bytes_per_s,
+            bytes_per_s <= target.control_bytes_per_s,
             "heartbeats to a fixed number of peers; digests whose period "
             "grows with the number of entries",
         )
@@ -204,9 +213,9 @@
         Row(
             role,
             "control: processor time, sum",
-            f"{core:.2%} of a core",
+            f"{core_share:.2%} of a core",
             f"{target.control_core:.0%}",
-            core <= target.control_core,
+            core_share <= target.control_core,
             "the same",
         )
     )
@@ -218,7 +227,7 @@
     members = target.daemons * PROGRAMS_PER_VM
     renewals = members * RENEWALS_PER_LEASE / (MEMBER_LEASE_MS / 1000)
     changes = target.changes_per_day / DAY_S
-    claims = target.requests_per_s * ONCE_SHARE * slopes["claim_writes"]
+    claims = target.requests_per_s * AT_MOST_ONCE_SHARE * slopes["claim_writes"]
     meters = target.daemons / METER_FLUSH_S
     events = target.vm_failures_per_day + target.vm_replacements_per_day
     replaced = events * PROGRAMS_PER_VM / DAY_S
@@ -237,8 +246,8 @@
         Row(
             "store",
             "writes of claims",
-            f"{claims:.0f} writes/s if {ONCE_SHARE:.0%} of requests run at "
-            "most once",
+            f"{claims:.0f} writes/s if {AT_MOST_ONCE_SHARE:.0%} of requests "
+            "run at most once",
             "",
             None,
             "pages with one usual writer, many claims in a write",
@@ -274,18 +283,20 @@
 def failure_rows(target: Target, slopes: Slopes) -> list[Row]:
     """Returns the costs of failures and replacements."""
     streams = target.open_streams / target.daemons
-    moved = target.shards / target.daemons
-    rebuilt = target.open_streams / target.shards * slopes["report_bytes"]
-    rack = target.daemons / target.data_centers / 4
-    third = target.tokens_per_s / (target.data_centers - 1)
-    before = target.tokens_per_s / target.data_centers
+    moved_pools = target.shards / target.daemons
+    full_report_bytes = (
+        target.open_streams / target.shards * slopes["report_bytes"]
+    )
+    vms_per_rack = target.daemons / target.data_centers / 4
+    rate_after = target.tokens_per_s / (target.data_centers - 1)
+    rate_before = target.tokens_per_s / target.data_centers
     events = target.vm_failures_per_day + target.vm_replacements_per_day
     return [
         Row(
             "failures",
             "a VM fails",
             f"{streams:,.0f} streams are resumed by their callers; "
-            f"{moved:.2f} pools change owners",
+            f"{moved_pools:.2f} pools change owners",
             "",
             None,
             "resume by event id; the new owner hears every entry",
@@ -293,7 +304,7 @@
         Row(
             "failures",
             "a pool's owner changes",
-            f"{rebuilt / 1e6:.1f} MB of full reports, once",
+            f"{full_report_bytes / 1e6:.1f} MB of full reports, once",
             "",
             None,
             "announcements at the change of the owner",
@@ -310,7 +321,8 @@
         Row(
             "failures",
             "a rack of a quarter of a data centre",
-            f"{rack:.0f} VMs at once, {rack * streams:,.0f} streams",
+            f"{vms_per_rack:.0f} VMs at once, "
+            f"{vms_per_rack * streams:,.0f} streams",
             "",
             None,
             "the same as VMs; not measured together",
@@ -318,7 +330,7 @@
         Row(
             "failures",
             "a data centre",
-            f"the others carry {third / before - 1:.1%} more",
+            f"the others carry {rate_after / rate_before - 1:.1%} more",
             "",
             None,
             "entries ask pools of other data centres; room must be kept free",
@@ -335,7 +347,7 @@
     ]
 
 
-PARTS = [
+ROW_FUNCTIONS = [
     entry_rows,
     broker_rows,
     config_rows,
--- a/lab/catalogue.py
+++ b/lab/catalogue.py
@@ -168,7 +168,7 @@
     return "\n".join(lines) + "\n"
 
 
-def _meanings(kind: type) -> dict[str, str]:
+def _attribute_docs(kind: type) -> dict[str, str]:
     """Parses the `Attributes:` section of a class doc comment."""
     found: dict[str, str] = {}
     name = ""
@@ -185,25 +185,29 @@
 def _settings_page() -> str:
     parts = ["# Settings\n", _NOTE, _SETTINGS_TEXT]
     for title, kind in _PROGRAMS.items():
-        shared = set() if kind is Settings else set(_names(Settings))
-        meanings = _meanings(kind)
+        common_names = (
+            set() if kind is Settings else set(_field_names(Settings))
+        )
+        meanings = _attribute_docs(kind)
         rows = []
-        for name in _names(kind):
-            known = settingtypes.info(name.replace("_", "-"))
-            if name in shared or known is None:
+        for name in _field_names(kind):
+            setting = settingtypes.info(name.replace("_", "-"))
+            if name in common_names or setting is None:
                 continue
-            default = "required" if known.is_required else f"`{known.default}`"
-            if known.default == "":
+            default = (
+                "required" if setting.is_required else f"`{setting.default}`"
+            )
+            if setting.default == "":
                 default = "empty"
-            if known.secret:
+            if setting.secret:
                 default += " (secret)"
             rows.append(
                 [
-                    f"`--{known.name}`",
-                    f"`{known.variable}`",
+                    f"`--{setting.name}`",
+                    f"`{setting.variable}`",
                     default,
-                    known.allowed,
-                    meanings.get(name, known.help),
+                    setting.allowed,
+                    meanings.get(name, setting.help),
                 ]
             )
         names = ["flag", "variable", "default", "allowed", "meaning"]
@@ -218,7 +222,7 @@
     return "\n".join(parts)
 
 
-def _names(kind: type[Settings]) -> list[str]:
+def _field_names(kind: type[Settings]) -> list[str]:
     return [field.name for field in attrs.fields(kind)]
 
 
@@ -283,10 +287,10 @@
     parts = ["# Records\n", _NOTE, _RECORD_TEXT, _SCHEMA_1_TEXT]
     parts.append("## Schema 2\n")
     for kind, spec in specs.KINDS.items():
-        parts += [f"### {kind}\n", f"{_summary(spec)}\n", _fields(spec)]
+        parts += [f"### {kind}\n", f"{_summary(spec)}\n", _field_table(spec)]
     for spec in (specs.EndpointSpec, specs.KeyHash, specs.Room):
         parts += [f"### {spec.__name__}\n", f"{_summary(spec)}\n"]
-        parts.append(_fields(spec))
+        parts.append(_field_table(spec))
     return "\n".join(parts)
 
 
@@ -294,8 +298,8 @@
     return (inspect.getdoc(kind) or "").splitlines()[0]
 
 
-def _fields(kind: Any) -> str:
-    meanings = _meanings(kind)
+def _field_table(kind: Any) -> str:
+    meanings = _attribute_docs(kind)
     rows = [
         [
             f"`{field.name}`",
@@ -313,8 +317,12 @@
     if value is attrs.NOTHING:
         return "required"
     if isinstance(value, attrs.Factory):  # type: ignore[arg-type]
-        made = value.factory()
-        return f"`{made}`" if isinstance(made, list) else "its own defaults"
+        default_value = value.factory()
+        return (
+            f"`{default_value}`"
+            if isinstance(default_value, list)
+            else "its own defaults"
+        )
     return "empty" if value == "" else f"`{str(value).lower()}`"
 
 
--- a/lab/control_traffic.py
+++ b/lab/control_traffic.py
@@ -34,16 +34,16 @@
 
 
 @attrs.define
-class Count:
+class TrafficCounter:
     """Bytes and messages sent and received by all members."""
 
-    octets: int = 0
+    byte_count: int = 0
     messages: int = 0
 
     def add(self, message: Any) -> None:
         """Counts a message once for its sender and once for its receiver."""
         size = len(codec.encode(message)) + HEADER_BYTES
-        self.octets += 2 * (size + len(type(message).__name__))
+        self.byte_count += 2 * (size + len(type(message).__name__))
         self.messages += 2
 
 
@@ -55,7 +55,7 @@
         count: The counters to add to.
     """
 
-    def __init__(self, incarnation: int, count: Count) -> None:
+    def __init__(self, incarnation: int, count: TrafficCounter) -> None:
         super().__init__(incarnation)
         self._count = count
 
@@ -64,23 +64,27 @@
     ) -> T:
         """Calls a peer and returns its reply."""
         self._count.add(message)
-        found = await super().call(address, message, answer, timeout_ms)
-        self._count.add(found)
-        return found
+        reply = await super().call(address, message, answer, timeout_ms)
+        self._count.add(reply)
+        return reply
 
 
 def _free_addresses(count: int) -> list[str]:
     probes = [socket.socket() for _ in range(count)]
     for probe in probes:
         probe.bind((LOOPBACK, 0))
-    found = [f"{LOOPBACK}:{probe.getsockname()[1]}" for probe in probes]
+    addresses = [f"{LOOPBACK}:{probe.getsockname()[1]}" for probe in probes]
     for probe in probes:
         probe.close()
-    return found
+    return addresses
 
 
 async def _run_member(
-    name: str, address: str, number: int, store: MemoryStore, count: Count
+    name: str,
+    address: str,
+    number: int,
+    store: MemoryStore,
+    count: TrafficCounter,
 ) -> None:
     clock = SystemClock()
     rng = random.Random(number)
@@ -101,8 +105,8 @@
     gossip = Gossip(
         links, server, members, clock, rng, [], registration.holds_lease
     )
-    sharing = Distribution(links, server, members, rng)
-    follower = Follower(store, clock, members, sharing)
+    distribution = Distribution(links, server, members, rng)
+    follower = Follower(store, clock, members, distribution)
     gossip.on_newer(follower.notice)
     leaving = LeavingVms(gossip, clock)
     async with anyio.create_task_group() as tasks:
@@ -114,7 +118,7 @@
 
 
 @attrs.frozen
-class Figures:
+class MemberCost:
     """The traffic and processor time of a member.
 
     Attributes:
@@ -132,9 +136,9 @@
     store_calls_per_s: float
 
 
-async def measure(size: int, settle_s: float, seconds: float) -> Figures:
+async def measure(size: int, settle_s: float, seconds: float) -> MemberCost:
     """Returns the traffic and processor time per member of `size` members."""
-    count = Count()
+    count = TrafficCounter()
     store = MemoryStore(SystemClock())
     async with anyio.create_task_group() as tasks:
         for i, address in enumerate(_free_addresses(size)):
@@ -143,16 +147,16 @@
             )
         await anyio.sleep(settle_s)
         before, calls = attrs.evolve(count), store.calls
-        cpu, began = time.process_time(), time.monotonic()
+        cpu_before_s, began = time.process_time(), time.monotonic()
         await anyio.sleep(seconds)
-        took = time.monotonic() - began
-        spent = time.process_time() - cpu
-        figures = Figures(
+        elapsed_s = time.monotonic() - began
+        cpu_s = time.process_time() - cpu_before_s
+        figures = MemberCost(
             size,
-            round((count.octets - before.octets) / took / size),
-            round((count.messages - before.messages) / took / size, 1),
-            round(100 * spent / took / size, 2),
-            round((store.calls - calls) / took, 1),
+            round((count.byte_count - before.byte_count) / elapsed_s / size),
+            round((count.messages - before.messages) / elapsed_s / size, 1),
+            round(100 * cpu_s / elapsed_s / size, 2),
+            round((store.calls - calls) / elapsed_s, 1),
         )
         tasks.cancel_scope.cancel()
     return figures
@@ -171,13 +175,13 @@
     )
     print("|---|---|---|---|---|")
     for size in options.sizes:
-        found = anyio.run(
+        cost = anyio.run(
             measure,
             size,
             options.settle,
             options.seconds,
         )
-        cells = [str(cell) for cell in attrs.astuple(found)]
+        cells = [str(cell) for cell in attrs.astuple(cost)]
         print("| " + " | ".join(cells) + " |", flush=True)
 
 
--- a/lab/demo.py
+++ b/lab/demo.py
@@ -23,7 +23,7 @@
 
 VMS = 2
 TOKENS = 60
-KILL_AFTER = 20
+KILL_AFTER_TOKENS = 20
 ENGINE_SPEED = 0.5
 TRACE_ID = "5ca1ab1e" * 4
 TIMEOUT_S = 20.0
@@ -156,7 +156,7 @@
 
 
 @attrs.define
-class Reading:
+class StreamReader:
     """The state of a caller that reads a stream.
 
     Attributes:
@@ -171,7 +171,7 @@
     texts: list[str] = attrs.field(factory=list)
     done: bool = False
 
-    def take(self, line: str) -> None:
+    def parse_line(self, line: str) -> None:
         """Parses one line of an event stream and prints the token's text."""
         if line.startswith("id: "):
             self.last_id = line.removeprefix("id: ")
@@ -186,12 +186,12 @@
             sys.stdout.flush()
 
 
-def _say(text: str) -> None:
+def _print_heading(text: str) -> None:
     sys.stdout.write(f"\n== {text}\n")
     sys.stdout.flush()
 
 
-def _stream_through_a_loss(
+def _resume_after_entry_loss(
     deployment: Deployment, processes: Processes
 ) -> None:
     """Kills an entry during a stream and resumes at the other entry.
@@ -199,31 +199,37 @@
     Raises:
         AssertionError: A token was lost, repeated or from another generation.
     """
-    example, reading = deployment.example, Reading()
+    example, reader = deployment.example, StreamReader()
     body = {
         "model": example.model,
         "prompt": f"len={TOKENS}",
         "stream": True,
     }
-    _say(f"{example.name}: a stream of {TOKENS} tokens by entry 0")
+    _print_heading(f"{example.name}: a stream of {TOKENS} tokens by entry 0")
     try:
-        _read(deployment.entries[0], example.headers, body, reading, processes)
+        _read_stream(
+            deployment.entries[0], example.headers, body, reader, processes
+        )
     except httpx.HTTPError:
-        _say(f"entry 0 is killed; entry 1 resumes after {reading.last_id}")
-    headers = example.headers | {"last-event-id": reading.last_id}
-    _read(deployment.entries[1], headers, body, reading, None)
-    whole = reading.indexes == list(range(TOKENS)) and reading.done
-    generations = {text.partition(".")[0] for text in reading.texts}
-    if not whole or len(generations) != 1:
-        raise AssertionError(f"tokens {reading.indexes} of {generations}")
-    _say(f"{TOKENS} tokens came, each once and in order, of one generation")
-
-
-def _read(
+        _print_heading(
+            f"entry 0 is killed; entry 1 resumes after {reader.last_id}"
+        )
+    headers = example.headers | {"last-event-id": reader.last_id}
+    _read_stream(deployment.entries[1], headers, body, reader, None)
+    is_complete = reader.indexes == list(range(TOKENS)) and reader.done
+    generations = {text.partition(".")[0] for text in reader.texts}
+    if not is_complete or len(generations) != 1:
+        raise AssertionError(f"tokens {reader.indexes} of {generations}")
+    _print_heading(
+        f"{TOKENS} tokens came, each once and in order, of one generation"
+    )
+
+
+def _read_stream(
     address: str,
     headers: dict[str, str],
     body: dict[str, object],
-    reading: Reading,
+    reader: StreamReader,
     processes: Processes | None,
 ) -> None:
     """Reads a stream; kills entry 0 after some tokens if given `processes`."""
@@ -234,8 +240,8 @@
         if not response.is_success:
             raise AssertionError(response.read().decode())
         for line in response.iter_lines():
-            reading.take(line)
-            if processes is not None and len(reading.texts) == KILL_AFTER:
+            reader.parse_line(line)
+            if processes is not None and len(reader.texts) == KILL_AFTER_TOKENS:
                 processes.kill(f"{EXAMPLES[0].name}-entry-0")
                 processes = None
 
@@ -248,10 +254,10 @@
         "traceparent": f"00-{TRACE_ID}-{'ab' * 8}-01",
     }
     url = f"http://{deployment.entries[1]}{example.plain}"
-    _say(f"{example.name}: POST {example.plain}")
-    answer = httpx.post(url, json={}, headers=headers, timeout=TIMEOUT_S)
-    sys.stdout.write(f"{answer.status_code} {answer.text}\n")
-    if not answer.is_success:
+    _print_heading(f"{example.name}: POST {example.plain}")
+    response = httpx.post(url, json={}, headers=headers, timeout=TIMEOUT_S)
+    sys.stdout.write(f"{response.status_code} {response.text}\n")
+    if not response.is_success:
         raise AssertionError("the plain call failed")
 
 
@@ -266,7 +272,7 @@
 def _show_trace(logs: pathlib.Path) -> None:
     """Prints the spans of the plain call, read from the logs."""
     spans = wait_until(lambda: _find_spans(logs), "the trace")
-    _say(f"the trace {TRACE_ID}")
+    _print_heading(f"the trace {TRACE_ID}")
     ids = {span["span"] for span in spans}
     roots = [span for span in spans if span["parent"] not in ids]
     for root in roots:
@@ -307,7 +313,7 @@
         _run()
     except KeyboardInterrupt as error:
         sys.exit(f"interrupted: {error}")
-    _say("done; every process has been ended")
+    _print_heading("done; every process has been ended")
 
 
 def _run() -> None:
@@ -318,11 +324,11 @@
         directory = pathlib.Path(name)
         deployments = [Deployment(e, processes, directory) for e in EXAMPLES]
         for deployment in deployments:
-            _say(f"starting {deployment.example.name}: {VMS} VMs")
+            _print_heading(f"starting {deployment.example.name}: {VMS} VMs")
             deployment.start()
         for deployment in deployments:
             deployment.wait_ready()
-        _stream_through_a_loss(deployments[0], processes)
+        _resume_after_entry_loss(deployments[0], processes)
         _show_plain_call(deployments[1])
         _show_trace(directory)
 
--- a/lab/enginemodel.py
+++ b/lab/enginemodel.py
@@ -26,9 +26,11 @@
         capacity_tokens: The size of the KV cache in tokens.
         max_batch: The maximum number of sequences in the batch.
         base_ms: The duration of an empty step.
-        sequence_ms: Added to a step for each sequence in the batch.
-        resident_ms: Added to a step for each 1,000 resident tokens.
-        prefill_ms: Added to a step for each 1,000 tokens of prefill.
+        ms_per_sequence: Added to a step for each sequence in the batch.
+        ms_per_1000_resident_tokens: Added to a step for each 1,000 tokens in
+            the KV cache.
+        ms_per_1000_prefill_tokens: Added to a step for each 1,000 tokens of
+            prefill.
         cached_blocks: The number of prompt blocks of `BLOCK_TOKENS` tokens
             that the prefix cache holds.
     """
@@ -36,9 +38,9 @@
     capacity_tokens: int = 60_000
     max_batch: int = 64
     base_ms: float = 12.0
-    sequence_ms: float = 0.25
-    resident_ms: float = 0.2
-    prefill_ms: float = 40.0
+    ms_per_sequence: float = 0.25
+    ms_per_1000_resident_tokens: float = 0.2
+    ms_per_1000_prefill_tokens: float = 40.0
     cached_blocks: int = 64
 
 
@@ -61,16 +63,18 @@
     priority: int = 0
     order: int = 0
     prefix: list[int] = attrs.field(factory=list)
-    _kept_tokens: int = 0
-    _joined_step: int = 0
+    _tokens_before_join: int = 0
+    _step_at_join: int = 0
     _engine: "EngineModel | None" = None
 
     @property
     def done_tokens(self) -> int:
         """The number of tokens generated so far; preemptions keep it."""
         if self._engine is None:
-            return self._kept_tokens
-        return self._kept_tokens + self._engine.steps - self._joined_step
+            return self._tokens_before_join
+        return (
+            self._tokens_before_join + self._engine.steps - self._step_at_join
+        )
 
     @property
     def resident_tokens(self) -> int:
@@ -83,22 +87,24 @@
         return self._engine is not None
 
     @property
-    def rank(self) -> tuple[int, int]:
+    def queue_key(self) -> tuple[int, int]:
         """The sort key of the queue; lower runs first."""
         return (self.priority, self.order)
 
     @property
     def last_step(self) -> int:
         """The engine step of its last token, if it is not preempted."""
-        return self._joined_step + self.output_tokens - self._kept_tokens
+        return (
+            self._step_at_join + self.output_tokens - self._tokens_before_join
+        )
 
-    def join(self, engine: "EngineModel") -> None:
+    def join_batch(self, engine: "EngineModel") -> None:
         """Marks the sequence as running from the next step of `engine` on."""
-        self._engine, self._joined_step = engine, engine.steps
+        self._engine, self._step_at_join = engine, engine.steps
 
-    def leave(self) -> None:
+    def leave_batch(self) -> None:
         """Marks the sequence as not running."""
-        self._kept_tokens, self._engine = self.done_tokens, None
+        self._tokens_before_join, self._engine = self.done_tokens, None
 
 
 @attrs.frozen
@@ -148,29 +154,29 @@
         self._events: list[CacheEvent] = []
         self._number = 0
 
-    def read(self, prefix: list[int]) -> int:
+    def lookup(self, prefix: list[int]) -> int:
         """Looks up and stores a prompt's blocks; returns the cached tokens."""
-        hits = 0
+        cached_blocks_found = 0
         for block in prefix:
             if block not in self._blocks:
                 break
-            hits += 1
+            cached_blocks_found += 1
         for block in prefix:
             if block not in self._blocks:
-                self._note(block, True)
+                self._record_event(block, True)
             self._blocks[block] = None
             self._blocks.move_to_end(block)
         while len(self._blocks) > self._capacity:
             dropped, _ = self._blocks.popitem(last=False)
-            self._note(dropped, False)
-        return hits * BLOCK_TOKENS
+            self._record_event(dropped, False)
+        return cached_blocks_found * BLOCK_TOKENS
 
-    def take_events(self) -> list[CacheEvent]:
+    def pop_events(self) -> list[CacheEvent]:
         """Returns the events since the last call and clears them."""
         events, self._events = self._events, []
         return events
 
-    def _note(self, block: int, is_stored: bool) -> None:
+    def _record_event(self, block: int, is_stored: bool) -> None:
         self._number += 1
         self._events.append(CacheEvent(self._number, block, is_stored))
 
@@ -190,7 +196,7 @@
         self.last_step_ms = parameters.base_ms
         self.cache = PrefixCache(parameters.cached_blocks)
         self._running: dict[str, Sequence] = {}
-        self._ends: list[tuple[int, int, Sequence]] = []
+        self._planned_ends: list[tuple[int, int, Sequence]] = []
         self._waiting: list[tuple[tuple[int, int], Sequence]] = []
         self._arrivals = 0
 
@@ -214,7 +220,7 @@
         """Adds a sequence to the queue."""
         self._arrivals += 1
         sequence.order = self._arrivals
-        heapq.heappush(self._waiting, (sequence.rank, sequence))
+        heapq.heappush(self._waiting, (sequence.queue_key, sequence))
 
     def cancel(self, name: str) -> None:
         """Removes a sequence from the batch or the queue."""
@@ -229,20 +235,20 @@
         for sequence in self.sequences:
             if sequence.name == name:
                 sequence.priority = priority
-        self._waiting = [(s.rank, s) for _, s in self._waiting]
+        self._waiting = [(s.queue_key, s) for _, s in self._waiting]
         heapq.heapify(self._waiting)
 
     def step(self) -> Step:
         """Runs one step; an empty step takes `base_ms`."""
-        preempted = self._make_room()
+        preempted = self._preempt_until_fits()
         joined: list[Sequence] = []
-        prefill = self._admit(joined)
+        prefill_tokens = self._fill_batch(joined)
         parameters = self.parameters
         self.last_step_ms = (
             parameters.base_ms
-            + parameters.sequence_ms * len(self._running)
-            + parameters.resident_ms * self.used_tokens / 1000
-            + parameters.prefill_ms * prefill / 1000
+            + parameters.ms_per_sequence * len(self._running)
+            + parameters.ms_per_1000_resident_tokens * self.used_tokens / 1000
+            + parameters.ms_per_1000_prefill_tokens * prefill_tokens / 1000
         )
         advanced = list(self._running.values())
         self.steps += 1
@@ -252,8 +258,8 @@
 
     def _finish(self) -> list[Sequence]:
         finished = []
-        while self._ends and self._ends[0][0] <= self.steps:
-            end, _, sequence = heapq.heappop(self._ends)
+        while self._planned_ends and self._planned_ends[0][0] <= self.steps:
+            end, _, sequence = heapq.heappop(self._planned_ends)
             is_running = self._running.get(sequence.name) is sequence
             # Skips an outdated item: after a preemption the sequence ends at a
             # later step.
@@ -264,38 +270,42 @@
 
     def _remove(self, sequence: Sequence) -> None:
         self.used_tokens -= sequence.resident_tokens
-        sequence.leave()
+        sequence.leave_batch()
         del self._running[sequence.name]
 
-    def _make_room(self) -> list[Sequence]:
+    def _preempt_until_fits(self) -> list[Sequence]:
         """Preempts sequences until the batch can grow by one token each."""
         preempted = []
         while len(self._running) > 1 and not self._fits(0):
-            sequence = max(self._running.values(), key=lambda s: s.rank)
+            sequence = max(self._running.values(), key=lambda s: s.queue_key)
             self._remove(sequence)
             preempted.append(sequence)
-            heapq.heappush(self._waiting, (sequence.rank, sequence))
+            heapq.heappush(self._waiting, (sequence.queue_key, sequence))
         self.preemptions += len(preempted)
         return preempted
 
-    def _admit(self, joined: list[Sequence]) -> int:
+    def _fill_batch(self, joined: list[Sequence]) -> int:
         """Moves waiting sequences that fit to the batch.
 
         Returns the number of prefill tokens that were not cached.
         """
-        prefill = 0
+        prefill_tokens = 0
         while self._waiting and len(self._running) < self.parameters.max_batch:
             head = self._waiting[0][1]
             if self._running and not self._fits(head.resident_tokens + 1):
                 break
             heapq.heappop(self._waiting)
-            prefill += head.resident_tokens - self.cache.read(head.prefix)
+            prefill_tokens += head.resident_tokens - self.cache.lookup(
+                head.prefix
+            )
             self.used_tokens += head.resident_tokens
-            head.join(self)
+            head.join_batch(self)
             self._running[head.name] = head
             joined.append(head)
-            heapq.heappush(self._ends, (head.last_step, head.order, head))
-        return prefill
+            heapq.heappush(
+                self._planned_ends, (head.last_step, head.order, head)
+            )
+        return prefill_tokens
 
     def _fits(self, more_tokens: int) -> bool:
         needed = self.used_tokens + len(self._running) + more_tokens
--- a/lab/memberset.py
+++ b/lab/memberset.py
@@ -65,8 +65,10 @@
         if watches:
             self.follower = Follower(store, clock)
         else:
-            sharing = Distribution(links, links, self.members, rng)
-            self.follower = Follower(store, clock, self.members, sharing, peers)
+            distribution = Distribution(links, links, self.members, rng)
+            self.follower = Follower(
+                store, clock, self.members, distribution, peers
+            )
             self.gossip.on_newer(self.follower.notice)
             self.follower.on_change(
                 lambda snapshot: self.gossip.set_generation(snapshot.generation)
--- a/lab/processes.py
+++ b/lab/processes.py
@@ -24,7 +24,7 @@
 
 # Ports that were assigned. A port stays free until its program has started, so
 # a probe alone could assign it to two programs.
-_given: set[int] = set()
+_assigned_ports: set[int] = set()
 
 
 def free_address() -> str:
@@ -41,8 +41,8 @@
     while True:
         first = random.randrange(LOWEST_PORT, FIRST_EPHEMERAL_PORT - count)
         ports = range(first, first + count)
-        if _given.isdisjoint(ports) and all(map(_is_free, ports)):
-            _given.update(ports)
+        if _assigned_ports.isdisjoint(ports) and all(map(_is_free, ports)):
+            _assigned_ports.update(ports)
             return first
 
 
--- a/lab/spread.py
+++ b/lab/spread.py
@@ -21,16 +21,16 @@
 DATA_CENTERS = 3
 # From this number of members on there are three times as many data centres, as
 # in three regions.
-LARGE = 128
+THREE_REGIONS_FROM = 128
 # Updates about started members are gossiped for a minute.
 SETTLE_MS = 70_000
-STEP_MS = 1
+CLOCK_STEP_MS = 1
 LIMIT_MS = 60_000
 IDLE_MS = 10_000
 
 
 @attrs.frozen
-class Figures:
+class ChangeCost:
     """The cost of one change.
 
     Attributes:
@@ -64,46 +64,46 @@
     await store.swap(keys.ACCEPTED_HEAD, revision, head.to_bytes())
 
 
-async def measure(members: int, watches: bool) -> Figures:
+async def measure(members: int, watches: bool) -> ChangeCost:
     """Returns the cost of one change with `members` members."""
-    centers = DATA_CENTERS * (3 if members >= LARGE else 1)
+    data_centers = DATA_CENTERS * (3 if members >= THREE_REGIONS_FROM else 1)
     async with anyio.create_task_group() as tasks:
         fleet = MemberSet(tasks, watches)
         await _publish(fleet.store, 1)
         for i in range(members):
-            fleet.add(f"m-{i}", data_center=f"dc-{i % centers}")
+            fleet.add(f"m-{i}", data_center=f"dc-{i % data_centers}")
         await fleet.clock.advance(SETTLE_MS)
         assert fleet.generations() == [1] * members
         before = fleet.store.calls
-        quiet = _octets(fleet)
+        bytes_before_idle = _link_bytes(fleet)
         await fleet.clock.advance(IDLE_MS)
         idle = (fleet.store.calls - before) / (IDLE_MS / 1000)
-        octets = _octets(fleet)
-        idle_octets = (octets - quiet) * 1000 // IDLE_MS // members
+        octets = _link_bytes(fleet)
+        idle_octets = (octets - bytes_before_idle) * 1000 // IDLE_MS // members
         calls = fleet.store.calls
         await _publish(fleet.store, 2)
-        own = fleet.store.calls - calls
-        half = took = 0
-        while min(fleet.generations()) < 2 and took < LIMIT_MS:
-            await fleet.clock.advance(STEP_MS)
-            took += STEP_MS
+        publisher_calls = fleet.store.calls - calls
+        half_ms = elapsed_ms = 0
+        while min(fleet.generations()) < 2 and elapsed_ms < LIMIT_MS:
+            await fleet.clock.advance(CLOCK_STEP_MS)
+            elapsed_ms += CLOCK_STEP_MS
             done = sum(g == 2 for g in fleet.generations())
-            half = half or (took if done * 2 >= members else 0)
-        figures = Figures(
+            half_ms = half_ms or (elapsed_ms if done * 2 >= members else 0)
+        figures = ChangeCost(
             members,
             round(idle, 1),
-            fleet.store.calls - calls - own,
+            fleet.store.calls - calls - publisher_calls,
             sum(node.follower.is_seed for node in fleet.nodes.values()),
-            half,
-            took,
-            (_octets(fleet) - octets) // members,
+            half_ms,
+            elapsed_ms,
+            (_link_bytes(fleet) - octets) // members,
             idle_octets,
         )
         tasks.cancel_scope.cancel()
     return figures
 
 
-def _octets(fleet: MemberSet) -> int:
+def _link_bytes(fleet: MemberSet) -> int:
     return sum(node.links.traffic.octets for node in fleet.nodes.values())
 
 
--- a/lab/stream_client.py
+++ b/lab/stream_client.py
@@ -18,7 +18,7 @@
 
 from rhubarbwinch.http.httpbody import ChunkedBody
 
-_ID = re.compile(rb'id: [^\n]*:(\d+)\ndata: [^\n]*"t":(\d+)}\n\n')
+_EVENT = re.compile(rb'id: [^\n]*:(\d+)\ndata: [^\n]*"t":(\d+)}\n\n')
 MAX_US = 60_000_000
 
 
@@ -46,18 +46,18 @@
         self._request = request
         self._length = length
         self._results = results
-        self._next = 0
-        self._rest = b""
+        self._next_index = 0
+        self._unparsed = b""
         self._received = b""
         self._body: ChunkedBody | None = None
-        self._began = 0
+        self._sent_ns = 0
         self.done: asyncio.Future[None] = (
             asyncio.get_running_loop().create_future()
         )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Sends the request."""
-        self._began = time.monotonic_ns()
+        self._sent_ns = time.monotonic_ns()
         self._transport = cast(asyncio.Transport, transport)
         self._transport.write(self._request)
 
@@ -85,27 +85,27 @@
                 return
             self._body = ChunkedBody()
         self._results.reads += 1
-        self._rest += self._body.feed(data)
+        self._unparsed += self._body.feed(data)
         self._read_events(now)
 
     def _read_events(self, now: int) -> None:
         results = self._results
-        if b"event: error" in self._rest:
-            self._fail(self._rest)
+        if b"event: error" in self._unparsed:
+            self._fail(self._unparsed)
             return
         end = 0
-        for match in _ID.finditer(self._rest):
-            if int(match[1]) != self._next:
+        for match in _EVENT.finditer(self._unparsed):
+            if int(match[1]) != self._next_index:
                 results.errors += 1
-            if self._next == 0:
-                results.first_us.record_value((now - self._began) // 1000)
-            self._next += 1
+            if self._next_index == 0:
+                results.first_us.record_value((now - self._sent_ns) // 1000)
+            self._next_index += 1
             results.tokens += 1
             results.delay_us.record_value((now - int(match[2])) // 1000 + 1)
             end = match.end()
-        self._rest = self._rest[end:]
-        if self._rest == b"data: [DONE]\n\n" and not self.done.done():
-            results.errors += self._next != self._length
+        self._unparsed = self._unparsed[end:]
+        if self._unparsed == b"data: [DONE]\n\n" and not self.done.done():
+            results.errors += self._next_index != self._length
             self.done.set_result(None)
             self._transport.close()
 
@@ -130,33 +130,39 @@
     )
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
-    callers = []
+    open_callers = []
     for number in range(streams):
         _, caller = await loop.create_connection(
             lambda: Caller(request, length, results), host, int(port)
         )
-        callers.append(caller)
+        open_callers.append(caller)
         if gap_ms:
             # Even offsets, as with independent callers.
             await asyncio.sleep(gap_ms / 1000 / streams)
         elif number % 50 == 49:
             await asyncio.sleep(0.005)
-    await asyncio.gather(*(caller.done for caller in callers))
+    await asyncio.gather(*(caller.done for caller in open_callers))
     return results
 
 
 def main() -> None:
     """Runs the callers and prints the results."""
-    options = argparse.ArgumentParser(description="Callers")
-    options.add_argument("--address", required=True)
-    options.add_argument("--streams", type=int, required=True)
-    options.add_argument("--length", type=int, required=True)
-    options.add_argument("--gap-ms", type=int, required=True)
-    options.add_argument("--key", required=True)
-    found = options.parse_args()
+    parser = argparse.ArgumentParser(description="Callers")
+    parser.add_argument("--address", required=True)
+    parser.add_argument("--streams", type=int, required=True)
+    parser.add_argument("--length", type=int, required=True)
+    parser.add_argument("--gap-ms", type=int, required=True)
+    parser.add_argument("--key", required=True)
+    options = parser.parse_args()
     began = time.monotonic()
     results = asyncio.run(
-        run(found.address, found.streams, found.length, found.gap_ms, found.key)
+        run(
+            options.address,
+            options.streams,
+            options.length,
+            options.gap_ms,
+            options.key,
+        )
     )
     line = {
         "tokens": results.tokens,
--- a/lab/token_source.py
+++ b/lab/token_source.py
@@ -18,12 +18,12 @@
     b'{"age_ms":0,"running":0,"waiting":0,"used_tokens":0,'
     b'"capacity_tokens":1000000,"step_ms":10,"preemptions":0}'
 )
-_WANTED = re.compile(rb"len=(\d+)(?: gap=(\d+))?")
+_PROMPT = re.compile(rb"len=(\d+)(?: gap=(\d+))?")
 _GENERATION = re.compile(rb"x-generation-id: ([^\r]+)", re.IGNORECASE)
 _LENGTH = re.compile(rb"content-length: (\d+)", re.IGNORECASE)
 
 
-class Source(asyncio.Protocol):
+class TokenSource(asyncio.Protocol):
     """A connection from the relay."""
 
     def __init__(self) -> None:
@@ -58,8 +58,8 @@
         if not end or len(body) < (int(length[1]) if length else 0):
             return
         self._received = b""
-        wanted = _WANTED.search(body)
-        if wanted is None:
+        prompt = _PROMPT.search(body)
+        if prompt is None:
             answer = _LOAD if head.startswith(b"GET /load") else b"{}"
             size = str(len(answer)).encode()
             self._transport.write(
@@ -67,12 +67,12 @@
             )
             return
         found = _GENERATION.search(head)
-        name = found[1] if found else b"1-1-x~e"
+        generation = found[1] if found else b"1-1-x~e"
         self._sending = asyncio.create_task(
-            self._send(name, int(wanted[1]), int(wanted[2] or 0))
+            self._send(generation, int(prompt[1]), int(prompt[2] or 0))
         )
 
-    async def _send(self, name: bytes, length: int, gap_ms: int) -> None:
+    async def _send(self, generation: bytes, length: int, gap_ms: int) -> None:
         self._transport.write(_HEAD)
         due = time.monotonic()
         for index in range(length):
@@ -82,7 +82,7 @@
                 b'id: %b:%d\ndata: {"id":"%b","object":"text_completion",'
                 b'"created":0,"model":"m","choices":[{"index":0,"text":" word",'
                 b'"finish_reason":%b}],"t":%d}\n\n'
-                % (name, index, name, last, time.monotonic_ns())
+                % (generation, index, generation, last, time.monotonic_ns())
             )
             self._transport.write(b"%x\r\n%b\r\n" % (len(event), event))
             if gap_ms:
@@ -96,15 +96,17 @@
 async def _run(address: str) -> None:
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
-    server = await loop.create_server(Source, host, int(port), backlog=2048)
+    server = await loop.create_server(
+        TokenSource, host, int(port), backlog=2048
+    )
     await server.serve_forever()
 
 
 def main() -> None:
     """Runs the token source."""
-    options = argparse.ArgumentParser(description="Token source")
-    options.add_argument("--listen", required=True, help="a.b.c.d:port")
-    asyncio.run(_run(options.parse_args().listen))
+    parser = argparse.ArgumentParser(description="Token source")
+    parser.add_argument("--listen", required=True, help="a.b.c.d:port")
+    asyncio.run(_run(parser.parse_args().listen))
 
 
 if __name__ == "__main__":
