--- a/lab/__init__.py
+++ b/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments, the demonstration and stand-ins for outside systems."""
+"""Benchmarks, simulations, the demo and stand-ins for external systems."""
--- a/lab/bench_load.py
+++ b/lab/bench_load.py
@@ -94,7 +94,7 @@
 
 @attrs.frozen
 class Arrival:
-    """A request at the time when its caller sends it.
+    """A simulated request and the time at which its caller sends it.
 
     Attributes:
         at_ms: The time of arrival.
--- a/lab/bench_sim.py
+++ b/lab/bench_sim.py
@@ -271,7 +271,7 @@
         self._schedule(end, lambda: self._end_step(engine, step))
 
     def _leave_batch(self, engine: _Engine, job: Job) -> None:
-        """Adds to the job what the engine counted since the job joined it."""
+        """Adds the engine's counts since the join to the totals of the job."""
         job.slow_gaps += engine.slow_steps - job.slow_steps_at_join
         job.stall_ms += engine.stall_ms - job.stall_ms_at_join
         job.left_batch_at_ms = self._now_ms
--- a/lab/demo.py
+++ b/lab/demo.py
@@ -108,7 +108,7 @@
             raise AssertionError("rhubarbwinchctl apply failed")
 
     def wait_ready(self) -> None:
-        """Waits until each entry serves a request."""
+        """Waits until each entry serves a short generation."""
         for address in self.entries:
             wait_until(partial(self._serves, address), f"entry {address}")
 
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests; the tree mirrors the package."""
+"""Tests; the folders mirror those of the package."""
--- a/tests/lab/__init__.py
+++ b/tests/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the experiments."""
+"""Tests of the modules in `lab`."""
