--- a/lab/bare_relay.py
+++ b/lab/bare_relay.py
@@ -1,6 +1,7 @@
-"""The relay that a user would write: hypercorn and the stock httpx client.
+"""A minimal streaming relay, the baseline of `lab.bench_relay`.
 
-It passes bytes on as they come: no permit, no ids, no resume.
+Uses hypercorn and the unmodified httpx client and forwards bytes as they
+arrive, without permits, event ids or resume.
 """
 
 import argparse
@@ -13,7 +14,7 @@
 
 
 class BareRelay:
-    """An ASGI application.
+    """An ASGI application that forwards every request to one engine.
 
     Args:
         target: `a.b.c.d:port` of the engine.
@@ -30,11 +31,11 @@
         if scope["type"] != "http":
             return
         body = b""
-        more = True
-        while more:
+        has_more = True
+        while has_more:
             message = await receive()
             body += message.get("body", b"")
-            more = message.get("more_body", False)
+            has_more = message.get("more_body", False)
         url = f"http://{self._target}{scope['path']}"
         headers = {"x-generation-id": "1-1-x~e"}
         async with self._client.stream(
@@ -60,10 +61,10 @@
 
 def main() -> None:
     """Runs the relay."""
-    options_parser = argparse.ArgumentParser(description="Bare relay")
-    options_parser.add_argument("--listen", required=True)
-    options_parser.add_argument("--target", required=True)
-    options = options_parser.parse_args()
+    parser = argparse.ArgumentParser(description="Bare relay")
+    parser.add_argument("--listen", required=True)
+    parser.add_argument("--target", required=True)
+    options = parser.parse_args()
     config = Config()
     config.bind = [options.listen]
     config.errorlog = None
--- a/lab/bench_policies.py
+++ b/lab/bench_policies.py
@@ -1,4 +1,4 @@
-"""Who decides in an experiment: the product, baselines, the oracle."""
+"""The admission policies that are compared: product, baselines, oracle."""
 
 from collections.abc import Iterable
 
@@ -15,11 +15,11 @@
 from rhubarbwinch.links.messages import PermitRequest
 
 
-class KnownLengths:
-    """Tells each length as it will be.
+class OracleLengths:
+    """Predicts each output length exactly, as an oracle.
 
     Args:
-        arrivals: The requests to come.
+        arrivals: All requests of the simulation with their lengths.
     """
 
     def __init__(self, arrivals: Iterable[Arrival]) -> None:
@@ -28,37 +28,40 @@
         }
 
     def outlook(self, request: PermitRequest, tokens: int) -> Outlook:
-        """Returns what will be."""
+        """Returns the true remaining length as a forecast."""
         request_id = request.request_id.partition("/")[0]
-        left = max(0, self._lengths[request_id] - tokens)
-        return Outlook([float(h < left) for h in HORIZONS], float(left))
+        remaining_tokens = max(0, self._lengths[request_id] - tokens)
+        return Outlook(
+            [float(h < remaining_tokens) for h in HORIZONS],
+            float(remaining_tokens),
+        )
 
     def observe(
         self, request: PermitRequest, tokens: int, is_complete: bool
     ) -> None:
-        """Has nothing to learn."""
+        """Does nothing, because all lengths are known."""
 
 
 @attrs.frozen
-class Contender:
-    """One that decides.
+class AdmissionPolicy:
+    """An admission policy under comparison.
 
     Attributes:
-        name: What the table calls it.
-        options: Which decisions it makes.
-        is_oracle: Whether it is told every length.
+        name: The name in tables and in the history.
+        options: The options of `Admission`.
+        is_oracle: Whether it knows all output lengths in advance.
     """
 
     name: str
     options: Options
     is_oracle: bool = False
 
-    def lengths(self, arrivals: Iterable[Arrival]) -> LengthEstimator:
-        """Returns what it knows of lengths."""
-        return KnownLengths(arrivals) if self.is_oracle else LearnedLengths()
+    def length_estimator(self, arrivals: Iterable[Arrival]) -> LengthEstimator:
+        """Returns the estimator of output lengths."""
+        return OracleLengths(arrivals) if self.is_oracle else LearnedLengths()
 
 
-def _baseline(placement: str) -> Contender:
+def _baseline(placement: str) -> AdmissionPolicy:
     options = Options(
         placement=placement,
         is_fair=False,
@@ -66,12 +69,14 @@
         limits_retries=False,
         lowers_priority=False,
     )
-    return Contender(placement, options)
+    return AdmissionPolicy(placement, options)
 
 
-PRODUCT = Contender("product", Options())
-WITHOUT_BUDGETS = Contender("no-budgets", Options(limits_retries=False))
-ORACLE = Contender("oracle", Options(), is_oracle=True)
+PRODUCT = AdmissionPolicy("product", Options())
+WITHOUT_RETRY_BUDGETS = AdmissionPolicy(
+    "no-budgets", Options(limits_retries=False)
+)
+ORACLE = AdmissionPolicy("oracle", Options(), is_oracle=True)
 BASELINES = [
     _baseline("round-robin"),
     _baseline("least-outstanding"),
--- a/lab/control_traffic.py
+++ b/lab/control_traffic.py
@@ -1,9 +1,9 @@
-"""Control traffic and processor time of a member, over real links.
+"""Measures control traffic and processor time per member over real links.
 
 All members run in one process on the loopback address, each with its own
-sockets. Bytes are those handed to the links and taken from them, headers of
-the transport left out; processor time is the process's, divided by the
-members. The store is in memory and costs next to nothing.
+sockets. Bytes are counted at the interface of the links, without transport
+headers. Processor time is that of the process divided by the number of members.
+The store is in memory and its cost is negligible.
 """
 
 import argparse
@@ -12,7 +12,6 @@
 import time
 from typing import Any, TypeVar
 
-# libuv is told before it is loaded; io_uring is not allowed on our VMs.
 import anyio
 import attrs
 
@@ -35,53 +34,57 @@
 
 
 @attrs.define
-class Count:
-    """Bytes and messages of all members, in both directions."""
+class TrafficCounter:
+    """Bytes and messages sent and received by all members."""
 
-    octets: int = 0
+    byte_count: int = 0
     messages: int = 0
 
     def add(self, message: Any) -> None:
-        """Counts a message at its sender and at its receiver."""
+        """Counts a message once for its sender and once for its receiver."""
         size = len(codec.encode(message)) + HEADER_BYTES
-        self.octets += 2 * (size + len(type(message).__name__))
+        self.byte_count += 2 * (size + len(type(message).__name__))
         self.messages += 2
 
 
 class CountingLinks(Links):
-    """Links that count what calls send and what comes back.
+    """Links that count the requests and replies of calls.
 
     Args:
-        incarnation: The member's number.
-        count: Where to.
+        incarnation: The incarnation of the member.
+        count: The counters to add to.
     """
 
-    def __init__(self, incarnation: int, count: Count) -> None:
+    def __init__(self, incarnation: int, count: TrafficCounter) -> None:
         super().__init__(incarnation)
         self._count = count
 
     async def call(
         self, address: str, message: Any, answer: type[T], timeout_ms: int
     ) -> T:
-        """Sends a message and returns the peer's answer."""
+        """Calls a peer and returns its reply."""
         self._count.add(message)
-        found = await super().call(address, message, answer, timeout_ms)
-        self._count.add(found)
-        return found
+        reply = await super().call(address, message, answer, timeout_ms)
+        self._count.add(reply)
+        return reply
 
 
 def _free_addresses(count: int) -> list[str]:
     probes = [socket.socket() for _ in range(count)]
     for probe in probes:
         probe.bind((LOOPBACK, 0))
-    found = [f"{LOOPBACK}:{probe.getsockname()[1]}" for probe in probes]
+    addresses = [f"{LOOPBACK}:{probe.getsockname()[1]}" for probe in probes]
     for probe in probes:
         probe.close()
-    return found
+    return addresses
 
 
 async def _run_member(
-    name: str, address: str, number: int, store: MemoryStore, count: Count
+    name: str,
+    address: str,
+    number: int,
+    store: MemoryStore,
+    count: TrafficCounter,
 ) -> None:
     clock = SystemClock()
     rng = random.Random(number)
@@ -102,8 +105,8 @@
     gossip = Gossip(
         links, server, members, clock, rng, [], registration.holds_lease
     )
-    sharing = Distribution(links, server, members, rng)
-    follower = Follower(store, clock, members, sharing)
+    distribution = Distribution(links, server, members, rng)
+    follower = Follower(store, clock, members, distribution)
     gossip.on_newer(follower.notice)
     leaving = LeavingVms(gossip, clock)
     async with anyio.create_task_group() as tasks:
@@ -115,15 +118,15 @@
 
 
 @attrs.frozen
-class Figures:
-    """What a member spends.
+class MemberCost:
+    """The traffic and processor time of a member.
 
     Attributes:
-        members: The size of the fleet.
-        bytes_per_s: Sent and received.
-        messages_per_s: Sent and received.
-        cpu_percent: Of one core.
-        store_calls_per_s: Of the whole fleet.
+        members: The number of members.
+        bytes_per_s: Bytes sent and received per second and member.
+        messages_per_s: Messages sent and received per second and member.
+        cpu_percent: Processor time per member in percent of a core.
+        store_calls_per_s: Store calls per second of all members.
     """
 
     members: int
@@ -133,9 +136,9 @@
     store_calls_per_s: float
 
 
-async def measure(size: int, settle_s: float, seconds: float) -> Figures:
-    """Returns what each of `size` members spends."""
-    count = Count()
+async def measure(size: int, settle_s: float, seconds: float) -> MemberCost:
+    """Returns the traffic and processor time per member of `size` members."""
+    count = TrafficCounter()
     store = MemoryStore(SystemClock())
     async with anyio.create_task_group() as tasks:
         for i, address in enumerate(_free_addresses(size)):
@@ -144,23 +147,23 @@
             )
         await anyio.sleep(settle_s)
         before, calls = attrs.evolve(count), store.calls
-        cpu, began = time.process_time(), time.monotonic()
+        cpu_before_s, began = time.process_time(), time.monotonic()
         await anyio.sleep(seconds)
-        took = time.monotonic() - began
-        spent = time.process_time() - cpu
-        figures = Figures(
+        elapsed_s = time.monotonic() - began
+        cpu_s = time.process_time() - cpu_before_s
+        figures = MemberCost(
             size,
-            round((count.octets - before.octets) / took / size),
-            round((count.messages - before.messages) / took / size, 1),
-            round(100 * spent / took / size, 2),
-            round((store.calls - calls) / took, 1),
+            round((count.byte_count - before.byte_count) / elapsed_s / size),
+            round((count.messages - before.messages) / elapsed_s / size, 1),
+            round(100 * cpu_s / elapsed_s / size, 2),
+            round((store.calls - calls) / elapsed_s, 1),
         )
         tasks.cancel_scope.cancel()
     return figures
 
 
 def main() -> None:
-    """Prints a row for each size."""
+    """Prints a table row for each number of members."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("sizes", nargs="*", type=int, default=[4, 16, 64])
     parser.add_argument("--settle", type=float, default=70.0, help="s")
@@ -172,13 +175,13 @@
     )
     print("|---|---|---|---|---|")
     for size in options.sizes:
-        found = anyio.run(
+        cost = anyio.run(
             measure,
             size,
             options.settle,
             options.seconds,
         )
-        cells = [str(cell) for cell in attrs.astuple(found)]
+        cells = [str(cell) for cell in attrs.astuple(cost)]
         print("| " + " | ".join(cells) + " |", flush=True)
 
 
--- a/lab/demo.py
+++ b/lab/demo.py
@@ -1,7 +1,7 @@
-"""Shows the main job: two deployments, a stream that outlives its entry.
+"""Demonstrates two deployments and a stream that survives its entry.
 
-Everything runs on the loopback address and is ended at the end, also after
-an interrupt.
+All processes run on the loopback address and are stopped at the end, also
+after an interrupt.
 """
 
 import pathlib
@@ -23,7 +23,7 @@
 
 VMS = 2
 TOKENS = 60
-KILL_AFTER = 20
+KILL_AFTER_TOKENS = 20
 ENGINE_SPEED = 0.5
 TRACE_ID = "5ca1ab1e" * 4
 TIMEOUT_S = 20.0
@@ -31,14 +31,14 @@
 
 @attrs.frozen
 class Example:
-    """An example deployment and who calls it here.
+    """An example deployment and the calls that the demo makes to it.
 
     Attributes:
-        name: The file's name without its suffix.
+        name: The name of the file in examples/ without its suffix.
         region: The region of its data centres.
         account: One of its client accounts.
-        model: A service that generates.
-        plain: The path of a plain call that may not be repeated.
+        model: The name of a service for generations.
+        plain: The path of a plain call that must not be repeated.
     """
 
     name: str
@@ -49,7 +49,7 @@
 
     @property
     def headers(self) -> dict[str, str]:
-        """What authenticates the account."""
+        """The header that authenticates the account."""
         return {"authorization": f"Bearer {self.account}.example"}
 
 
@@ -72,12 +72,12 @@
 
 
 class Deployment:
-    """The stand-ins and programs of one example, on loopback addresses.
+    """The stand-ins and programs of an example on loopback addresses.
 
     Args:
-        example: What is deployed.
+        example: The example.
         processes: Starts the processes.
-        directory: For the records with the loopback addresses.
+        directory: The directory for the records with loopback addresses.
     """
 
     def __init__(
@@ -90,7 +90,7 @@
         self._records = directory / f"{example.name}.toml"
 
     def start(self) -> None:
-        """Starts every process and applies the records."""
+        """Starts all processes and applies the records."""
         start, name = self._processes.start, self.example.name
         listen = ("--listen", self.store)
         start(f"{name}-store", "lab.standins.kvstore", *listen)
@@ -108,12 +108,12 @@
             raise AssertionError("rhubarbwinchctl apply failed")
 
     def wait_ready(self) -> None:
-        """Waits until each entry serves a request."""
+        """Waits until each entry serves a short generation."""
         for address in self.entries:
             wait_until(partial(self._serves, address), f"entry {address}")
 
     def _serves(self, address: str) -> bool:
-        """Tells whether an entry answers a short request."""
+        """Returns whether an entry serves a short generation."""
         body = {"model": self.example.model, "prompt": "len=1"}
         url = f"http://{address}/v1/completions"
         return httpx.post(
@@ -121,7 +121,7 @@
         ).is_success
 
     def _start_endpoints(self) -> None:
-        """Starts the endpoints; writes the records with their addresses."""
+        """Starts the endpoints and writes the records with their addresses."""
         text = (ROOT / "examples" / f"{self.example.name}.toml").read_text()
         for record in tomllib.loads(text)["record"]:
             for endpoint in record["spec"].get("endpoints", []):
@@ -135,7 +135,7 @@
         self._records.write_text(text)
 
     def _start_vm(self, index: int) -> None:
-        """Starts one VM's programs."""
+        """Starts the programs of one VM."""
         for role in ("control", "broker", "entry"):
             http = self.entries[index] if role == "entry" else free_address()
             name = f"{self.example.name}-{role}-{index}"
@@ -156,14 +156,14 @@
 
 
 @attrs.define
-class Reading:
-    """A caller's stream: its position and its text.
+class StreamReader:
+    """The state of a caller that reads a stream.
 
     Attributes:
-        last_id: The id of the event read last.
-        indexes: The index of each token, in the order they came.
+        last_id: The id of the last event.
+        indexes: The index of each token in order of receipt.
         texts: The text of each token.
-        done: Whether the stream ended as it should.
+        done: Whether the final event was received.
     """
 
     last_id: str = ""
@@ -171,8 +171,8 @@
     texts: list[str] = attrs.field(factory=list)
     done: bool = False
 
-    def take(self, line: str) -> None:
-        """Reads one line of an event stream."""
+    def parse_line(self, line: str) -> None:
+        """Parses one line of an event stream and prints the token's text."""
         if line.startswith("id: "):
             self.last_id = line.removeprefix("id: ")
         elif line == "data: [DONE]":
@@ -186,47 +186,53 @@
             sys.stdout.flush()
 
 
-def _say(text: str) -> None:
+def _print_heading(text: str) -> None:
     sys.stdout.write(f"\n== {text}\n")
     sys.stdout.flush()
 
 
-def _stream_through_a_loss(
+def _resume_after_entry_loss(
     deployment: Deployment, processes: Processes
 ) -> None:
-    """Kills the entry in the middle and resumes at the other.
+    """Kills an entry during a stream and resumes at the other entry.
 
     Raises:
-        AssertionError: A token was lost, doubled or of another generation.
+        AssertionError: A token was lost, repeated or from another generation.
     """
-    example, reading = deployment.example, Reading()
+    example, reader = deployment.example, StreamReader()
     body = {
         "model": example.model,
         "prompt": f"len={TOKENS}",
         "stream": True,
     }
-    _say(f"{example.name}: a stream of {TOKENS} tokens by entry 0")
+    _print_heading(f"{example.name}: a stream of {TOKENS} tokens by entry 0")
     try:
-        _read(deployment.entries[0], example.headers, body, reading, processes)
+        _read_stream(
+            deployment.entries[0], example.headers, body, reader, processes
+        )
     except httpx.HTTPError:
-        _say(f"entry 0 is killed; entry 1 resumes after {reading.last_id}")
-    headers = example.headers | {"last-event-id": reading.last_id}
-    _read(deployment.entries[1], headers, body, reading, None)
-    whole = reading.indexes == list(range(TOKENS)) and reading.done
-    generations = {text.partition(".")[0] for text in reading.texts}
-    if not whole or len(generations) != 1:
-        raise AssertionError(f"tokens {reading.indexes} of {generations}")
-    _say(f"{TOKENS} tokens came, each once and in order, of one generation")
-
-
-def _read(
+        _print_heading(
+            f"entry 0 is killed; entry 1 resumes after {reader.last_id}"
+        )
+    headers = example.headers | {"last-event-id": reader.last_id}
+    _read_stream(deployment.entries[1], headers, body, reader, None)
+    is_complete = reader.indexes == list(range(TOKENS)) and reader.done
+    generations = {text.partition(".")[0] for text in reader.texts}
+    if not is_complete or len(generations) != 1:
+        raise AssertionError(f"tokens {reader.indexes} of {generations}")
+    _print_heading(
+        f"{TOKENS} tokens came, each once and in order, of one generation"
+    )
+
+
+def _read_stream(
     address: str,
     headers: dict[str, str],
     body: dict[str, object],
-    reading: Reading,
+    reader: StreamReader,
     processes: Processes | None,
 ) -> None:
-    """Reads a stream; kills the entry after some tokens if asked to."""
+    """Reads a stream; kills entry 0 after some tokens if given `processes`."""
     url = f"http://{address}/v1/completions"
     with httpx.stream(
         "POST", url, json=body, headers=headers, timeout=TIMEOUT_S
@@ -234,24 +240,24 @@
         if not response.is_success:
             raise AssertionError(response.read().decode())
         for line in response.iter_lines():
-            reading.take(line)
-            if processes is not None and len(reading.texts) == KILL_AFTER:
+            reader.parse_line(line)
+            if processes is not None and len(reader.texts) == KILL_AFTER_TOKENS:
                 processes.kill(f"{EXAMPLES[0].name}-entry-0")
                 processes = None
 
 
 def _show_plain_call(deployment: Deployment) -> None:
-    """Makes a call that may not be repeated, twice with one key."""
+    """Makes a call that must not be repeated, with an idempotency key."""
     example = deployment.example
     headers = example.headers | {
         "idempotency-key": _uuid7(),
         "traceparent": f"00-{TRACE_ID}-{'ab' * 8}-01",
     }
     url = f"http://{deployment.entries[1]}{example.plain}"
-    _say(f"{example.name}: POST {example.plain}")
-    answer = httpx.post(url, json={}, headers=headers, timeout=TIMEOUT_S)
-    sys.stdout.write(f"{answer.status_code} {answer.text}\n")
-    if not answer.is_success:
+    _print_heading(f"{example.name}: POST {example.plain}")
+    response = httpx.post(url, json={}, headers=headers, timeout=TIMEOUT_S)
+    sys.stdout.write(f"{response.status_code} {response.text}\n")
+    if not response.is_success:
         raise AssertionError("the plain call failed")
 
 
@@ -264,9 +270,9 @@
 
 
 def _show_trace(logs: pathlib.Path) -> None:
-    """Prints the spans of the plain call from all processes' logs."""
+    """Prints the spans of the plain call, read from the logs."""
     spans = wait_until(lambda: _find_spans(logs), "the trace")
-    _say(f"the trace {TRACE_ID}")
+    _print_heading(f"the trace {TRACE_ID}")
     ids = {span["span"] for span in spans}
     roots = [span for span in spans if span["parent"] not in ids]
     for root in roots:
@@ -296,18 +302,18 @@
 
 
 def _interrupt(number: int, _: types.FrameType | None) -> None:
-    """Turns a signal into an exception, so that all processes are ended."""
+    """Raises an exception for a signal, so that all processes are stopped."""
     raise KeyboardInterrupt(f"signal {number}")
 
 
 def main() -> None:
-    """Runs the demo; exits with 0 if all went as it should."""
+    """Runs the demo; a failed check raises an exception."""
     signal.signal(signal.SIGTERM, _interrupt)
     try:
         _run()
     except KeyboardInterrupt as error:
         sys.exit(f"interrupted: {error}")
-    _say("done; every process has been ended")
+    _print_heading("done; every process has been ended")
 
 
 def _run() -> None:
@@ -318,11 +324,11 @@
         directory = pathlib.Path(name)
         deployments = [Deployment(e, processes, directory) for e in EXAMPLES]
         for deployment in deployments:
-            _say(f"starting {deployment.example.name}: {VMS} VMs")
+            _print_heading(f"starting {deployment.example.name}: {VMS} VMs")
             deployment.start()
         for deployment in deployments:
             deployment.wait_ready()
-        _stream_through_a_loss(deployments[0], processes)
+        _resume_after_entry_loss(deployments[0], processes)
         _show_plain_call(deployments[1])
         _show_trace(directory)
 
--- a/lab/stream_client.py
+++ b/lab/stream_client.py
@@ -1,8 +1,9 @@
-"""Callers for measuring the relay: many streams, each id checked.
+"""Load generator of `lab.bench_relay`: opens streams and checks event ids.
 
-Prints one JSON line: tokens, seconds, errors, and percentiles in microseconds
-of the time from the source's write to the caller's read and of the time to
-the first token. The clock is the machine's own, so it fits both processes.
+Prints one JSON line with tokens, seconds, errors, and percentiles in
+microseconds of two durations: from the write at the token source to the read at
+the caller, and from the request to the first token. Both processes use the
+monotonic clock of the machine, so their times are comparable.
 """
 
 import argparse
@@ -17,12 +18,12 @@
 
 from rhubarbwinch.http.httpbody import ChunkedBody
 
-_ID = re.compile(rb'id: [^\n]*:(\d+)\ndata: [^\n]*"t":(\d+)}\n\n')
+_EVENT = re.compile(rb'id: [^\n]*:(\d+)\ndata: [^\n]*"t":(\d+)}\n\n')
 MAX_US = 60_000_000
 
 
 class Results:
-    """What all streams add up to."""
+    """Counters and histograms over all streams."""
 
     def __init__(self) -> None:
         self.tokens = 0
@@ -33,46 +34,46 @@
 
 
 class Caller(asyncio.Protocol):
-    """One stream.
+    """A caller that reads one stream over its own connection.
 
     Args:
-        request: The bytes of the request.
-        length: The tokens that must come.
-        results: Where the outcome is added.
+        request: The encoded request.
+        length: The expected number of tokens.
+        results: The counters to add to.
     """
 
     def __init__(self, request: bytes, length: int, results: Results) -> None:
         self._request = request
         self._length = length
         self._results = results
-        self._next = 0
-        self._rest = b""
+        self._next_index = 0
+        self._unparsed = b""
         self._received = b""
         self._body: ChunkedBody | None = None
-        self._began = 0
+        self._sent_ns = 0
         self.done: asyncio.Future[None] = (
             asyncio.get_running_loop().create_future()
         )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Sends the request."""
-        self._began = time.monotonic_ns()
+        self._sent_ns = time.monotonic_ns()
         self._transport = cast(asyncio.Transport, transport)
         self._transport.write(self._request)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Counts a stream that was cut."""
+        """Counts an error if the stream is incomplete."""
         if not self.done.done():
             self._results.errors += 1
             self.done.set_result(None)
 
     def _fail(self, data: bytes) -> None:
-        """Counts a stream that ended in a failure, and closes it."""
+        """Prints a failure and closes the connection, which counts an error."""
         sys.stderr.write(data.decode()[:200] + "\n")
         self._transport.close()
 
     def data_received(self, data: bytes) -> None:
-        """Checks the events and their times."""
+        """Checks the ids of events and records their delays."""
         now = time.monotonic_ns()
         if self._body is None:
             self._received += data
@@ -84,27 +85,27 @@
                 return
             self._body = ChunkedBody()
         self._results.reads += 1
-        self._rest += self._body.feed(data)
+        self._unparsed += self._body.feed(data)
         self._read_events(now)
 
     def _read_events(self, now: int) -> None:
         results = self._results
-        if b"event: error" in self._rest:
-            self._fail(self._rest)
+        if b"event: error" in self._unparsed:
+            self._fail(self._unparsed)
             return
         end = 0
-        for match in _ID.finditer(self._rest):
-            if int(match[1]) != self._next:
+        for match in _EVENT.finditer(self._unparsed):
+            if int(match[1]) != self._next_index:
                 results.errors += 1
-            if self._next == 0:
-                results.first_us.record_value((now - self._began) // 1000)
-            self._next += 1
+            if self._next_index == 0:
+                results.first_us.record_value((now - self._sent_ns) // 1000)
+            self._next_index += 1
             results.tokens += 1
             results.delay_us.record_value((now - int(match[2])) // 1000 + 1)
             end = match.end()
-        self._rest = self._rest[end:]
-        if self._rest == b"data: [DONE]\n\n" and not self.done.done():
-            results.errors += self._next != self._length
+        self._unparsed = self._unparsed[end:]
+        if self._unparsed == b"data: [DONE]\n\n" and not self.done.done():
+            results.errors += self._next_index != self._length
             self.done.set_result(None)
             self._transport.close()
 
@@ -112,7 +113,7 @@
 async def run(
     address: str, streams: int, length: int, gap_ms: int, key: str
 ) -> Results:
-    """Opens all streams at once and reads them to their ends."""
+    """Opens all streams and reads them to the end."""
     results = Results()
     body = orjson.dumps(
         {
@@ -129,33 +130,39 @@
     )
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
-    callers = []
+    open_callers = []
     for number in range(streams):
         _, caller = await loop.create_connection(
             lambda: Caller(request, length, results), host, int(port)
         )
-        callers.append(caller)
+        open_callers.append(caller)
         if gap_ms:
-            # Streams at an even offset, as independent callers have.
+            # Even offsets, as with independent callers.
             await asyncio.sleep(gap_ms / 1000 / streams)
         elif number % 50 == 49:
             await asyncio.sleep(0.005)
-    await asyncio.gather(*(caller.done for caller in callers))
+    await asyncio.gather(*(caller.done for caller in open_callers))
     return results
 
 
 def main() -> None:
-    """Runs the callers and prints their line."""
-    options = argparse.ArgumentParser(description="Callers")
-    options.add_argument("--address", required=True)
-    options.add_argument("--streams", type=int, required=True)
-    options.add_argument("--length", type=int, required=True)
-    options.add_argument("--gap-ms", type=int, required=True)
-    options.add_argument("--key", required=True)
-    found = options.parse_args()
+    """Runs the callers and prints the results."""
+    parser = argparse.ArgumentParser(description="Callers")
+    parser.add_argument("--address", required=True)
+    parser.add_argument("--streams", type=int, required=True)
+    parser.add_argument("--length", type=int, required=True)
+    parser.add_argument("--gap-ms", type=int, required=True)
+    parser.add_argument("--key", required=True)
+    options = parser.parse_args()
     began = time.monotonic()
     results = asyncio.run(
-        run(found.address, found.streams, found.length, found.gap_ms, found.key)
+        run(
+            options.address,
+            options.streams,
+            options.length,
+            options.gap_ms,
+            options.key,
+        )
     )
     line = {
         "tokens": results.tokens,
--- a/lab/token_source.py
+++ b/lab/token_source.py
@@ -1,7 +1,7 @@
-"""A cheap engine for measuring the relay: paced tokens, no model.
+"""A minimal engine for `lab.bench_relay` that sends paced tokens.
 
-The prompt tells `len=N gap=MS`; a gap of 0 sends as fast as the reader takes.
-Each event carries the time at which it was written.
+The prompt contains `len=N gap=MS`; with a gap of 0 tokens are sent as fast as
+the reader accepts them. Each event contains the time of its write.
 """
 
 import argparse
@@ -18,13 +18,13 @@
     b'{"age_ms":0,"running":0,"waiting":0,"used_tokens":0,'
     b'"capacity_tokens":1000000,"step_ms":10,"preemptions":0}'
 )
-_WANTED = re.compile(rb"len=(\d+)(?: gap=(\d+))?")
+_PROMPT = re.compile(rb"len=(\d+)(?: gap=(\d+))?")
 _GENERATION = re.compile(rb"x-generation-id: ([^\r]+)", re.IGNORECASE)
 _LENGTH = re.compile(rb"content-length: (\d+)", re.IGNORECASE)
 
 
-class Source(asyncio.Protocol):
-    """One connection of the relay."""
+class TokenSource(asyncio.Protocol):
+    """A connection from the relay."""
 
     def __init__(self) -> None:
         self._received = b""
@@ -34,7 +34,7 @@
         self._transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport."""
+        """Stores the transport."""
         self._transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -43,23 +43,23 @@
             self._sending.cancel()
 
     def pause_writing(self) -> None:
-        """Waits for a slow reader."""
+        """Suspends sending while the write buffer is full."""
         self._can_write.clear()
 
     def resume_writing(self) -> None:
-        """Goes on."""
+        """Resumes sending."""
         self._can_write.set()
 
     def data_received(self, data: bytes) -> None:
-        """Answers each whole request."""
+        """Responds to each complete request."""
         self._received += data
         head, end, body = self._received.partition(b"\r\n\r\n")
         length = _LENGTH.search(head)
         if not end or len(body) < (int(length[1]) if length else 0):
             return
         self._received = b""
-        wanted = _WANTED.search(body)
-        if wanted is None:
+        prompt = _PROMPT.search(body)
+        if prompt is None:
             answer = _LOAD if head.startswith(b"GET /load") else b"{}"
             size = str(len(answer)).encode()
             self._transport.write(
@@ -67,12 +67,12 @@
             )
             return
         found = _GENERATION.search(head)
-        name = found[1] if found else b"1-1-x~e"
+        generation = found[1] if found else b"1-1-x~e"
         self._sending = asyncio.create_task(
-            self._send(name, int(wanted[1]), int(wanted[2] or 0))
+            self._send(generation, int(prompt[1]), int(prompt[2] or 0))
         )
 
-    async def _send(self, name: bytes, length: int, gap_ms: int) -> None:
+    async def _send(self, generation: bytes, length: int, gap_ms: int) -> None:
         self._transport.write(_HEAD)
         due = time.monotonic()
         for index in range(length):
@@ -82,7 +82,7 @@
                 b'id: %b:%d\ndata: {"id":"%b","object":"text_completion",'
                 b'"created":0,"model":"m","choices":[{"index":0,"text":" word",'
                 b'"finish_reason":%b}],"t":%d}\n\n'
-                % (name, index, name, last, time.monotonic_ns())
+                % (generation, index, generation, last, time.monotonic_ns())
             )
             self._transport.write(b"%x\r\n%b\r\n" % (len(event), event))
             if gap_ms:
@@ -96,15 +96,17 @@
 async def _run(address: str) -> None:
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
-    server = await loop.create_server(Source, host, int(port), backlog=2048)
+    server = await loop.create_server(
+        TokenSource, host, int(port), backlog=2048
+    )
     await server.serve_forever()
 
 
 def main() -> None:
-    """Runs the source."""
-    options = argparse.ArgumentParser(description="Token source")
-    options.add_argument("--listen", required=True, help="a.b.c.d:port")
-    asyncio.run(_run(options.parse_args().listen))
+    """Runs the token source."""
+    parser = argparse.ArgumentParser(description="Token source")
+    parser.add_argument("--listen", required=True, help="a.b.c.d:port")
+    asyncio.run(_run(parser.parse_args().listen))
 
 
 if __name__ == "__main__":
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports between the folders of the package run one way."""
+"""Tests that the folders of the package import each other in one order."""
 
 import re
 import unittest
@@ -6,7 +6,7 @@
 from tests.helpers import ROOT
 
 PACKAGE = ROOT / "rhubarbwinch"
-# A folder imports itself and those before it.
+# A folder may import from itself and from the folders before it.
 LAYERS = (
     "shared",
     "stores",
@@ -34,21 +34,21 @@
 
 
 class LayersTest(unittest.TestCase):
-    """The folders of the package."""
+    """The layers of the package and the page that describes them."""
 
-    def test_each_folder_has_its_place(self):
+    def test_each_folder_is_a_listed_layer(self):
         found = {path.parent.name for path in PACKAGE.glob("*/__init__.py")}
         self.assertEqual(found, set(LAYERS))
 
-    def test_no_import_runs_back_up(self):
-        back = [
+    def test_no_folder_imports_a_later_one(self):
+        wrong_imports = [
             f"{path.relative_to(ROOT)} imports {folder}"
-            for place, layer in enumerate(LAYERS)
+            for position, layer in enumerate(LAYERS)
             for path in sorted((PACKAGE / layer).glob("*.py"))
             for folder in imported_folders(path)
-            if LAYERS.index(folder) > place
+            if LAYERS.index(folder) > position
         ]
-        self.assertEqual(back, [])
+        self.assertEqual(wrong_imports, [])
 
     def test_the_architecture_page_has_a_row_for_each_folder(self):
         text = (ROOT / "docs" / "architecture.md").read_text()
