--- a/rhubarbwinch/gateway/beliefs.py
+++ b/rhubarbwinch/gateway/beliefs.py
@@ -13,7 +13,7 @@
 from rhubarbwinch.stores.store import Change
 
 
-class Beliefs:
+class ClusterView:
     """A gateway's view of the platform, updated from the store.
 
     Args:
@@ -35,7 +35,7 @@
         self._transport = transport
         self._on_table = on_table
 
-    def apply(self, changes: list[Change], after_outage: bool) -> None:
+    def apply_changes(self, changes: list[Change], after_outage: bool) -> None:
         """Applies changes of the store."""
         platform = self._context.platform
         for change in changes:
@@ -47,7 +47,7 @@
                 self._apply_peer_registration(change)
         self._streams.note_change()
 
-    def take_leaving(self, notice: LeavingNotice) -> None:
+    def apply_leaving_notice(self, notice: LeavingNotice) -> None:
         """Applies an engine's own notice that it leaves."""
         if self._context.fleet.mark_leaving(
             notice.endpoint, notice.started_ms, self._context.clock.now()
@@ -64,9 +64,9 @@
             for known in self._context.fleet.all_leaving()
         ]
 
-    def expire(self) -> None:
+    def expire_endpoints(self) -> None:
         """Gives up endpoints whose expired entries were not renewed."""
-        for known in self._context.fleet.expire(self._context.clock.now()):
+        for known in self._context.fleet.expire_endpoints(self._context.clock.now()):
             self._log_endpoint_change(known.endpoint.id, "lapsed", 0, True)
             self._handle_leaving(known.endpoint.id)
 
@@ -137,7 +137,7 @@
                 self._log_endpoint_change(
                     endpoint_id, endpoint.state, change.revision, after_outage
                 )
-            leaves = context.fleet.put(endpoint, now)
+            leaves = context.fleet.apply_registration(endpoint, now)
         if leaves:
             self._handle_leaving(endpoint_id)
 
--- a/rhubarbwinch/gateway/carrying.py
+++ b/rhubarbwinch/gateway/carrying.py
@@ -63,7 +63,7 @@
         if run.standby is None:
             return False
         known = self._context.fleet.get(run.standby.endpoint.id)
-        return known is not None and known.takes_work
+        return known is not None and known.accepts_requests
 
     async def _maintain_copy(self, run: Run, scope: anyio.CancelScope) -> None:
         """Maintains a copy of a run at another engine until cancelled.
@@ -110,7 +110,7 @@
         if chosen is None:
             return None
         reservation = Room(chosen.endpoint, tokens, 0, 1, context.loads).hold()
-        context.peers.tell_loads()
+        context.peers.announce_loads()
         return reservation
 
     def _new_copy(
--- a/rhubarbwinch/gateway/context.py
+++ b/rhubarbwinch/gateway/context.py
@@ -13,7 +13,7 @@
     FailureReports,
     Traffic,
 )
-from rhubarbwinch.gateway.fleet import Fleet, Known
+from rhubarbwinch.gateway.fleet import Fleet, KnownEndpoint
 from rhubarbwinch.gateway.hops import Tracer
 from rhubarbwinch.gateway.loads import LoadBook
 from rhubarbwinch.gateway.messages import FailureNotice
@@ -83,7 +83,7 @@
         now = self.clock.now()
         known = [
             k
-            for k in self.fleet.of_service(service)
+            for k in self.fleet.accepting_for_service(service)
             if k.endpoint.id not in excluded
         ]
         usable = set(self.suspicion.usable([k.endpoint.id for k in known], now))
@@ -91,14 +91,14 @@
             self._candidate(k, now) for k in known if k.endpoint.id in usable
         ]
 
-    def _candidate(self, known: Known, now: int) -> Candidate:
+    def _candidate(self, known: KnownEndpoint, now: int) -> Candidate:
         endpoint = known.endpoint
         engine = self.engine_spec(endpoint.service)
         return Candidate(
             endpoint,
             self.loads.total(endpoint.id),
             engine.kv_tokens if engine is not None else 0,
-            now >= known.warm_at_ms,
+            now >= known.warmed_up_at_ms,
             self.suspicion.failure_share(endpoint.id),
         )
 
@@ -137,9 +137,9 @@
         service = known.endpoint.service
         traffic = Traffic(
             self.suspicion.calls_each(service, WINDOW_MS),
-            self.peers.near_count + 1,
+            self.peers.data_center_count + 1,
             self.peers.count + 1,
-            frozenset(k.endpoint.id for k in self.fleet.of_service(service)),
+            frozenset(k.endpoint.id for k in self.fleet.accepting_for_service(service)),
         )
         if not self.reports.note(notice, traffic, now):
             return
--- a/rhubarbwinch/gateway/feed.py
+++ b/rhubarbwinch/gateway/feed.py
@@ -68,7 +68,7 @@
 ChangeHandler = Callable[[list[Change], bool], None]
 
 
-class Feed:
+class StoreFeed:
     """Keeps the replica of the store up to date and reports its changes.
 
     Args:
@@ -225,7 +225,7 @@
                 )
             )
 
-    def take_batch(self, batch: SharedBatch) -> None:
+    def receive_batch(self, batch: SharedBatch) -> None:
         """Handles a batch that a peer has broadcast."""
         omitted = [c for c in batch.changes if c.bytes_left_out]
         if omitted:
@@ -297,14 +297,14 @@
             return None
         return fetched if fetched.revision >= shared.revision else None
 
-    async def answer_value(self, call: ValueCall) -> SharedChange:
+    async def handle_value_call(self, call: ValueCall) -> SharedChange:
         """Returns the newest value of a key to a peer."""
         entry = self._replica.get(call.key)
         if entry is None:
             return SharedChange(call.key, 0)
         return SharedChange(entry.key, entry.revision, entry.value)
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
+    def apply_snapshot(self, snapshot: Snapshot) -> None:
         """Merges a peer's snapshot, for a start without the store."""
         changes = [_from_shared(shared) for shared in snapshot.changes]
         applied = self._replica.merge_batch(
@@ -313,7 +313,7 @@
         if applied:
             self._on_change(applied, False)
 
-    async def answer_snapshot(self, call: SnapshotCall) -> Snapshot:
+    async def handle_snapshot_call(self, call: SnapshotCall) -> Snapshot:
         """Returns all known entries to a peer."""
         entries = self._replica.entries()
         return Snapshot(
--- a/rhubarbwinch/gateway/fleet.py
+++ b/rhubarbwinch/gateway/fleet.py
@@ -19,15 +19,15 @@
 
 
 @attrs.define
-class Known:
+class KnownEndpoint:
     """An endpoint with its known state.
 
     Attributes:
         endpoint: Its last registration that could be decoded.
         is_leaving: Whether it is shutting down and accepts no new requests.
         leaving_since_ms: When it became known that it leaves; 0 while it stays.
-        warm_at_ms: When its warm-up ends.
-        lapse_due_ms: When the endpoint counts as gone because its entry expired
+        warmed_up_at_ms: When its warm-up ends.
+        expiry_deadline_ms: When the endpoint counts as gone because its entry expired
             in a store outage and was not renewed; 0 if the entry is there.
         is_readable: Whether its newest entry could be decoded.
     """
@@ -35,12 +35,12 @@
     endpoint: Endpoint
     is_leaving: bool = False
     leaving_since_ms: int = 0
-    warm_at_ms: int = 0
-    lapse_due_ms: int = 0
+    warmed_up_at_ms: int = 0
+    expiry_deadline_ms: int = 0
     is_readable: bool = True
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Whether new requests may be placed at the endpoint."""
         return not self.is_leaving and self.is_readable
 
@@ -49,21 +49,21 @@
     """The known endpoints by id."""
 
     def __init__(self) -> None:
-        self._known: dict[str, Known] = {}
+        self._known: dict[str, KnownEndpoint] = {}
 
-    def get(self, endpoint_id: str) -> Known | None:
+    def get(self, endpoint_id: str) -> KnownEndpoint | None:
         """Returns the known state of an endpoint, or None."""
         return self._known.get(endpoint_id)
 
-    def of_service(self, service: str) -> list[Known]:
+    def accepting_for_service(self, service: str) -> list[KnownEndpoint]:
         """Returns the endpoints of a service that accept new requests."""
         return [
             known
             for known in self._known.values()
-            if known.endpoint.service == service and known.takes_work
+            if known.endpoint.service == service and known.accepts_requests
         ]
 
-    def put(self, endpoint: Endpoint, now_ms: int) -> bool:
+    def apply_registration(self, endpoint: Endpoint, now_ms: int) -> bool:
         """Applies a registration; returns whether its endpoint now leaves."""
         known = self._known.get(endpoint.id)
         is_new = (
@@ -72,11 +72,11 @@
             or known.endpoint.address != endpoint.address
         )
         if known is None or is_new:
-            known = self._known[endpoint.id] = Known(endpoint)
+            known = self._known[endpoint.id] = KnownEndpoint(endpoint)
         known.endpoint = endpoint
-        known.lapse_due_ms = 0
+        known.expiry_deadline_ms = 0
         known.is_readable = True
-        known.warm_at_ms = now_ms + endpoint.warmup_ms
+        known.warmed_up_at_ms = now_ms + endpoint.warmup_ms
         if endpoint.state is EndpointState.DRAINING:
             return self._start_leaving(known, now_ms)
         if known.is_leaving:
@@ -97,8 +97,8 @@
         if known is None:
             return False
         if after_outage and not known.is_leaving:
-            known.lapse_due_ms = (
-                known.lapse_due_ms or now_ms + EXPIRED_ENTRY_GRACE_MS
+            known.expiry_deadline_ms = (
+                known.expiry_deadline_ms or now_ms + EXPIRED_ENTRY_GRACE_MS
             )
             return False
         return self._start_leaving(known, now_ms)
@@ -112,15 +112,15 @@
             return False
         return self._start_leaving(known, now_ms)
 
-    def all_leaving(self) -> list[Known]:
+    def all_leaving(self) -> list[KnownEndpoint]:
         """Returns the leaving endpoints whose state is still kept."""
         return [known for known in self._known.values() if known.is_leaving]
 
-    def all_taking_work(self) -> list[Known]:
+    def all_accepting(self) -> list[KnownEndpoint]:
         """Returns the endpoints of all services that accept new requests."""
-        return [known for known in self._known.values() if known.takes_work]
+        return [known for known in self._known.values() if known.accepts_requests]
 
-    def expire(self, now_ms: int) -> list[Known]:
+    def expire_endpoints(self, now_ms: int) -> list[KnownEndpoint]:
         """Gives up endpoints whose expired entries were not renewed.
 
         Endpoints that left longer ago than `LEFT_RETENTION_MS` are dropped.
@@ -131,10 +131,10 @@
         due = [
             known
             for known in self._known.values()
-            if known.lapse_due_ms and now_ms >= known.lapse_due_ms
+            if known.expiry_deadline_ms and now_ms >= known.expiry_deadline_ms
         ]
         for known in due:
-            known.lapse_due_ms = 0
+            known.expiry_deadline_ms = 0
             self._start_leaving(known, now_ms)
         outdated = [
             name
@@ -146,7 +146,7 @@
             del self._known[name]
         return due
 
-    def _start_leaving(self, known: Known, now_ms: int) -> bool:
+    def _start_leaving(self, known: KnownEndpoint, now_ms: int) -> bool:
         if known.is_leaving:
             return False
         known.is_leaving = True
--- a/rhubarbwinch/gateway/peers.py
+++ b/rhubarbwinch/gateway/peers.py
@@ -119,16 +119,16 @@
         self._peers[address.link] = Peer(address, self._clock.now())
         self._broadcast.add(address.broadcast)
 
-    def tell_loads(self) -> None:
+    def announce_loads(self) -> None:
         """Schedules a heartbeat if the loads have changed since the last."""
         if self._loads.version != self._announced_version:
-            self.tell()
+            self.announce()
 
-    def tell(self) -> None:
+    def announce(self) -> None:
         """Schedules a heartbeat within a few milliseconds."""
         self._wakeup.set()
 
-    def share(self, batch: SharedBatch) -> None:
+    def broadcast_changes(self, batch: SharedBatch) -> None:
         """Broadcasts changes of the store to all peers."""
         self._broadcast.send(batch)
 
@@ -179,7 +179,7 @@
         return len(self._live_heartbeats())
 
     @property
-    def near_count(self) -> int:
+    def data_center_count(self) -> int:
         """The number of live peers in this data centre."""
         own_data_center = self._own.data_center
         return sum(
--- a/rhubarbwinch/gateway/program.py
+++ b/rhubarbwinch/gateway/program.py
@@ -9,15 +9,15 @@
 import attrs
 
 from rhubarbwinch.gateway import statistics
-from rhubarbwinch.gateway.beliefs import Beliefs
+from rhubarbwinch.gateway.beliefs import ClusterView
 from rhubarbwinch.gateway.context import Context
 from rhubarbwinch.gateway.copies import CopyManager
 from rhubarbwinch.gateway.crashes import CrashLedger
 from rhubarbwinch.gateway.edge import EdgeServer
 from rhubarbwinch.gateway.endpoints import Endpoint
 from rhubarbwinch.gateway.failurereports import FailureReports
-from rhubarbwinch.gateway.feed import Feed
-from rhubarbwinch.gateway.fleet import Fleet, Known
+from rhubarbwinch.gateway.feed import StoreFeed
+from rhubarbwinch.gateway.fleet import Fleet, KnownEndpoint
 from rhubarbwinch.gateway.hops import Tracer
 from rhubarbwinch.gateway.loads import LoadBook
 from rhubarbwinch.gateway.messages import (
@@ -169,21 +169,21 @@
         )
         self._replica = Replica()
         self._streams = StreamCalls(self._context)
-        self._beliefs = Beliefs(
+        self._cluster_view = ClusterView(
             self._context,
             self._streams,
             dependencies.transport,
             self._apply_limits,
         )
-        self._feed = Feed(
+        self._store_feed = StoreFeed(
             dependencies.store,
             self._replica,
             clock,
             self._peers.should_watch,
             self._peers.is_watcher,
             lambda: self._peers.revision,
-            self._peers.share,
-            self._beliefs.apply,
+            self._peers.broadcast_changes,
+            self._cluster_view.apply_changes,
             self._links,
             settings.address.link,
         )
@@ -195,8 +195,8 @@
         self._outage = OutageWatch(
             clock,
             dependencies.engine_calls,
-            lambda: min(self._feed.confirmed_ms, self._peers.confirmed_ms),
-            lambda: self._peers.is_store_failing(self._feed.is_failing),
+            lambda: min(self._store_feed.confirmed_ms, self._peers.confirmed_ms),
+            lambda: self._peers.is_store_failing(self._store_feed.is_failing),
             lambda: [known.endpoint for known in self._own_engines()],
             self._own_expired_engines,
             self._announce_leaving,
@@ -222,19 +222,19 @@
         settings = self._settings
         for seed in settings.seeds:
             self._peers.add(seed)
-        self._broadcast.on(SharedBatch, self._feed.take_batch)
-        self._broadcast.on(LeavingNotice, self._beliefs.take_leaving)
+        self._broadcast.on(SharedBatch, self._store_feed.receive_batch)
+        self._broadcast.on(LeavingNotice, self._cluster_view.apply_leaving_notice)
         self._broadcast.on(CrashNotice, self._handle_crash)
         self._broadcast.on(FailureNotice, self._context.handle_failure)
         self._server.on(SnapshotCall, self._reply_snapshot)
-        self._server.on(ValueCall, self._feed.answer_value)
+        self._server.on(ValueCall, self._store_feed.handle_value_call)
         supervisor = Supervisor(settings.name, self._clock)
         supervisor.add("links", self._links.run)
         supervisor.add("link-server", self._server.run)
         supervisor.add("broadcast", self._broadcast.run)
         supervisor.add("peers", self._peers.run)
-        supervisor.add("feed", self._feed.run)
-        supervisor.add("fetches", self._feed.run_fetches)
+        supervisor.add("feed", self._store_feed.run)
+        supervisor.add("fetches", self._store_feed.run_fetches)
         supervisor.add("bootstrap", self._bootstrap)
         supervisor.add("registration", self._registration.run)
         supervisor.add("front", self._front.run)
@@ -277,8 +277,8 @@
             is_serving=self.is_ready,
             is_leaving=self._context.is_draining,
             revision=self._replica.revision,
-            confirmed_ms=self._feed.confirmed_ms,
-            is_store_failing=self._feed.is_failing,
+            confirmed_ms=self._store_feed.confirmed_ms,
+            is_store_failing=self._store_feed.is_failing,
         )
 
     def _apply_limits(self, table: RoutingTable) -> None:
@@ -290,28 +290,28 @@
         while self._context.table is None:
             snapshot = await self._peers.fetch_snapshot()
             if snapshot is not None and self._context.table is None:
-                self._feed.take_snapshot(snapshot)
+                self._store_feed.apply_snapshot(snapshot)
                 # In the store these engines may not be marked as leaving yet.
                 for notice in snapshot.leaving:
-                    self._beliefs.take_leaving(notice)
+                    self._cluster_view.apply_leaving_notice(notice)
             await self._clock.sleep(TICK_MS)
 
     async def _reply_snapshot(self, call: SnapshotCall) -> Snapshot:
         """Returns a snapshot of the known state to a gateway that starts."""
-        snapshot = await self._feed.answer_snapshot(call)
-        return attrs.evolve(snapshot, leaving=self._beliefs.leaving_notices())
+        snapshot = await self._store_feed.handle_snapshot_call(call)
+        return attrs.evolve(snapshot, leaving=self._cluster_view.leaving_notices())
 
     def _own_expired_engines(self) -> list[Endpoint]:
         """Returns those of the polled engines whose lease has expired."""
-        return [k.endpoint for k in self._own_engines() if k.lapse_due_ms]
+        return [k.endpoint for k in self._own_engines() if k.expiry_deadline_ms]
 
-    def _own_engines(self) -> list[Known]:
+    def _own_engines(self) -> list[KnownEndpoint]:
         """Returns the engines that this gateway polls for all peers."""
         table = self._context.table
         services = table.services if table is not None else {}
         return [
             known
-            for known in self._context.fleet.all_taking_work()
+            for known in self._context.fleet.all_accepting()
             if (spec := services.get(known.endpoint.service)) is not None
             and spec.engine is not None
             and self._peers.owns(known.endpoint.id)
@@ -320,7 +320,7 @@
     def _announce_leaving(self, endpoint: Endpoint) -> None:
         notice = LeavingNotice(endpoint.id, endpoint.started_ms)
         self._broadcast.send(notice)
-        self._beliefs.take_leaving(notice)
+        self._cluster_view.apply_leaving_notice(notice)
 
     def _handle_crash(self, notice: CrashNotice) -> None:
         """Handles a crash that another gateway has observed."""
@@ -332,16 +332,16 @@
         """Runs the periodic work every `TICK_MS`."""
         while True:
             await self._clock.sleep(TICK_MS)
-            self._beliefs.expire()
+            self._cluster_view.expire_endpoints()
             statistics.OPEN.set(self._front.status.open_requests)
             self._streams.note_change()
-            if self._feed.is_failing != self._was_failing:
-                self._was_failing = self._feed.is_failing
-                self._peers.tell()
+            if self._store_feed.is_failing != self._was_failing:
+                self._was_failing = self._store_feed.is_failing
+                self._peers.announce()
             if self.is_ready != self._was_ready:
                 self._was_ready = self.is_ready
                 events.READY_CHANGED.log(ready=self.is_ready)
-                self._peers.tell()
+                self._peers.announce()
             lines = self._dependencies.lines
             dropped = lines.take_dropped() if lines is not None else 0
             if dropped:
@@ -392,7 +392,7 @@
         events.DRAINING.log(name=self._settings.name, open=status.open_requests)
         self._context.is_draining = True
         status.is_closing = True
-        self._peers.tell()
+        self._peers.announce()
         end = started_ms + self._settings.grace_ms - GRACE_MARGIN_MS
         accept_until = started_ms + min(
             DRAIN_ACCEPT_MS, self._settings.grace_ms // 2
--- a/rhubarbwinch/gateway/rooms.py
+++ b/rhubarbwinch/gateway/rooms.py
@@ -33,7 +33,7 @@
         """Wakes the queued requests and publishes the loads to the peers."""
         for queue in self._queues.values():
             queue.wake()
-        self._context.peers.tell_loads()
+        self._context.peers.announce_loads()
 
     async def place(self, run: Run) -> Failure | None:
         """Reserves capacity for a run; queues it until there is some.
@@ -107,7 +107,7 @@
             engines=len(candidates),
         )
         self.reserve_standby(run)
-        context.peers.tell_loads()
+        context.peers.announce_loads()
         return True
 
     def reserve_standby(self, run: Run) -> None:
--- a/tests/gateway/test_feed.py
+++ b/tests/gateway/test_feed.py
@@ -12,7 +12,7 @@
     MAX_RETRY_MS,
     MIN_OUTAGE_MS,
     RETRY_MS,
-    Feed,
+    StoreFeed,
     _to_shared,
     split_batch,
 )
@@ -70,7 +70,7 @@
         return self.values[message.key]
 
 
-class FeedTest(unittest.TestCase):
+class StoreFeedTest(unittest.TestCase):
     """A feed with a scripted store and a manual clock."""
 
     def _make(self, scans, polls, is_watcher=True):
@@ -81,7 +81,7 @@
         self.is_watcher = is_watcher
         self.is_cut_off = False
         self.peer_revision = 0
-        self.feed = Feed(
+        self.store_feed = StoreFeed(
             self.store,
             Replica(),
             self.clock,
@@ -98,7 +98,7 @@
 
     async def _run(self, ms):
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self.feed.run)
+            tasks.start_soon(self.store_feed.run)
             await self.clock.advance(ms)
             tasks.cancel_scope.cancel()
 
@@ -142,7 +142,7 @@
         self.assertEqual(self.reported[-1], ([("a", 4)], True))
         self.assertTrue(self.broadcast_batches[-1].after_outage)
         await self._run(LEASE_RENEWAL_GRACE_MS)
-        self.assertFalse(self.feed.is_after_outage)
+        self.assertFalse(self.store_feed.is_after_outage)
 
     @asynchronous
     async def test_a_short_failure_does_not_mark_deletions(self):
@@ -180,11 +180,11 @@
         self._make([Listing([], 3)], down, is_watcher=False)
         self.is_cut_off = True
         await self._run(2_000)
-        self.assertTrue(self.feed.is_failing)
+        self.assertTrue(self.store_feed.is_failing)
         self.is_cut_off = False
         await self._run(MAX_RETRY_MS)
-        self.assertFalse(self.feed.is_failing)
-        self.assertTrue(self.feed.is_after_outage)
+        self.assertFalse(self.store_feed.is_failing)
+        self.assertTrue(self.store_feed.is_after_outage)
 
     @asynchronous
     async def test_a_follower_that_is_behind_its_peers_polls_the_store(self):
@@ -212,7 +212,7 @@
         )
         await self._run(300)
         batch = SharedBatch("p", 7, 9, [SharedChange("a", 8, b"v")])
-        self.feed.take_batch(batch)
+        self.store_feed.receive_batch(batch)
         self.assertEqual(self.reported[-1], ([("a", 8)], False))
         await self._run(300)
         self.assertEqual(self.store.calls, ["scan", "scan"])
@@ -222,8 +222,8 @@
         self._make([Listing([], 3)], [], is_watcher=False)
         await self._run(300)
         batch = SharedBatch("p", 3, 8, [SharedChange("a", 8, b"v")])
-        self.feed.take_batch(batch)
-        self.feed.take_batch(batch)
+        self.store_feed.receive_batch(batch)
+        self.store_feed.receive_batch(batch)
         self.assertEqual(self.reported, [([("a", 8)], False)])
 
     @asynchronous
@@ -235,8 +235,8 @@
         self.links.values["big"] = SharedChange("big", 5, b"x" * 5_000)
         left_out = SharedChange("big", 5, bytes_left_out=5_000)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self.feed.run_fetches)
-            self.feed.take_batch(SharedBatch("p", 3, 5, [left_out]))
+            tasks.start_soon(self.store_feed.run_fetches)
+            self.store_feed.receive_batch(SharedBatch("p", 3, 5, [left_out]))
             await self.clock.advance(10)
             tasks.cancel_scope.cancel()
         self.assertEqual(self.reported, [([("big", 5)], False)])
@@ -252,9 +252,9 @@
             for revision in (5, 6)
         ]
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self.feed.run_fetches)
-            self.feed.take_batch(SharedBatch("p", 3, 6, twice))
-            self.feed.take_batch(SharedBatch("p", 3, 6, twice))
+            tasks.start_soon(self.store_feed.run_fetches)
+            self.store_feed.receive_batch(SharedBatch("p", 3, 6, twice))
+            self.store_feed.receive_batch(SharedBatch("p", 3, 6, twice))
             await self.clock.advance(10)
             tasks.cancel_scope.cancel()
         self.assertEqual(self.reported, [([("big", 6)], False)])
@@ -267,8 +267,8 @@
         await self._run(300)
         left_out = SharedChange("big", 5, bytes_left_out=5_000)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self.feed.run_fetches)
-            self.feed.take_batch(SharedBatch("p", 3, 5, [left_out]))
+            tasks.start_soon(self.store_feed.run_fetches)
+            self.store_feed.receive_batch(SharedBatch("p", 3, 5, [left_out]))
             await self.clock.advance(10)
             tasks.cancel_scope.cancel()
         await self._run(300)
--- a/tests/gatewayworld.py
+++ b/tests/gatewayworld.py
@@ -33,9 +33,9 @@
     """A `Peers` for a gateway without other gateways."""
 
     count = 0
-    near_count = 0
+    data_center_count = 0
 
-    def tell_loads(self):
+    def announce_loads(self):
         """Does nothing."""
 
     def report_failure(self, endpoint):
@@ -86,22 +86,22 @@
             table=table,
         )
         for engine in self.engines:
-            self.put(engine)
+            self.apply_registration(engine)
         self.streams = StreamCalls(self.context)
         router = Router(self.context, PlainCalls(self.context), self.streams)
         self.address = free_address()
         self.edge = EdgeServer(self.address, router.handle, SystemClock())
 
-    def put(self, engine, state="ready"):
+    def apply_registration(self, engine, state="ready"):
         """Registers an engine."""
         endpoint = self.platform.decode_endpoint(
             engine.name, engine.registration(state)
         )
-        return self.context.fleet.put(endpoint, self.context.clock.now())
+        return self.context.fleet.apply_registration(endpoint, self.context.clock.now())
 
     def announce_leaving(self, engine):
         """Delivers the notice that an engine is leaving."""
-        assert self.put(engine, "draining")
+        assert self.apply_registration(engine, "draining")
         known = self.context.fleet.get(engine.name)
         self.streams.note_leaving(known.endpoint)
 
