--- a/rhubarbwinch/gateway/carrying.py
+++ b/rhubarbwinch/gateway/carrying.py
@@ -6,7 +6,7 @@
 from rhubarbwinch.gateway.context import Context
 from rhubarbwinch.gateway.copies import MigratedCopy
 from rhubarbwinch.gateway.endpoints import Endpoint
-from rhubarbwinch.gateway.loads import Room
+from rhubarbwinch.gateway.loads import Reservation
 from rhubarbwinch.gateway.runs import MigrationTarget, Run
 from rhubarbwinch.gateway.wire import KvCacheLocation, MoveState
 
@@ -97,11 +97,11 @@
 
     def _reserve(
         self, run: Run, source: Endpoint, refused_ids: set[str]
-    ) -> Room | None:
+    ) -> Reservation | None:
         """Reserves capacity at a migration target; None without a target."""
         context = self._context
         tokens = run.expected_tokens
-        chosen = moving.choose_home(
+        chosen = moving.choose_target(
             context.candidates(run.job.service, refused_ids),
             source,
             tokens,
@@ -109,12 +109,12 @@
         )
         if chosen is None:
             return None
-        reservation = Room(chosen.endpoint, tokens, 0, 1, context.loads).hold()
+        reservation = Reservation(chosen.endpoint, tokens, 0, 1, context.loads).reserve()
         context.peers.announce_loads()
         return reservation
 
     def _new_copy(
-        self, run: Run, source: Endpoint, reservation: Room
+        self, run: Run, source: Endpoint, reservation: Reservation
     ) -> MigratedCopy:
         spec = self._context.engine_spec(run.job.service)
         expiry_ms = spec.copy_expiry_ms if spec is not None else 0
@@ -123,7 +123,7 @@
         )
 
     async def _copy_to(
-        self, run: Run, source: Endpoint, reservation: Room
+        self, run: Run, source: Endpoint, reservation: Reservation
     ) -> MoveState:
         """Maintains a copy at one engine until that engine leaves.
 
--- a/rhubarbwinch/gateway/context.py
+++ b/rhubarbwinch/gateway/context.py
@@ -15,7 +15,7 @@
 )
 from rhubarbwinch.gateway.fleet import Fleet, KnownEndpoint
 from rhubarbwinch.gateway.hops import Tracer
-from rhubarbwinch.gateway.loads import LoadBook
+from rhubarbwinch.gateway.loads import LoadTracker
 from rhubarbwinch.gateway.messages import FailureNotice
 from rhubarbwinch.gateway.peers import Peers
 from rhubarbwinch.gateway.placing import Candidate
@@ -56,7 +56,7 @@
     clock: Clock
     rng: random.Random
     fleet: Fleet
-    loads: LoadBook
+    loads: LoadTracker
     suspicion: Suspicion
     reports: FailureReports
     budget: RetryBudget
--- a/rhubarbwinch/gateway/continuing.py
+++ b/rhubarbwinch/gateway/continuing.py
@@ -7,7 +7,7 @@
 from rhubarbwinch.gateway.context import Context
 from rhubarbwinch.gateway.endpoints import Endpoint
 from rhubarbwinch.gateway.enginesends import GenerationSender
-from rhubarbwinch.gateway.loads import Room
+from rhubarbwinch.gateway.loads import Reservation
 from rhubarbwinch.gateway.rooms import RunPlacer
 from rhubarbwinch.gateway.runs import MigrationTarget, Run
 from rhubarbwinch.gateway.suspicion import Outcome
@@ -83,12 +83,12 @@
         assert run.standby is not None
         assert run.reservation is not None
         standby = run.standby
-        reservation = Room(
+        reservation = Reservation(
             standby.endpoint, standby.tokens, 0, 1, self._context.loads
         )
         location = KvCacheLocation(standby.endpoint.address, run.id)
         return MigrationTarget(
-            reservation.hold(), location, run.reservation.endpoint
+            reservation.reserve(), location, run.reservation.endpoint
         )
 
     async def _resume_at_target(
@@ -129,7 +129,7 @@
         result = await self._sender.open(run, run.reservation.endpoint, None)
         return result if isinstance(result, UpstreamResponse) else None
 
-    def _replace_reservation(self, run: Run, reservation: Room) -> None:
+    def _replace_reservation(self, run: Run, reservation: Reservation) -> None:
         """Replaces the reservation of a run and reserves a new standby."""
         run.release()
         run.reservation = reservation
--- a/rhubarbwinch/gateway/copies.py
+++ b/rhubarbwinch/gateway/copies.py
@@ -13,7 +13,7 @@
 
 from rhubarbwinch.gateway import statistics
 from rhubarbwinch.gateway.endpoints import Endpoint
-from rhubarbwinch.gateway.loads import Room
+from rhubarbwinch.gateway.loads import Reservation
 from rhubarbwinch.gateway.wire import (
     CopyResult,
     EngineCalls,
@@ -46,7 +46,7 @@
     request_id: str
     source: Endpoint
     target: Endpoint
-    reservation: Room | None
+    reservation: Reservation | None
     expiry_ms: int
     handle: str = ""
     may_exist: bool = False
--- a/rhubarbwinch/gateway/loads.py
+++ b/rhubarbwinch/gateway/loads.py
@@ -46,7 +46,7 @@
     loads: list[EndpointLoad]
 
 
-class LoadBook:
+class LoadTracker:
     """Counts the requests of this gateway and its peers at each endpoint.
 
     Attributes:
@@ -75,7 +75,7 @@
         self._own.setdefault(endpoint, Load()).add(runs, tokens, prefill)
         self.version += 1
 
-    def add_local(self, endpoint: str, runs: int) -> None:
+    def add_unannounced(self, endpoint: str, runs: int) -> None:
         """Counts plain calls, or subtracts ended ones.
 
         Plain calls are not announced to peers, since a plain call ends in
@@ -103,7 +103,7 @@
             del self._own[endpoint]
         self.version += 1
 
-    def own(self) -> list[EndpointLoad]:
+    def own_loads(self) -> list[EndpointLoad]:
         """Returns the loads of this gateway, for its peers."""
         return [
             EndpointLoad(name, load.runs, load.tokens, load.prefill)
@@ -162,7 +162,7 @@
 
 
 @attrs.define(eq=False)
-class Room:
+class Reservation:
     """Capacity reserved at an engine, counted by all gateways until released.
 
     Attributes:
@@ -176,10 +176,10 @@
     tokens: int
     prefill: int
     runs: int
-    _loads: LoadBook
+    _loads: LoadTracker
     _is_held: bool = False
 
-    def hold(self) -> "Room":
+    def reserve(self) -> "Reservation":
         """Counts the reservation; returns it."""
         self._loads.add(self.endpoint.id, self.tokens, self.prefill, self.runs)
         self._is_held = True
--- a/rhubarbwinch/gateway/moving.py
+++ b/rhubarbwinch/gateway/moving.py
@@ -38,25 +38,25 @@
 EARLY_REFRESH_MS = 40
 
 
-def choose_home(
+def choose_target(
     candidates: list[Candidate],
     source: Endpoint,
     tokens: int,
     rng: random.Random,
-    memory_share: float = TARGET_KV_CACHE_SHARE,
+    kv_cache_share: float = TARGET_KV_CACHE_SHARE,
 ) -> Candidate | None:
     """Returns the migration target of a run, or None without capacity."""
     fitting = [
         c
         for c in candidates
-        if c.fits(tokens, memory_share) and c.failure_share < MAX_FAILURE_SHARE
+        if c.fits(tokens, kv_cache_share) and c.failure_share < MAX_FAILURE_SHARE
     ]
     if not fitting:
         return None
     return min(fitting, key=lambda c: (_cost(c, source), rng.random()))
 
 
-def choose_backup(
+def choose_standby(
     candidates: list[Candidate],
     source: Endpoint,
     tokens: int,
@@ -74,7 +74,7 @@
     capacity = sum(c.capacity_tokens for c in candidates)
     if reserved > capacity * STANDBY_TOTAL_SHARE:
         return None
-    return choose_home(candidates, source, tokens, rng, STANDBY_KV_CACHE_SHARE)
+    return choose_target(candidates, source, tokens, rng, STANDBY_KV_CACHE_SHARE)
 
 
 def refresh_after_ms(events_behind: int) -> int:
--- a/rhubarbwinch/gateway/peers.py
+++ b/rhubarbwinch/gateway/peers.py
@@ -6,7 +6,7 @@
 import attrs
 
 from rhubarbwinch.gateway.feed import MAX_FRESH_AGE_MS
-from rhubarbwinch.gateway.loads import LoadBook
+from rhubarbwinch.gateway.loads import LoadTracker
 from rhubarbwinch.gateway.messages import (
     FailureNotice,
     Heartbeat,
@@ -77,7 +77,7 @@
         broadcast: Broadcast,
         links: Caller,
         clock: Clock,
-        loads: LoadBook,
+        loads: LoadTracker,
         add_state: Callable[[Heartbeat], Heartbeat],
     ) -> None:
         self._own = own
@@ -106,7 +106,7 @@
                     attrs.evolve(
                         self._own,
                         sequence=self._sequence,
-                        loads=self._loads.own(),
+                        loads=self._loads.own_loads(),
                     )
                 )
             )
--- a/rhubarbwinch/gateway/placing.py
+++ b/rhubarbwinch/gateway/placing.py
@@ -15,7 +15,7 @@
 
 # Share of an engine's KV cache that new generations may reserve. The rest is
 # for outputs that become longer than predicted.
-MEMORY_SHARE = 0.92
+MAX_KV_CACHE_SHARE = 0.92
 # Share of an engine's slots that is used. With more runs the events would come
 # too slowly.
 MAX_SLOT_SHARE = 1.0
@@ -56,7 +56,7 @@
     is_warm: bool = True
     failure_share: float = 0.0
 
-    def fits(self, tokens: int, memory_share: float) -> bool:
+    def fits(self, tokens: int, kv_cache_share: float) -> bool:
         """Returns whether a run of `tokens` fits beside the other runs.
 
         An engine without reserved KV cache takes a run of any size.
@@ -65,7 +65,7 @@
             return False
         if not self.capacity_tokens:
             return True
-        limit = self.capacity_tokens * memory_share
+        limit = self.capacity_tokens * kv_cache_share
         return self.load.tokens + tokens <= limit or not self.load.tokens
 
 
@@ -74,10 +74,10 @@
     tokens: int,
     data_center: str,
     rng: random.Random,
-    memory_share: float = MEMORY_SHARE,
+    kv_cache_share: float = MAX_KV_CACHE_SHARE,
 ) -> Candidate | None:
     """Returns the engine for a generation, or None if none has capacity."""
-    fitting = [c for c in candidates if c.fits(tokens, memory_share)]
+    fitting = [c for c in candidates if c.fits(tokens, kv_cache_share)]
     if not fitting:
         return None
     return min(
@@ -97,7 +97,7 @@
     return cost + FAILING_RUNS * candidate.failure_share
 
 
-def choose_endpoint(
+def choose_plain_endpoint(
     candidates: list[Candidate], data_center: str, rng: random.Random
 ) -> Candidate | None:
     """Returns the endpoint for a plain call, or None without candidates."""
--- a/rhubarbwinch/gateway/plaincalls.py
+++ b/rhubarbwinch/gateway/plaincalls.py
@@ -71,7 +71,7 @@
             left_ms = job.deadline_ms - context.clock.now()
             if left_ms < MIN_ATTEMPT_MS:
                 break
-            chosen = placing.choose_endpoint(
+            chosen = placing.choose_plain_endpoint(
                 context.candidates(job.service, job.tried),
                 context.data_center,
                 context.rng,
@@ -118,7 +118,7 @@
         if self._may_repeat(job, runs_before) and not job.tried - {endpoint.id}:
             limit_ms = int(left_ms * FIRST_ATTEMPT_SHARE)
         started_ms = context.clock.now()
-        context.loads.add_local(endpoint.id, 1)
+        context.loads.add_unannounced(endpoint.id, 1)
         try:
             with anyio.move_on_after(limit_ms / 1000):
                 return await self._exchange(job, endpoint, left_ms)
@@ -128,7 +128,7 @@
                 context.check_crash(job, endpoint.id, endpoint.address)
             return failure
         finally:
-            context.loads.add_local(endpoint.id, -1)
+            context.loads.add_unannounced(endpoint.id, -1)
         context.note(job, job.service, endpoint.id, Outcome.BROKEN)
         self._log_attempt(
             job, endpoint, started_ms, f"no answer in {limit_ms} ms"
--- a/rhubarbwinch/gateway/program.py
+++ b/rhubarbwinch/gateway/program.py
@@ -19,7 +19,7 @@
 from rhubarbwinch.gateway.feed import StoreFeed
 from rhubarbwinch.gateway.fleet import Fleet, KnownEndpoint
 from rhubarbwinch.gateway.hops import Tracer
-from rhubarbwinch.gateway.loads import LoadBook
+from rhubarbwinch.gateway.loads import LoadTracker
 from rhubarbwinch.gateway.messages import (
     CrashNotice,
     FailureNotice,
@@ -121,7 +121,7 @@
         self._links = Links(incarnation)
         self._server = LinkServer(settings.address.link)
         self._broadcast = Broadcast(settings.address.broadcast)
-        loads = LoadBook()
+        loads = LoadTracker()
         heartbeat = Heartbeat(
             settings.name,
             incarnation,
--- a/rhubarbwinch/gateway/rooms.py
+++ b/rhubarbwinch/gateway/rooms.py
@@ -4,9 +4,9 @@
 
 from rhubarbwinch.gateway import moving, placing
 from rhubarbwinch.gateway.context import Context
-from rhubarbwinch.gateway.loads import Room
+from rhubarbwinch.gateway.loads import Reservation
 from rhubarbwinch.gateway.runs import Run
-from rhubarbwinch.gateway.waiting import WAIT_SHARE, Waiter, WaitQueue
+from rhubarbwinch.gateway.waiting import MAX_WAIT_SHARE, Waiter, WaitQueue
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.verdict import Failure, Reason, not_run
 
@@ -32,7 +32,7 @@
     def note_change(self) -> None:
         """Wakes the queued requests and publishes the loads to the peers."""
         for queue in self._queues.values():
-            queue.wake()
+            queue.wake_first()
         self._context.peers.announce_loads()
 
     async def place(self, run: Run) -> Failure | None:
@@ -51,27 +51,27 @@
             run
         ):
             return None
-        limit_ms = int((job.objective_ms - now) * WAIT_SHARE)
+        limit_ms = int((job.objective_ms - now) * MAX_WAIT_SHARE)
         if limit_ms <= 0:
             limit_ms = left_ms // 4
-        if queue.is_hopeless(job.priority, job.objective_ms, limit_ms):
+        if queue.exceeds_wait_limit(job.priority, job.objective_ms, limit_ms):
             return self._refuse(run, queue, "too many wait before it")
-        waiter = queue.join(job.priority, job.objective_ms)
+        waiter = queue.enqueue(job.priority, job.objective_ms)
         try:
             with anyio.move_on_after(limit_ms / 1000):
                 await self._wait_turn(run, waiter)
-                queue.note_admission()
+                queue.record_admission()
                 return None
         finally:
-            queue.leave(waiter)
+            queue.remove_waiter(waiter)
         if self._try_reserve(run, OVERCOMMIT_MEMORY_SHARE):
             return None
         return self._refuse(run, queue, f"no room in {limit_ms} ms")
 
     async def _wait_turn(self, run: Run, waiter: Waiter) -> None:
         while True:
-            await waiter.turn.wait()
-            waiter.turn = anyio.Event()
+            await waiter.may_try.wait()
+            waiter.may_try = anyio.Event()
             if self._try_reserve(run):
                 return
 
@@ -84,20 +84,20 @@
         return not_run(Reason.QUEUE_FULL, detail, retry_hint_ms)
 
     def _try_reserve(
-        self, run: Run, memory_share: float = placing.MEMORY_SHARE
+        self, run: Run, kv_cache_share: float = placing.MAX_KV_CACHE_SHARE
     ) -> bool:
         """Reserves capacity now; returns False if no engine has enough."""
         context, job = self._context, run.job
         tokens = run.expected_tokens
         candidates = context.candidates(job.service, job.tried)
         chosen = placing.choose_engine(
-            candidates, tokens, context.data_center, context.rng, memory_share
+            candidates, tokens, context.data_center, context.rng, kv_cache_share
         )
         if chosen is None:
             return False
-        run.reservation = Room(
+        run.reservation = Reservation(
             chosen.endpoint, tokens, job.call.prompt_tokens, 1, context.loads
-        ).hold()
+        ).reserve()
         events.PLACED.log(
             request=run.id,
             endpoint=chosen.endpoint.id,
@@ -120,13 +120,13 @@
             # The run is short and can be restarted at another engine.
             return
         tokens = run.expected_tokens
-        chosen = moving.choose_backup(
+        chosen = moving.choose_standby(
             context.candidates(job.service, {run.reservation.endpoint.id}),
             run.reservation.endpoint,
             tokens,
             context.rng,
         )
         if chosen is not None:
-            run.standby = Room(
+            run.standby = Reservation(
                 chosen.endpoint, tokens, 0, 0, context.loads
-            ).hold()
+            ).reserve()
--- a/rhubarbwinch/gateway/runs.py
+++ b/rhubarbwinch/gateway/runs.py
@@ -7,7 +7,7 @@
 from rhubarbwinch.gateway.context import Job
 from rhubarbwinch.gateway.edge import EdgeResponder
 from rhubarbwinch.gateway.endpoints import Endpoint
-from rhubarbwinch.gateway.loads import Room
+from rhubarbwinch.gateway.loads import Reservation
 from rhubarbwinch.gateway.wire import KvCacheLocation
 
 
@@ -21,7 +21,7 @@
         source: The engine that the run leaves.
     """
 
-    reservation: Room
+    reservation: Reservation
     location: KvCacheLocation
     source: Endpoint
 
@@ -52,8 +52,8 @@
     job: Job
     responder: EdgeResponder
     tasks: anyio.abc.TaskGroup
-    reservation: Room | None = None
-    standby: Room | None = None
+    reservation: Reservation | None = None
+    standby: Reservation | None = None
     last_event_id: str | None = None
     events: int = 0
     head_sent: bool = False
--- a/rhubarbwinch/gateway/waiting.py
+++ b/rhubarbwinch/gateway/waiting.py
@@ -14,7 +14,7 @@
 
 # Share of the time to the objective that may be spent waiting. The rest is for
 # prefill.
-WAIT_SHARE = 0.6
+MAX_WAIT_SHARE = 0.6
 # Weight of the newest value in the moving average of the time between
 # admissions.
 GAP_AVERAGE_WEIGHT = 0.1
@@ -31,12 +31,12 @@
     Attributes:
         priority: Its priority, 0 first.
         deadline_ms: The time at which its latency objective ends.
-        turn: Set when the request may try to be placed.
+        may_try: Set when the request may try to be placed.
     """
 
     priority: int
     deadline_ms: int
-    turn: anyio.Event = attrs.field(factory=anyio.Event)
+    may_try: anyio.Event = attrs.field(factory=anyio.Event)
 
     @property
     def sort_key(self) -> tuple[int, int]:
@@ -67,7 +67,7 @@
         )
         return int((ahead + 1) * self._gap_ms)
 
-    def is_hopeless(
+    def exceeds_wait_limit(
         self, priority: int, deadline_ms: int, limit_ms: int
     ) -> bool:
         """Returns whether a new request's wait would exceed the limit."""
@@ -82,7 +82,7 @@
             MIN_RETRY_AFTER_MS, self.expected_wait_ms(priority, deadline_ms)
         )
 
-    def note_admission(self) -> None:
+    def record_admission(self) -> None:
         """Updates the average time between admissions while others wait."""
         now = self._clock.now()
         if self._waiters and self._admitted_ms:
@@ -94,7 +94,7 @@
         """Returns whether a new request would be ahead of all waiting ones."""
         return all(w.sort_key > (priority, deadline_ms) for w in self._waiters)
 
-    def join(self, priority: int, deadline_ms: int) -> Waiter:
+    def enqueue(self, priority: int, deadline_ms: int) -> Waiter:
         """Adds a request to the queue."""
         waiter = Waiter(priority, deadline_ms)
         self._waiters.append(waiter)
@@ -102,13 +102,13 @@
         statistics.WAITING.set(len(self._waiters))
         return waiter
 
-    def leave(self, waiter: Waiter) -> None:
+    def remove_waiter(self, waiter: Waiter) -> None:
         """Removes a request that was placed, refused or cancelled."""
         self._waiters.remove(waiter)
         statistics.WAITING.set(len(self._waiters))
-        self.wake()
+        self.wake_first()
 
-    def wake(self) -> None:
+    def wake_first(self) -> None:
         """Lets the first waiting request try to be placed."""
         if self._waiters:
-            self._waiters[0].turn.set()
+            self._waiters[0].may_try.set()
--- a/tests/gateway/test_copies.py
+++ b/tests/gateway/test_copies.py
@@ -6,7 +6,7 @@
 import anyio
 
 from rhubarbwinch.gateway.copies import EXPIRY_FACTOR, CopyManager, MigratedCopy
-from rhubarbwinch.gateway.loads import LoadBook, Room
+from rhubarbwinch.gateway.loads import LoadTracker, Reservation
 from rhubarbwinch.gateway.wire import CopyResult, FreeState, MoveState
 from rhubarbwinch.shared.clock import ManualClock
 from tests.gatewaybuilders import endpoint
@@ -44,8 +44,8 @@
     async def _running_manager(self):
         self.calls = Calls()
         self.clock = ManualClock()
-        self.loads = LoadBook()
-        reservation = Room(TARGET, TOKENS, 0, 1, self.loads).hold()
+        self.loads = LoadTracker()
+        reservation = Reservation(TARGET, TOKENS, 0, 1, self.loads).reserve()
         self.copy = MigratedCopy("q1", SOURCE, TARGET, reservation, EXPIRY_MS)
         manager = CopyManager(self.calls, self.clock)
         async with anyio.create_task_group() as tasks:
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from rhubarbwinch.gateway.loads import LoadBook
+from rhubarbwinch.gateway.loads import LoadTracker
 from rhubarbwinch.gateway.messages import Heartbeat
 from rhubarbwinch.gateway.peers import ALIVE_TIMEOUT_MS, Peers
 from rhubarbwinch.shared.clock import ManualClock
@@ -44,7 +44,7 @@
             self.broadcast,
             None,
             self.clock,
-            LoadBook(),
+            LoadTracker(),
             lambda heartbeat: heartbeat,
         )
 
--- a/tests/gateway/test_placing.py
+++ b/tests/gateway/test_placing.py
@@ -56,17 +56,17 @@
         self.assertEqual(self._choose(far, candidate("e2")), "e2")
 
 
-class ChooseEndpointTest(unittest.TestCase):
+class ChoosePlainEndpointTest(unittest.TestCase):
     """Placement of plain calls."""
 
     def test_the_endpoint_with_the_fewest_calls_per_slot_is_chosen(self):
-        chosen = placing.choose_endpoint(
+        chosen = placing.choose_plain_endpoint(
             [candidate("e1", runs=3), candidate("e2", runs=1)], "dc-a", rng()
         )
         self.assertEqual(_name(chosen), "e2")
 
     def test_an_endpoint_that_fails_often_is_chosen_less(self):
-        chosen = placing.choose_endpoint(
+        chosen = placing.choose_plain_endpoint(
             [candidate("e1", failure_share=0.4), candidate("e2", runs=1)],
             "dc-a",
             rng(),
@@ -74,7 +74,7 @@
         self.assertEqual(_name(chosen), "e2")
 
     def test_without_endpoints_there_is_no_choice(self):
-        self.assertIsNone(placing.choose_endpoint([], "dc-a", rng()))
+        self.assertIsNone(placing.choose_plain_endpoint([], "dc-a", rng()))
 
 
 class ChooseTargetTest(unittest.TestCase):
@@ -82,7 +82,7 @@
 
     def _choose(self, *candidates):
         return _name(
-            moving.choose_home(list(candidates), endpoint("e9"), 4_000, rng())
+            moving.choose_target(list(candidates), endpoint("e9"), 4_000, rng())
         )
 
     def test_the_target_is_in_the_data_center_while_it_has_capacity(self):
@@ -116,7 +116,7 @@
 
     def _choose(self, *candidates):
         return _name(
-            moving.choose_backup(list(candidates), endpoint("e9"), 4_000, rng())
+            moving.choose_standby(list(candidates), endpoint("e9"), 4_000, rng())
         )
 
     def test_a_run_gets_a_standby_while_kv_cache_is_ample(self):
--- a/tests/gateway/test_plaincalls.py
+++ b/tests/gateway/test_plaincalls.py
@@ -167,7 +167,7 @@
             writer.close()
             while not w.engines[0].left:
                 await anyio.sleep(0)
-            self.assertEqual(w.context.loads.own(), [])
+            self.assertEqual(w.context.loads.own_loads(), [])
 
     @asynchronous
     async def test_the_endpoint_gets_the_remaining_deadline(self):
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -68,7 +68,7 @@
             found = await w.call()
         self.assertEqual(found.body, ALL)
         self.assertTrue(found.is_complete)
-        self.assertEqual(w.context.loads.own(), [])
+        self.assertEqual(w.context.loads.own_loads(), [])
 
     @asynchronous
     async def test_a_run_resumes_from_its_copy_when_its_engine_ends(self):
@@ -126,7 +126,7 @@
             generation.proceed.set()
             found = await read_response(reader)
             writer.close()
-            while w.context.loads.own():
+            while w.context.loads.own_loads():
                 await anyio.sleep(0)
         self.assertEqual(found.body, ALL)
         self.assertEqual(source.freed, ["h-q1"])
@@ -326,7 +326,7 @@
             writer.close()
             while not w.engines[0].left:
                 await anyio.sleep(0)
-            self.assertEqual(w.context.loads.own(), [])
+            self.assertEqual(w.context.loads.own_loads(), [])
 
     @asynchronous
     async def test_a_draining_gateway_refuses_generations(self):
--- a/tests/gatewayworld.py
+++ b/tests/gatewayworld.py
@@ -13,7 +13,7 @@
 from rhubarbwinch.gateway.edge import EdgeServer
 from rhubarbwinch.gateway.failurereports import FailureReports
 from rhubarbwinch.gateway.fleet import Fleet
-from rhubarbwinch.gateway.loads import LoadBook
+from rhubarbwinch.gateway.loads import LoadTracker
 from rhubarbwinch.gateway.messages import FailureNotice
 from rhubarbwinch.gateway.plaincalls import PlainCalls
 from rhubarbwinch.gateway.retrybudget import RetryBudget
@@ -70,7 +70,7 @@
             clock=SystemClock(),
             rng=build.rng(),
             fleet=Fleet(),
-            loads=LoadBook(),
+            loads=LoadTracker(),
             suspicion=Suspicion(),
             reports=FailureReports("dc-a"),
             budget=RetryBudget(0.2, 10_000, 100),
