--- a/rhubarbwinch/gateway/context.py
+++ b/rhubarbwinch/gateway/context.py
@@ -11,7 +11,7 @@
 from rhubarbwinch.gateway.failurereports import (
     WINDOW_MS,
     FailureReports,
-    Traffic,
+    ServiceTraffic,
 )
 from rhubarbwinch.gateway.fleet import Fleet, KnownEndpoint
 from rhubarbwinch.gateway.hops import Tracer
@@ -21,7 +21,7 @@
 from rhubarbwinch.gateway.placing import Candidate
 from rhubarbwinch.gateway.retrybudget import RetryBudget
 from rhubarbwinch.gateway.routes import EngineSpec, Route, RoutingTable
-from rhubarbwinch.gateway.suspicion import Outcome, Suspicion
+from rhubarbwinch.gateway.suspicion import AttemptOutcome, Suspicion
 from rhubarbwinch.gateway.upstream import Upstream
 from rhubarbwinch.gateway.wire import CallHead, Platform
 from rhubarbwinch.shared import events
@@ -102,13 +102,13 @@
             self.suspicion.failure_share(endpoint.id),
         )
 
-    def note(
-        self, job: "Job", service: str, endpoint_id: str, outcome: Outcome
+    def record_outcome(
+        self, job: "Job", service: str, endpoint_id: str, outcome: AttemptOutcome
     ) -> None:
         """Records how an attempt ended."""
         now = self.clock.now()
         statistics.SENDS.labels(outcome.name.lower()).inc()
-        if self.suspicion.note(service, endpoint_id, outcome, now):
+        if self.suspicion.record_outcome(service, endpoint_id, outcome, now):
             events.ENDPOINT_AVOIDED.log(
                 request=job.call.request_id,
                 endpoint=endpoint_id,
@@ -120,13 +120,13 @@
         if self._is_shared(service, outcome):
             self.handle_failure(self.peers.report_failure(endpoint_id))
 
-    def _is_shared(self, service: str, outcome: Outcome) -> bool:
+    def _is_shared(self, service: str, outcome: AttemptOutcome) -> bool:
         """Returns whether an outcome is reported to the other gateways."""
-        if outcome is Outcome.ERROR:
+        if outcome is AttemptOutcome.ERROR:
             # Plain services may respond to some requests with errors of their
             # own, which are no sign of a fault.
             return self.engine_spec(service) is not None
-        return outcome in (Outcome.BROKEN, Outcome.UNREACHABLE)
+        return outcome in (AttemptOutcome.BROKEN, AttemptOutcome.UNREACHABLE)
 
     def handle_failure(self, notice: FailureNotice) -> None:
         """Handles a failure that this gateway or a peer has observed."""
@@ -135,18 +135,18 @@
             return
         now = self.clock.now()
         service = known.endpoint.service
-        traffic = Traffic(
+        traffic = ServiceTraffic(
             self.suspicion.calls_each(service, WINDOW_MS),
             self.peers.data_center_count + 1,
             self.peers.count + 1,
             frozenset(k.endpoint.id for k in self.fleet.accepting_for_service(service)),
         )
-        if not self.reports.note(notice, traffic, now):
+        if not self.reports.record_report(notice, traffic, now):
             return
         until_ms = self.suspicion.avoid(service, notice.endpoint, now)
         if until_ms is None:
             return
-        self.reports.note_pause(notice.endpoint, until_ms)
+        self.reports.record_pause(notice.endpoint, until_ms)
         events.ENDPOINT_REPORTED.log(
             endpoint=notice.endpoint,
             reporter=notice.gateway,
@@ -166,7 +166,7 @@
 
     def acquire_retry(self, service: str) -> bool:
         """Takes one attempt from the retry budget; False if it is used up."""
-        return self.budget.take(service, self.peers.count + 1, self.clock.now())
+        return self.budget.try_acquire(service, self.peers.count + 1, self.clock.now())
 
 
 @attrs.define
--- a/rhubarbwinch/gateway/continuing.py
+++ b/rhubarbwinch/gateway/continuing.py
@@ -10,7 +10,7 @@
 from rhubarbwinch.gateway.loads import Reservation
 from rhubarbwinch.gateway.rooms import RunPlacer
 from rhubarbwinch.gateway.runs import MigrationTarget, Run
-from rhubarbwinch.gateway.suspicion import Outcome
+from rhubarbwinch.gateway.suspicion import AttemptOutcome
 from rhubarbwinch.gateway.upstream import UpstreamResponse
 from rhubarbwinch.gateway.wire import KvCacheLocation
 from rhubarbwinch.shared import events
@@ -53,7 +53,7 @@
         Returns:
             The response of the next engine, or None if the run cannot resume.
         """
-        self._context.note(
+        self._context.record_outcome(
             run.job, run.job.service, source.id, self._outcome_for(source)
         )
         if run.migration_scope is not None:
@@ -71,12 +71,12 @@
             return await self._restart(run, source)
         return None
 
-    def _outcome_for(self, source: Endpoint) -> Outcome:
+    def _outcome_for(self, source: Endpoint) -> AttemptOutcome:
         """Returns the outcome to record for the engine of a broken stream."""
         known = self._context.fleet.get(source.id)
         if known is None or known.is_leaving:
-            return Outcome.GOOD
-        return Outcome.BROKEN
+            return AttemptOutcome.GOOD
+        return AttemptOutcome.BROKEN
 
     def _standby_target(self, run: Run) -> MigrationTarget:
         """Returns the standby of a run as the target to resume at."""
--- a/rhubarbwinch/gateway/enginesends.py
+++ b/rhubarbwinch/gateway/enginesends.py
@@ -11,7 +11,7 @@
 )
 from rhubarbwinch.gateway.rooms import MIN_ATTEMPT_MS
 from rhubarbwinch.gateway.runs import Run
-from rhubarbwinch.gateway.suspicion import Outcome
+from rhubarbwinch.gateway.suspicion import AttemptOutcome
 from rhubarbwinch.gateway.upstream import UpstreamResponse
 from rhubarbwinch.gateway.wire import AttemptOptions, KvCacheLocation
 from rhubarbwinch.shared import events
@@ -67,8 +67,8 @@
                 )
                 return await self._classify(run, endpoint, response, now)
         except EndpointError as error:
-            outcome = Outcome.BROKEN if error.sent else Outcome.UNREACHABLE
-            context.note(job, job.service, endpoint.id, outcome)
+            outcome = AttemptOutcome.BROKEN if error.sent else AttemptOutcome.UNREACHABLE
+            context.record_outcome(job, job.service, endpoint.id, outcome)
             self._log_attempt(run, endpoint, now, str(error))
             if error.sent:
                 context.check_crash(job, endpoint.id, endpoint.address)
@@ -110,11 +110,11 @@
         finally:
             await response.close()
         if head.is_refusal:
-            context.note(job, job.service, endpoint.id, Outcome.REFUSED)
+            context.record_outcome(job, job.service, endpoint.id, AttemptOutcome.REFUSED)
             return not_run(
                 Reason.QUEUE_FULL, "the engine refused", RETRY_AFTER_MS
             )
-        context.note(job, job.service, endpoint.id, Outcome.ERROR)
+        context.record_outcome(job, job.service, endpoint.id, AttemptOutcome.ERROR)
         if not head.is_signed or head.status in NOT_RUN_STATUSES:
             raise EndpointError(f"status {head.status}", sent=True)
         if run.head_sent or job.route.may_repeat:
--- a/rhubarbwinch/gateway/failurereports.py
+++ b/rhubarbwinch/gateway/failurereports.py
@@ -29,7 +29,7 @@
 
 
 @attrs.frozen
-class Traffic:
+class ServiceTraffic:
     """The usual traffic to the endpoints of a service.
 
     Attributes:
@@ -78,8 +78,8 @@
         self._data_center = data_center
         self._by_endpoint: dict[str, _EndpointReports] = {}
 
-    def note(
-        self, report: FailureNotice, traffic: Traffic, now_ms: int
+    def record_report(
+        self, report: FailureNotice, traffic: ServiceTraffic, now_ms: int
     ) -> bool:
         """Records a report; returns whether its endpoint is to be avoided.
 
@@ -120,7 +120,7 @@
         )
         return report_count / len(endpoints)
 
-    def note_pause(self, endpoint: str, until_ms: int) -> None:
+    def record_pause(self, endpoint: str, until_ms: int) -> None:
         """Records that an endpoint is avoided until a time.
 
         Its trial follows the pause.
--- a/rhubarbwinch/gateway/plaincalls.py
+++ b/rhubarbwinch/gateway/plaincalls.py
@@ -7,7 +7,7 @@
 from rhubarbwinch.gateway.context import Context, Job
 from rhubarbwinch.gateway.edge import EdgeResponder
 from rhubarbwinch.gateway.endpoints import Endpoint
-from rhubarbwinch.gateway.suspicion import Outcome
+from rhubarbwinch.gateway.suspicion import AttemptOutcome
 from rhubarbwinch.gateway.wire import AttemptOptions, ResponseHead
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.exceptions import EndpointError
@@ -129,7 +129,7 @@
             return failure
         finally:
             context.loads.add_unannounced(endpoint.id, -1)
-        context.note(job, job.service, endpoint.id, Outcome.BROKEN)
+        context.record_outcome(job, job.service, endpoint.id, AttemptOutcome.BROKEN)
         self._log_attempt(
             job, endpoint, started_ms, f"no answer in {limit_ms} ms"
         )
@@ -159,7 +159,7 @@
             await response.close()
         head = response.head
         if head.is_refusal:
-            context.note(job, job.service, endpoint.id, Outcome.REFUSED)
+            context.record_outcome(job, job.service, endpoint.id, AttemptOutcome.REFUSED)
             self._log_attempt(
                 job, endpoint, started_ms, f"refused by {head.status}"
             )
@@ -173,9 +173,9 @@
             # would take the status to mean so.
             raise EndpointError(f"status {head.status}", sent=True)
         whole = WholeResponse(head, body)
-        outcome = Outcome.GOOD if whole.is_success else Outcome.ERROR
+        outcome = AttemptOutcome.GOOD if whole.is_success else AttemptOutcome.ERROR
         context.crashes.clear(job.fingerprint)
-        context.note(job, job.service, endpoint.id, outcome)
+        context.record_outcome(job, job.service, endpoint.id, outcome)
         self._log_attempt(job, endpoint, started_ms, str(head.status))
         return whole
 
@@ -186,8 +186,8 @@
         started_ms: int,
         error: EndpointError,
     ) -> Failure:
-        outcome = Outcome.BROKEN if error.sent else Outcome.UNREACHABLE
-        self._context.note(job, job.service, endpoint.id, outcome)
+        outcome = AttemptOutcome.BROKEN if error.sent else AttemptOutcome.UNREACHABLE
+        self._context.record_outcome(job, job.service, endpoint.id, outcome)
         self._log_attempt(job, endpoint, started_ms, str(error))
         if error.sent:
             return Failure(
--- a/rhubarbwinch/gateway/retrybudget.py
+++ b/rhubarbwinch/gateway/retrybudget.py
@@ -40,7 +40,7 @@
         self._requests.setdefault(service, deque()).append(now_ms)
         self._drop_expired(self._requests[service], now_ms)
 
-    def take(self, service: str, gateways: int, now_ms: int) -> bool:
+    def try_acquire(self, service: str, gateways: int, now_ms: int) -> bool:
         """Takes a retry from the budget; returns False if the budget is spent.
 
         Args:
--- a/rhubarbwinch/gateway/streams.py
+++ b/rhubarbwinch/gateway/streams.py
@@ -13,7 +13,7 @@
 from rhubarbwinch.gateway.relaying import EventRelay
 from rhubarbwinch.gateway.rooms import RunPlacer
 from rhubarbwinch.gateway.runs import Run
-from rhubarbwinch.gateway.suspicion import Outcome
+from rhubarbwinch.gateway.suspicion import AttemptOutcome
 from rhubarbwinch.gateway.upstream import UpstreamResponse
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.verdict import Failure, Reason, Verdict
@@ -124,8 +124,8 @@
             source = run.reservation.endpoint
             with anyio.move_on_after(self._left_ms(run) / 1000):
                 if await self._relay.relay(run, response):
-                    self._context.note(
-                        run.job, run.job.service, source.id, Outcome.GOOD
+                    self._context.record_outcome(
+                        run.job, run.job.service, source.id, AttemptOutcome.GOOD
                     )
                     self._context.crashes.clear(run.job.fingerprint)
                     return None
--- a/rhubarbwinch/gateway/suspicion.py
+++ b/rhubarbwinch/gateway/suspicion.py
@@ -23,7 +23,7 @@
 PAUSE_RESET_MS = 15_000
 
 
-class Outcome(enum.Enum):
+class AttemptOutcome(enum.Enum):
     """How a call to an endpoint ended, with its weight as a failure.
 
     The lower-case names of the members are label values of a metric.
@@ -66,8 +66,8 @@
     def __init__(self) -> None:
         self._records: dict[str, _Record] = {}
 
-    def note(
-        self, service: str, endpoint: str, outcome: Outcome, now_ms: int
+    def record_outcome(
+        self, service: str, endpoint: str, outcome: AttemptOutcome, now_ms: int
     ) -> bool:
         """Records an outcome; returns whether a new pause begins with it."""
         record = self._records.get(endpoint)
@@ -78,7 +78,7 @@
         record.decay(now_ms)
         record.calls += 1
         record.failures += outcome.value
-        if outcome is Outcome.GOOD and record.is_on_trial:
+        if outcome is AttemptOutcome.GOOD and record.is_on_trial:
             # The trial call succeeded, so earlier failures no longer count.
             record.is_on_trial = False
             record.failures = 0.0
@@ -154,11 +154,11 @@
         avoided.sort(key=lambda e: self._records[e].avoided_until_ms)
         return good + avoided[: min_count - len(good)]
 
-    def _is_bad(self, record: _Record, outcome: Outcome, now_ms: int) -> bool:
-        if outcome is Outcome.GOOD or now_ms < record.avoided_until_ms:
+    def _is_bad(self, record: _Record, outcome: AttemptOutcome, now_ms: int) -> bool:
+        if outcome is AttemptOutcome.GOOD or now_ms < record.avoided_until_ms:
             return False
         if record.is_on_trial:
-            return outcome.value >= Outcome.ERROR.value
+            return outcome.value >= AttemptOutcome.ERROR.value
         if record.failures < MIN_FAILURES:
             return False
         share = record.failures / max(1.0, record.calls)
--- a/tests/gateway/test_failurereports.py
+++ b/tests/gateway/test_failurereports.py
@@ -8,13 +8,13 @@
     TRIAL_MS,
     WINDOW_MS,
     FailureReports,
-    Traffic,
+    ServiceTraffic,
 )
 from rhubarbwinch.gateway.messages import FailureNotice
 
 # 33 gateways with 30 engines, and with four busy plain endpoints.
-GENERATIONS = Traffic(calls_each=0.04, local_gateways=11, gateways=33)
-PLAIN_CALLS = Traffic(calls_each=0.6, local_gateways=11, gateways=33)
+GENERATIONS = ServiceTraffic(calls_each=0.04, local_gateways=11, gateways=33)
+PLAIN_CALLS = ServiceTraffic(calls_each=0.6, local_gateways=11, gateways=33)
 
 
 def _notice(number, data_center="dc-a", endpoint="e1"):
@@ -30,7 +30,7 @@
     def _record(self, *notices, traffic=GENERATIONS, now_ms=0, step_ms=10):
         """Returns after how many reports the endpoint is avoided, or None."""
         for count, notice in enumerate(notices, 1):
-            if self.reports.note(notice, traffic, now_ms + count * step_ms):
+            if self.reports.record_report(notice, traffic, now_ms + count * step_ms):
                 return count
         return None
 
@@ -83,8 +83,8 @@
         self.assertIsNone(self._record(*rare, step_ms=WINDOW_MS + 1))
 
     def test_one_failure_after_a_pause_is_enough(self):
-        self.reports.note_pause("e1", 1_000)
+        self.reports.record_pause("e1", 1_000)
         self.assertEqual(self._record(_notice(1), now_ms=1_000), 1)
-        self.reports.note_pause("e1", 4_000)
+        self.reports.record_pause("e1", 4_000)
         later = 4_000 + TRIAL_MS
         self.assertIsNone(self._record(_notice(1), now_ms=later))
--- a/tests/gateway/test_retrybudget.py
+++ b/tests/gateway/test_retrybudget.py
@@ -18,7 +18,7 @@
             budget = budgets[now // 25 % gateways]
             budget.add_request("svc", now)
             requests.append(now)
-            while budget.take("svc", gateways, now):
+            while budget.try_acquire("svc", gateways, now):
                 retries.append(now)
         for start in range(0, 30_000, 500):
             end = start + WINDOW_MS
@@ -28,13 +28,13 @@
 
     def test_a_service_does_not_use_the_budget_of_another(self):
         budget = RetryBudget(0.0, WINDOW_MS, 10)
-        while budget.take("a", 1, 0):
+        while budget.try_acquire("a", 1, 0):
             pass
-        self.assertTrue(budget.take("b", 1, 0))
+        self.assertTrue(budget.try_acquire("b", 1, 0))
 
     def test_retries_older_than_the_window_do_not_count(self):
         budget = RetryBudget(0.0, WINDOW_MS, 10)
-        while budget.take("a", 1, 0):
+        while budget.try_acquire("a", 1, 0):
             pass
-        self.assertFalse(budget.take("a", 1, WINDOW_MS))
-        self.assertTrue(budget.take("a", 1, WINDOW_MS + 1))
+        self.assertFalse(budget.try_acquire("a", 1, WINDOW_MS))
+        self.assertTrue(budget.try_acquire("a", 1, WINDOW_MS + 1))
