--- a/rhubarbwinch/gateway/carrying.py
+++ b/rhubarbwinch/gateway/carrying.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from rhubarbwinch.gateway import moving
+from rhubarbwinch.gateway import migrationtargets
 from rhubarbwinch.gateway.context import Context
 from rhubarbwinch.gateway.copies import MigratedCopy
 from rhubarbwinch.gateway.endpoints import Endpoint
@@ -101,7 +101,7 @@
         """Reserves capacity at a migration target; None without a target."""
         context = self._context
         tokens = run.expected_tokens
-        chosen = moving.choose_target(
+        chosen = migrationtargets.choose_target(
             context.candidates(run.job.service, refused_ids),
             source,
             tokens,
@@ -134,14 +134,14 @@
         migrated_copy = self._new_copy(run, source, reservation)
         try:
             while True:
-                wait_ms = moving.REFRESH_MS
+                wait_ms = migrationtargets.REFRESH_MS
                 result = await copies.refresh(migrated_copy, False, run.events)
                 if result.state is MoveState.COPIED:
                     location = KvCacheLocation(source.address, result.handle)
                     run.target = MigrationTarget(reservation, location, source)
                     run.first_copy_settled.set()
                     behind = run.events - result.events
-                    wait_ms = moving.refresh_after_ms(behind)
+                    wait_ms = migrationtargets.refresh_after_ms(behind)
                 elif run.target is None:
                     return result.state
                 # After a failed refresh the previous copy is still usable: the
--- a/rhubarbwinch/gateway/context.py
+++ b/rhubarbwinch/gateway/context.py
@@ -18,7 +18,7 @@
 from rhubarbwinch.gateway.loads import LoadTracker
 from rhubarbwinch.gateway.messages import FailureNotice
 from rhubarbwinch.gateway.peers import Peers
-from rhubarbwinch.gateway.placing import Candidate
+from rhubarbwinch.gateway.placement import Candidate
 from rhubarbwinch.gateway.retrybudget import RetryBudget
 from rhubarbwinch.gateway.routes import EngineSpec, Route, RoutingTable
 from rhubarbwinch.gateway.suspicion import AttemptOutcome, Suspicion
--- a/rhubarbwinch/gateway/moving.py
+++ b/rhubarbwinch/gateway/migrationtargets.py
@@ -11,7 +11,7 @@
 import random
 
 from rhubarbwinch.gateway.endpoints import Endpoint
-from rhubarbwinch.gateway.placing import FAILING_RUNS, Candidate
+from rhubarbwinch.gateway.placement import FAILING_RUNS, Candidate
 
 # Migrations may fill an engine further than new generations, since the work
 # done for a run would be lost.
--- a/rhubarbwinch/gateway/peers.py
+++ b/rhubarbwinch/gateway/peers.py
@@ -5,7 +5,7 @@
 import anyio
 import attrs
 
-from rhubarbwinch.gateway.feed import MAX_FRESH_AGE_MS
+from rhubarbwinch.gateway.storefeed import MAX_FRESH_AGE_MS
 from rhubarbwinch.gateway.loads import LoadTracker
 from rhubarbwinch.gateway.messages import (
     FailureNotice,
--- a/rhubarbwinch/gateway/plaincalls.py
+++ b/rhubarbwinch/gateway/plaincalls.py
@@ -3,7 +3,7 @@
 import anyio
 import attrs
 
-from rhubarbwinch.gateway import answers, placing, statistics
+from rhubarbwinch.gateway import answers, placement, statistics
 from rhubarbwinch.gateway.context import Context, Job
 from rhubarbwinch.gateway.edge import EdgeResponder
 from rhubarbwinch.gateway.endpoints import Endpoint
@@ -71,7 +71,7 @@
             left_ms = job.deadline_ms - context.clock.now()
             if left_ms < MIN_ATTEMPT_MS:
                 break
-            chosen = placing.choose_plain_endpoint(
+            chosen = placement.choose_plain_endpoint(
                 context.candidates(job.service, job.tried),
                 context.data_center,
                 context.rng,
--- a/rhubarbwinch/gateway/program.py
+++ b/rhubarbwinch/gateway/program.py
@@ -9,14 +9,14 @@
 import attrs
 
 from rhubarbwinch.gateway import statistics
-from rhubarbwinch.gateway.beliefs import ClusterView
+from rhubarbwinch.gateway.clusterview import ClusterView
 from rhubarbwinch.gateway.context import Context
 from rhubarbwinch.gateway.copies import CopyManager
 from rhubarbwinch.gateway.crashes import CrashLedger
 from rhubarbwinch.gateway.edge import EdgeServer
 from rhubarbwinch.gateway.endpoints import Endpoint
 from rhubarbwinch.gateway.failurereports import FailureReports
-from rhubarbwinch.gateway.feed import StoreFeed
+from rhubarbwinch.gateway.storefeed import StoreFeed
 from rhubarbwinch.gateway.fleet import Fleet, KnownEndpoint
 from rhubarbwinch.gateway.hops import Tracer
 from rhubarbwinch.gateway.loads import LoadTracker
--- a/rhubarbwinch/gateway/rooms.py
+++ b/rhubarbwinch/gateway/rooms.py
@@ -2,11 +2,11 @@
 
 import anyio
 
-from rhubarbwinch.gateway import moving, placing
+from rhubarbwinch.gateway import migrationtargets, placement
 from rhubarbwinch.gateway.context import Context
 from rhubarbwinch.gateway.loads import Reservation
 from rhubarbwinch.gateway.runs import Run
-from rhubarbwinch.gateway.waiting import MAX_WAIT_SHARE, Waiter, WaitQueue
+from rhubarbwinch.gateway.waitqueue import MAX_WAIT_SHARE, Waiter, WaitQueue
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.verdict import Failure, Reason, not_run
 
@@ -84,13 +84,13 @@
         return not_run(Reason.QUEUE_FULL, detail, retry_hint_ms)
 
     def _try_reserve(
-        self, run: Run, kv_cache_share: float = placing.MAX_KV_CACHE_SHARE
+        self, run: Run, kv_cache_share: float = placement.MAX_KV_CACHE_SHARE
     ) -> bool:
         """Reserves capacity now; returns False if no engine has enough."""
         context, job = self._context, run.job
         tokens = run.expected_tokens
         candidates = context.candidates(job.service, job.tried)
-        chosen = placing.choose_engine(
+        chosen = placement.choose_engine(
             candidates, tokens, context.data_center, context.rng, kv_cache_share
         )
         if chosen is None:
@@ -120,7 +120,7 @@
             # The run is short and can be restarted at another engine.
             return
         tokens = run.expected_tokens
-        chosen = moving.choose_standby(
+        chosen = migrationtargets.choose_standby(
             context.candidates(job.service, {run.reservation.endpoint.id}),
             run.reservation.endpoint,
             tokens,
--- a/tests/gateway/test_placing.py
+++ b/tests/gateway/test_placement.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rhubarbwinch.gateway import moving, placing
+from rhubarbwinch.gateway import migrationtargets, placement
 from tests.gatewaybuilders import candidate, endpoint, rng
 
 
@@ -15,7 +15,7 @@
 
     def _choose(self, *candidates, tokens=4_000):
         return _name(
-            placing.choose_engine(list(candidates), tokens, "dc-a", rng())
+            placement.choose_engine(list(candidates), tokens, "dc-a", rng())
         )
 
     def test_no_engine_is_filled_beyond_its_kv_cache(self):
@@ -60,13 +60,13 @@
     """Placement of plain calls."""
 
     def test_the_endpoint_with_the_fewest_calls_per_slot_is_chosen(self):
-        chosen = placing.choose_plain_endpoint(
+        chosen = placement.choose_plain_endpoint(
             [candidate("e1", runs=3), candidate("e2", runs=1)], "dc-a", rng()
         )
         self.assertEqual(_name(chosen), "e2")
 
     def test_an_endpoint_that_fails_often_is_chosen_less(self):
-        chosen = placing.choose_plain_endpoint(
+        chosen = placement.choose_plain_endpoint(
             [candidate("e1", failure_share=0.4), candidate("e2", runs=1)],
             "dc-a",
             rng(),
@@ -74,7 +74,7 @@
         self.assertEqual(_name(chosen), "e2")
 
     def test_without_endpoints_there_is_no_choice(self):
-        self.assertIsNone(placing.choose_plain_endpoint([], "dc-a", rng()))
+        self.assertIsNone(placement.choose_plain_endpoint([], "dc-a", rng()))
 
 
 class ChooseTargetTest(unittest.TestCase):
@@ -82,7 +82,7 @@
 
     def _choose(self, *candidates):
         return _name(
-            moving.choose_target(list(candidates), endpoint("e9"), 4_000, rng())
+            migrationtargets.choose_target(list(candidates), endpoint("e9"), 4_000, rng())
         )
 
     def test_the_target_is_in_the_data_center_while_it_has_capacity(self):
@@ -107,8 +107,8 @@
 
     def test_a_copy_that_lacks_many_events_is_refreshed_early(self):
         # A first copy took 1.4 s, in which its run made 50 events.
-        self.assertEqual(moving.refresh_after_ms(50), moving.EARLY_REFRESH_MS)
-        self.assertEqual(moving.refresh_after_ms(2), moving.REFRESH_MS)
+        self.assertEqual(migrationtargets.refresh_after_ms(50), migrationtargets.EARLY_REFRESH_MS)
+        self.assertEqual(migrationtargets.refresh_after_ms(2), migrationtargets.REFRESH_MS)
 
 
 class ChooseStandbyTest(unittest.TestCase):
@@ -116,7 +116,7 @@
 
     def _choose(self, *candidates):
         return _name(
-            moving.choose_standby(list(candidates), endpoint("e9"), 4_000, rng())
+            migrationtargets.choose_standby(list(candidates), endpoint("e9"), 4_000, rng())
         )
 
     def test_a_run_gets_a_standby_while_kv_cache_is_ample(self):
--- a/tests/gateway/test_feed.py
+++ b/tests/gateway/test_storefeed.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from rhubarbwinch.gateway.feed import (
+from rhubarbwinch.gateway.storefeed import (
     FOLLOWER_POLL_MS,
     LEASE_RENEWAL_GRACE_MS,
     LOST_DATAGRAM_MS,
--- a/tests/gateway/test_waiting.py
+++ b/tests/gateway/test_waitqueue.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rhubarbwinch.gateway.waiting import MIN_RETRY_AFTER_MS, WaitQueue
+from rhubarbwinch.gateway.waitqueue import MIN_RETRY_AFTER_MS, WaitQueue
 from rhubarbwinch.shared.clock import ManualClock
 
 
--- a/tests/gatewaybuilders.py
+++ b/tests/gatewaybuilders.py
@@ -4,7 +4,7 @@
 
 from rhubarbwinch.gateway.endpoints import Endpoint, EndpointState
 from rhubarbwinch.gateway.loads import Load
-from rhubarbwinch.gateway.placing import Candidate
+from rhubarbwinch.gateway.placement import Candidate
 from rhubarbwinch.gateway.routes import (
     Account,
     CallKind,
