--- a/lab/catalogue.py
+++ b/lab/catalogue.py
@@ -12,7 +12,7 @@
 
 from lab.processes import ROOT
 from rhubarbwinch.callers import apicatalogue
-from rhubarbwinch.gateway import statistics
+from rhubarbwinch.gateway import gatewaymetrics
 from rhubarbwinch.http import problems
 from rhubarbwinch.programs import gatewaymain
 from rhubarbwinch.programs.config import (
@@ -269,7 +269,7 @@
     names = ["name", "type", "meaning"]
     gateway = [
         [f"`{family.name}`", family.type, family.documentation]
-        for family in statistics.REGISTRY.collect()
+        for family in gatewaymetrics.REGISTRY.collect()
     ]
     return "\n".join(
         [
--- a/lab/seeded/world.py
+++ b/lab/seeded/world.py
@@ -14,7 +14,7 @@
 from rhubarbwinch.programs.broker import Broker
 from rhubarbwinch.programs.config import BrokerSettings, EntrySettings
 from rhubarbwinch.programs.entry import Entry
-from rhubarbwinch.programs.surroundings import Surroundings
+from rhubarbwinch.programs.dependencies import Surroundings
 from rhubarbwinch.records import accepted
 from rhubarbwinch.records.accepted import Head
 from rhubarbwinch.records.apikeys import hash_key
--- a/rhubarbwinch/admission/permits.py
+++ b/rhubarbwinch/admission/permits.py
@@ -5,7 +5,7 @@
 import attrs
 from result import Err, Ok, Result
 
-from rhubarbwinch.links.linktypes import RunningCaller
+from rhubarbwinch.links.linkinterfaces import RunningCaller
 from rhubarbwinch.links.messages import (
     PermitGrant,
     PermitRelease,
--- a/rhubarbwinch/admission/reports.py
+++ b/rhubarbwinch/admission/reports.py
@@ -4,7 +4,7 @@
 
 from rhubarbwinch.admission.digests import StreamReportBuilder
 from rhubarbwinch.admission.permits import Permit, PermitClient, pool_owner
-from rhubarbwinch.links.linktypes import RunningCaller
+from rhubarbwinch.links.linkinterfaces import RunningCaller
 from rhubarbwinch.links.messages import DigestReply, StreamProgress
 from rhubarbwinch.membership.members import Members, Role
 from rhubarbwinch.shared.clock import Clock
--- a/rhubarbwinch/callers/generate.py
+++ b/rhubarbwinch/callers/generate.py
@@ -18,7 +18,7 @@
 from rhubarbwinch.http.sse import join
 from rhubarbwinch.links.messages import PermitGrant, PermitRequest, StreamEnd
 from rhubarbwinch.records.accepted import Snapshot
-from rhubarbwinch.shared import events, identity, metrics
+from rhubarbwinch.shared import events, identifiers, metrics
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import EndpointError
 from rhubarbwinch.shared.verdict import Failure, Reason, Verdict, not_run
@@ -51,7 +51,7 @@
         permits: PermitClient,
         endpoints: EndpointClient,
         streams: OpenStreams,
-        ids: identity.IdMaker,
+        ids: identifiers.IdMaker,
         clock: Clock,
         counters: metrics.Metrics,
         budget: RetryBudget,
@@ -129,7 +129,7 @@
     async def resume(
         self,
         account: str,
-        after: identity.EventId,
+        after: identifiers.EventId,
         snapshot: Snapshot,
         responder: Responder,
         permit: Permit | None,
@@ -186,7 +186,7 @@
         Raises:
             Refused: The active configuration no longer has the engine.
         """
-        name = identity.endpoint_of(generation)
+        name = identifiers.endpoint_of(generation)
         request_id = generation.partition("~")[0]
         for pool, spec in snapshot.pools.items():
             for endpoint in spec.endpoints:
@@ -236,7 +236,7 @@
         self, call: GenerationCall, permit: Permit, responder: Responder
     ) -> None:
         grant = permit.grant
-        generation = identity.generation_id(grant.request_id, grant.endpoint)
+        generation = identifiers.generation_id(grant.request_id, grant.endpoint)
         position = Position(generation)
         relay = Relay(
             position,
--- a/rhubarbwinch/callers/plain.py
+++ b/rhubarbwinch/callers/plain.py
@@ -16,7 +16,7 @@
 from rhubarbwinch.links.messages import PermitRequest, StreamEnd
 from rhubarbwinch.records.accepted import Snapshot
 from rhubarbwinch.records.records import ServiceSpec
-from rhubarbwinch.shared import events, identity
+from rhubarbwinch.shared import events, identifiers
 from rhubarbwinch.shared.exceptions import EndpointError
 from rhubarbwinch.shared.verdict import Failure, Reason, Verdict, not_run
 
@@ -86,7 +86,7 @@
         permits: PermitClient,
         endpoints: EndpointClient,
         claims: Claims,
-        ids: identity.IdMaker,
+        ids: identifiers.IdMaker,
         entry: str,
         data_center: str,
     ) -> None:
--- a/rhubarbwinch/callers/runguard.py
+++ b/rhubarbwinch/callers/runguard.py
@@ -15,7 +15,7 @@
 from rhubarbwinch.endpoints.endpoints import EndpointClient
 from rhubarbwinch.http.httpapi import Refused
 from rhubarbwinch.links.messages import StreamEnd
-from rhubarbwinch.shared import identity
+from rhubarbwinch.shared import identifiers
 from rhubarbwinch.shared.exceptions import (
     EndpointError,
     GenerationLostError,
@@ -103,7 +103,7 @@
         An endpoint that dies during the run counts as a strike against the
         request.
         """
-        run = identity.generation_id(
+        run = identifiers.generation_id(
             permit.grant.request_id, permit.grant.endpoint
         )
         try:
@@ -290,7 +290,7 @@
         if is_unsent:
             claim.mark_unsent()
         elif is_done:
-            generation = identity.generation_id(
+            generation = identifiers.generation_id(
                 permit.grant.request_id, permit.grant.endpoint
             )
             body = b'{"generation":"' + generation.encode() + b'"}'
--- a/rhubarbwinch/callers/takeover.py
+++ b/rhubarbwinch/callers/takeover.py
@@ -4,11 +4,11 @@
 
 from rhubarbwinch.admission.permits import Permit
 from rhubarbwinch.callers.streams import OpenStreams
-from rhubarbwinch.links.linktypes import Caller
+from rhubarbwinch.links.linkinterfaces import Caller
 from rhubarbwinch.links.messages import PermitGrant, StreamTake, StreamTaken
 from rhubarbwinch.membership.members import Member, Members, Role
 from rhubarbwinch.records.accepted import Snapshot
-from rhubarbwinch.shared import identity
+from rhubarbwinch.shared import identifiers
 from rhubarbwinch.shared.exceptions import CodecError, LinkError
 
 
@@ -62,7 +62,7 @@
         return self._make_permit(reply, snapshot)
 
     def _find_holder(self, generation: str) -> Member | None:
-        incarnation = identity.incarnation_of(generation)
+        incarnation = identifiers.incarnation_of(generation)
         for member in self._members.all():
             is_me = member.name == self._members.me.name
             if member.incarnation == incarnation and not is_me:
--- a/rhubarbwinch/claims/claimowners.py
+++ b/rhubarbwinch/claims/claimowners.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from rhubarbwinch.claims.claimpages import ClaimRecord
-from rhubarbwinch.links.linktypes import Caller
+from rhubarbwinch.links.linkinterfaces import Caller
 from rhubarbwinch.links.messages import ClaimAnswer, ClaimQuestion
 from rhubarbwinch.membership.members import Members
 from rhubarbwinch.shared.exceptions import CodecError, LinkError
--- a/rhubarbwinch/claims/claimrouting.py
+++ b/rhubarbwinch/claims/claimrouting.py
@@ -14,7 +14,7 @@
 
 from rhubarbwinch.claims.claimchanges import Finish, Take
 from rhubarbwinch.claims.claimpages import ClaimRecord
-from rhubarbwinch.links.linktypes import Caller
+from rhubarbwinch.links.linkinterfaces import Caller
 from rhubarbwinch.membership.members import Member, Members, Role
 from rhubarbwinch.shared import rendezvous
 from rhubarbwinch.shared.clock import Clock
--- a/rhubarbwinch/configuration/distribution.py
+++ b/rhubarbwinch/configuration/distribution.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from rhubarbwinch.links.linktypes import Caller, Listener
+from rhubarbwinch.links.linkinterfaces import Caller, Listener
 from rhubarbwinch.membership.members import Members
 from rhubarbwinch.records import accepted
 from rhubarbwinch.records.accepted import Head
--- a/rhubarbwinch/gateway/answers.py
+++ b/rhubarbwinch/gateway/answers.py
@@ -1,6 +1,6 @@
 """Responses of the gateway itself: refusals and failures."""
 
-from rhubarbwinch.gateway import statistics
+from rhubarbwinch.gateway import gatewaymetrics
 from rhubarbwinch.gateway.edge import EdgeResponder
 from rhubarbwinch.gateway.wire import Platform
 from rhubarbwinch.shared import events
@@ -46,7 +46,7 @@
         status=status,
         retry_after_ms=failure.retry_after_ms,
     )
-    statistics.REQUESTS.labels("-", failure.reason).inc()
+    gatewaymetrics.REQUESTS.labels("-", failure.reason).inc()
     retry_hint_ms = (
         failure.retry_after_ms if status == _STATUS_NOT_RUN else None
     )
--- a/rhubarbwinch/gateway/beliefs.py
+++ b/rhubarbwinch/gateway/beliefs.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from rhubarbwinch.gateway import statistics
+from rhubarbwinch.gateway import gatewaymetrics
 from rhubarbwinch.gateway.context import Context
 from rhubarbwinch.gateway.messages import LeavingNotice, PeerAddress
 from rhubarbwinch.gateway.routes import RoutingTable
@@ -102,7 +102,7 @@
             return
         context.table = table
         self._on_table(table)
-        statistics.CONFIG_VERSION.set(table.version)
+        gatewaymetrics.CONFIG_VERSION.set(table.version)
         events.TABLE_IN_FORCE.log(
             version=table.version,
             revision=change.revision,
--- a/rhubarbwinch/gateway/context.py
+++ b/rhubarbwinch/gateway/context.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from rhubarbwinch.gateway import statistics
+from rhubarbwinch.gateway import gatewaymetrics
 from rhubarbwinch.gateway.copies import CopyManager
 from rhubarbwinch.gateway.crashes import Break, CrashLedger, fingerprint
 from rhubarbwinch.gateway.edge import EdgeRequest
@@ -14,7 +14,7 @@
     Traffic,
 )
 from rhubarbwinch.gateway.fleet import Fleet, Known
-from rhubarbwinch.gateway.hops import Tracer
+from rhubarbwinch.gateway.requestspans import Tracer
 from rhubarbwinch.gateway.loads import LoadBook
 from rhubarbwinch.gateway.messages import FailureNotice
 from rhubarbwinch.gateway.peers import Peers
@@ -107,7 +107,7 @@
     ) -> None:
         """Records how an attempt ended."""
         now = self.clock.now()
-        statistics.SENDS.labels(outcome.name.lower()).inc()
+        gatewaymetrics.SENDS.labels(outcome.name.lower()).inc()
         if self.suspicion.note(service, endpoint_id, outcome, now):
             events.ENDPOINT_AVOIDED.log(
                 request=job.call.request_id,
--- a/rhubarbwinch/gateway/continuing.py
+++ b/rhubarbwinch/gateway/continuing.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from rhubarbwinch.gateway import statistics
+from rhubarbwinch.gateway import gatewaymetrics
 from rhubarbwinch.gateway.carrying import Migrator
 from rhubarbwinch.gateway.context import Context
 from rhubarbwinch.gateway.endpoints import Endpoint
@@ -147,7 +147,7 @@
             return None
         result = await self._sender.open(run, endpoint, location)
         is_resumed = isinstance(result, UpstreamResponse)
-        statistics.MOVES.labels(how, "good" if is_resumed else "failed").inc()
+        gatewaymetrics.MOVES.labels(how, "good" if is_resumed else "failed").inc()
         events.CARRIED_ON.log(
             request=run.id,
             endpoint=endpoint.id,
--- a/rhubarbwinch/gateway/copies.py
+++ b/rhubarbwinch/gateway/copies.py
@@ -11,7 +11,7 @@
 import anyio.abc
 import attrs
 
-from rhubarbwinch.gateway import statistics
+from rhubarbwinch.gateway import gatewaymetrics
 from rhubarbwinch.gateway.endpoints import Endpoint
 from rhubarbwinch.gateway.loads import Room
 from rhubarbwinch.gateway.wire import (
@@ -137,7 +137,7 @@
             results.append(result)
         finally:
             copy.end_call()
-        statistics.MOVES.labels(
+        gatewaymetrics.MOVES.labels(
             "stop" if stop_first else "copy", result.state
         ).inc()
         events.MOVED.log(
--- a/rhubarbwinch/gateway/edge.py
+++ b/rhubarbwinch/gateway/edge.py
@@ -17,7 +17,7 @@
 from rhubarbwinch.gateway.routes import HttpLimits
 from rhubarbwinch.gateway.wire import Headers
 from rhubarbwinch.http.transport import probe_dead_peer
-from rhubarbwinch.shared import events, misc
+from rhubarbwinch.shared import events, netaddress
 from rhubarbwinch.shared.clock import Clock
 
 BACKLOG = 1024
@@ -409,7 +409,7 @@
 
     async def run(self) -> None:
         """Serves until cancelled."""
-        host, port = misc.split_address(self._address)
+        host, port = netaddress.split_address(self._address)
         loop = asyncio.get_running_loop()
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
--- a/rhubarbwinch/gateway/feed.py
+++ b/rhubarbwinch/gateway/feed.py
@@ -18,7 +18,7 @@
     ValueCall,
 )
 from rhubarbwinch.gateway.replica import Replica
-from rhubarbwinch.links.linktypes import Caller
+from rhubarbwinch.links.linkinterfaces import Caller
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import (
--- a/rhubarbwinch/gateway/peers.py
+++ b/rhubarbwinch/gateway/peers.py
@@ -16,7 +16,7 @@
     SnapshotCall,
 )
 from rhubarbwinch.links.broadcast import Broadcast
-from rhubarbwinch.links.linktypes import Caller
+from rhubarbwinch.links.linkinterfaces import Caller
 from rhubarbwinch.shared import events, rendezvous
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import CodecError, LinkError
--- a/rhubarbwinch/gateway/plaincalls.py
+++ b/rhubarbwinch/gateway/plaincalls.py
@@ -3,7 +3,7 @@
 import anyio
 import attrs
 
-from rhubarbwinch.gateway import answers, placing, statistics
+from rhubarbwinch.gateway import answers, placing, gatewaymetrics
 from rhubarbwinch.gateway.context import Context, Job
 from rhubarbwinch.gateway.edge import EdgeResponder
 from rhubarbwinch.gateway.endpoints import Endpoint
@@ -224,8 +224,8 @@
         took_ms=now - job.received_ms,
         sends=job.sends,
     )
-    statistics.REQUESTS.labels(job.route.name, str(response.head.status)).inc()
-    statistics.LATENCY.labels(job.route.name).observe(
+    gatewaymetrics.REQUESTS.labels(job.route.name, str(response.head.status)).inc()
+    gatewaymetrics.LATENCY.labels(job.route.name).observe(
         (now - job.received_ms) / 1000
     )
     await responder.send(
--- a/rhubarbwinch/gateway/program.py
+++ b/rhubarbwinch/gateway/program.py
@@ -8,7 +8,7 @@
 import anyio.abc
 import attrs
 
-from rhubarbwinch.gateway import statistics
+from rhubarbwinch.gateway import gatewaymetrics
 from rhubarbwinch.gateway.beliefs import Beliefs
 from rhubarbwinch.gateway.context import Context
 from rhubarbwinch.gateway.copies import CopyManager
@@ -18,7 +18,7 @@
 from rhubarbwinch.gateway.failurereports import FailureReports
 from rhubarbwinch.gateway.feed import Feed
 from rhubarbwinch.gateway.fleet import Fleet, Known
-from rhubarbwinch.gateway.hops import Tracer
+from rhubarbwinch.gateway.requestspans import Tracer
 from rhubarbwinch.gateway.loads import LoadBook
 from rhubarbwinch.gateway.messages import (
     CrashNotice,
@@ -38,7 +38,7 @@
 from rhubarbwinch.gateway.retrybudget import RetryBudget
 from rhubarbwinch.gateway.router import Router
 from rhubarbwinch.gateway.routes import RoutingTable
-from rhubarbwinch.gateway.selfservice import SelfService
+from rhubarbwinch.gateway.statusapi import SelfService
 from rhubarbwinch.gateway.settings import GatewaySettings
 from rhubarbwinch.gateway.streams import StreamCalls
 from rhubarbwinch.gateway.suspicion import Suspicion
@@ -47,7 +47,7 @@
 from rhubarbwinch.http.transport import Transport, TransportOptions
 from rhubarbwinch.links.broadcast import Broadcast
 from rhubarbwinch.links.links import Links, LinkServer
-from rhubarbwinch.shared import events, identity
+from rhubarbwinch.shared import events, identifiers
 from rhubarbwinch.shared.clock import Clock, SystemClock
 from rhubarbwinch.shared.exceptions import (
     SettingError,
@@ -116,7 +116,7 @@
         self._settings = settings
         self._dependencies = dependencies
         clock = self._clock = dependencies.clock
-        incarnation = identity.new_incarnation()
+        incarnation = identifiers.new_incarnation()
         rng = random.Random(incarnation)
         self._links = Links(incarnation)
         self._server = LinkServer(settings.address.link)
@@ -333,7 +333,7 @@
         while True:
             await self._clock.sleep(TICK_MS)
             self._beliefs.expire()
-            statistics.OPEN.set(self._front.status.open_requests)
+            gatewaymetrics.OPEN.set(self._front.status.open_requests)
             self._streams.note_change()
             if self._feed.is_failing != self._was_failing:
                 self._was_failing = self._feed.is_failing
--- a/rhubarbwinch/gateway/relaying.py
+++ b/rhubarbwinch/gateway/relaying.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from rhubarbwinch.gateway import statistics
+from rhubarbwinch.gateway import gatewaymetrics
 from rhubarbwinch.gateway.carrying import Migrator
 from rhubarbwinch.gateway.context import Context
 from rhubarbwinch.gateway.rooms import RunPlacer
@@ -151,7 +151,7 @@
         if run.events and run.last_event_ms and job.route.gap_ms:
             pause = now - run.last_event_ms
             if pause > job.route.gap_ms:
-                statistics.GAPS.labels(job.route.name).inc()
+                gatewaymetrics.GAPS.labels(job.route.name).inc()
                 events.LATE_GAP.log(
                     request=run.id,
                     endpoint=run.reservation.endpoint.id
@@ -161,7 +161,7 @@
                     events=run.events,
                 )
         if not run.last_event_ms:
-            statistics.LATENCY.labels(job.route.name).observe(
+            gatewaymetrics.LATENCY.labels(job.route.name).observe(
                 (now - job.received_ms) / 1000
             )
         run.last_event_ms = now
@@ -189,4 +189,4 @@
             sends=run.job.sends,
             events=run.events,
         )
-        statistics.REQUESTS.labels(run.job.route.name, "complete").inc()
+        gatewaymetrics.REQUESTS.labels(run.job.route.name, "complete").inc()
--- a/rhubarbwinch/gateway/router.py
+++ b/rhubarbwinch/gateway/router.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from rhubarbwinch.gateway import hops
+from rhubarbwinch.gateway import requestspans
 from rhubarbwinch.gateway.answers import send_failure
 from rhubarbwinch.gateway.context import Context, make_job
 from rhubarbwinch.gateway.edge import EdgeRequest, EdgeResponder
@@ -49,7 +49,7 @@
             failure = not_run(Reason.BAD_REQUEST, str(error))
             await send_failure(context.platform, responder, "", failure)
             return
-        with hops.request_span(context.tracer, call.headers, call.request_id):
+        with requestspans.request_span(context.tracer, call.headers, call.request_id):
             await self._handle_call(request, call, responder)
 
     async def _handle_call(
--- a/rhubarbwinch/gateway/selfservice.py
+++ b/rhubarbwinch/gateway/statusapi.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from rhubarbwinch.gateway import statistics
+from rhubarbwinch.gateway import gatewaymetrics
 from rhubarbwinch.gateway.edge import EdgeRequest, EdgeResponder
 from rhubarbwinch.gateway.peers import Peers
 from rhubarbwinch.gateway.settings import GatewaySettings
@@ -48,7 +48,7 @@
             return
         if request.target.startswith(b"/metrics"):
             content_type = (b"Content-Type", b"text/plain; version=0.0.4")
-            await responder.send(200, [content_type], statistics.render())
+            await responder.send(200, [content_type], gatewaymetrics.render())
             return
         await responder.send(404, [], b"")
 
--- a/rhubarbwinch/gateway/streams.py
+++ b/rhubarbwinch/gateway/streams.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from rhubarbwinch.gateway import statistics
+from rhubarbwinch.gateway import gatewaymetrics
 from rhubarbwinch.gateway.carrying import Migrator
 from rhubarbwinch.gateway.context import Context, Job
 from rhubarbwinch.gateway.continuing import Failover
@@ -80,7 +80,7 @@
                 detail=failure.detail,
                 took_ms=self._context.clock.now() - run.job.received_ms,
             )
-            statistics.REQUESTS.labels(run.job.route.name, "broken").inc()
+            gatewaymetrics.REQUESTS.labels(run.job.route.name, "broken").inc()
             return
         await send_job_failure(self._context, run.job, run.responder, failure)
 
--- a/rhubarbwinch/gateway/upstream.py
+++ b/rhubarbwinch/gateway/upstream.py
@@ -5,9 +5,9 @@
 import attrs
 import httpx
 
-from rhubarbwinch.gateway import hops
+from rhubarbwinch.gateway import requestspans
 from rhubarbwinch.gateway.endpoints import Endpoint
-from rhubarbwinch.gateway.hops import Tracer
+from rhubarbwinch.gateway.requestspans import Tracer
 from rhubarbwinch.gateway.wire import (
     AttemptOptions,
     CallHead,
@@ -108,7 +108,7 @@
             EndpointError: No head was received. Its attribute `sent` tells
                 whether a byte was sent.
         """
-        with hops.send_span(self._tracer, endpoint.id):
+        with requestspans.send_span(self._tracer, endpoint.id):
             request = self._request(endpoint, call, body, options)
             if not may_repeat:
                 request.extensions["max_idle_s"] = NOT_REPEATABLE_MAX_IDLE_S
@@ -134,7 +134,7 @@
         return httpx.Request(
             call.method,
             f"http://{endpoint.address}/",
-            headers=hops.with_parent(self._tracer, headers),
+            headers=requestspans.with_parent(self._tracer, headers),
             stream=httpx.ByteStream(body),
             extensions={
                 "target": call.target,
--- a/rhubarbwinch/gateway/waiting.py
+++ b/rhubarbwinch/gateway/waiting.py
@@ -9,7 +9,7 @@
 import anyio
 import attrs
 
-from rhubarbwinch.gateway import statistics
+from rhubarbwinch.gateway import gatewaymetrics
 from rhubarbwinch.shared.clock import Clock
 
 # Share of the time to the objective that may be spent waiting. The rest is for
@@ -99,13 +99,13 @@
         waiter = Waiter(priority, deadline_ms)
         self._waiters.append(waiter)
         self._waiters.sort(key=lambda w: w.sort_key)
-        statistics.WAITING.set(len(self._waiters))
+        gatewaymetrics.WAITING.set(len(self._waiters))
         return waiter
 
     def leave(self, waiter: Waiter) -> None:
         """Removes a request that was placed, refused or cancelled."""
         self._waiters.remove(waiter)
-        statistics.WAITING.set(len(self._waiters))
+        gatewaymetrics.WAITING.set(len(self._waiters))
         self.wake()
 
     def wake(self) -> None:
--- a/rhubarbwinch/http/sse.py
+++ b/rhubarbwinch/http/sse.py
@@ -10,7 +10,7 @@
 import orjson
 
 from rhubarbwinch.shared.exceptions import EndpointError
-from rhubarbwinch.shared.identity import EventId, parse_event_id
+from rhubarbwinch.shared.identifiers import EventId, parse_event_id
 
 MAX_EVENT_BYTES = 1 << 20
 DONE = b"data: [DONE]\n\n"
--- a/rhubarbwinch/membership/gossip.py
+++ b/rhubarbwinch/membership/gossip.py
@@ -11,13 +11,13 @@
 import anyio
 import anyio.abc
 
-from rhubarbwinch.links.linktypes import Caller, Listener
+from rhubarbwinch.links.linkinterfaces import Caller, Listener
 from rhubarbwinch.membership import overlay
 from rhubarbwinch.membership.heartbeat import Heartbeat, ViewReply, ViewRequest
 from rhubarbwinch.membership.members import Health, Member, MemberNews, Members
 from rhubarbwinch.membership.rumours import Rumour, UpdateBuffer
 from rhubarbwinch.shared import codec, events
-from rhubarbwinch.shared.bytebudget import ByteBudget
+from rhubarbwinch.shared.bytebucket import ByteBudget
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import CodecError, LinkError
 
--- a/rhubarbwinch/membership/leaving.py
+++ b/rhubarbwinch/membership/leaving.py
@@ -6,7 +6,7 @@
 from rhubarbwinch.membership.gossip import Gossip
 from rhubarbwinch.records.accepted import Snapshot
 from rhubarbwinch.records.records import PoolSpec
-from rhubarbwinch.shared import events, misc
+from rhubarbwinch.shared import events, netaddress
 from rhubarbwinch.shared.clock import Clock
 
 UPDATE_KIND = "vm"
@@ -56,7 +56,7 @@
         return {
             endpoint.name
             for endpoint in spec.endpoints
-            if misc.split_address(endpoint.address)[0] in hosts
+            if netaddress.split_address(endpoint.address)[0] in hosts
         }
 
     def configure(self, snapshot: Snapshot) -> None:
--- a/rhubarbwinch/platform/documents.py
+++ b/rhubarbwinch/platform/documents.py
@@ -17,7 +17,7 @@
     Target,
 )
 from rhubarbwinch.gateway.wire import EngineReport
-from rhubarbwinch.shared import misc
+from rhubarbwinch.shared import netaddress
 from rhubarbwinch.shared.exceptions import PlatformFormatError
 
 JSON = dict[str, Any]
@@ -176,7 +176,7 @@
 
     def build(document: JSON) -> Endpoint:
         address = _non_empty_text(document["address"])
-        misc.split_address(address)
+        netaddress.split_address(address)
         return Endpoint(
             id=endpoint_id,
             service=_non_empty_text(document["service"]),
--- a/rhubarbwinch/programs/broker.py
+++ b/rhubarbwinch/programs/broker.py
@@ -28,7 +28,7 @@
 from rhubarbwinch.membership.ownership import Ownership
 from rhubarbwinch.programs.config import BrokerSettings
 from rhubarbwinch.programs.daemon import Daemon
-from rhubarbwinch.programs.surroundings import Surroundings
+from rhubarbwinch.programs.dependencies import Surroundings
 from rhubarbwinch.records.accepted import Snapshot
 from rhubarbwinch.records.records import PoolSpec
 from rhubarbwinch.shared import metrics, tracing
--- a/rhubarbwinch/programs/daemon.py
+++ b/rhubarbwinch/programs/daemon.py
@@ -17,8 +17,8 @@
 from rhubarbwinch.membership.registration import Registration
 from rhubarbwinch.programs.config import Settings
 from rhubarbwinch.programs.probes import DrainState, Probes
-from rhubarbwinch.programs.surroundings import Surroundings, make_dependencies
-from rhubarbwinch.shared import events, metrics, misc
+from rhubarbwinch.programs.dependencies import Surroundings, make_dependencies
+from rhubarbwinch.shared import events, metrics, netaddress
 from rhubarbwinch.shared.exceptions import StoreError
 from rhubarbwinch.shared.metrics import Metrics
 from rhubarbwinch.shared.supervisor import Supervisor
@@ -210,7 +210,7 @@
 
     def _update_state(self) -> None:
         """Sets this member's state by the leaving notices of its VM."""
-        host = misc.split_address(self.settings.link)[0]
+        host = netaddress.split_address(self.settings.link)[0]
         is_leaving = host in self.leaving.hosts or self.drain.started
         self._set_state(
             MemberState.LEAVING if is_leaving else MemberState.SERVING
--- a/rhubarbwinch/programs/surroundings.py
+++ b/rhubarbwinch/programs/dependencies.py
@@ -3,9 +3,9 @@
 import attrs
 
 from rhubarbwinch.links.links import Links, LinkServer
-from rhubarbwinch.links.linktypes import RunningCaller, RunningListener
+from rhubarbwinch.links.linkinterfaces import RunningCaller, RunningListener
 from rhubarbwinch.programs.config import Settings
-from rhubarbwinch.shared import identity
+from rhubarbwinch.shared import identifiers
 from rhubarbwinch.shared.clock import Clock, SystemClock
 from rhubarbwinch.stores.store import STORES, Store
 
@@ -37,7 +37,7 @@
 
 def make_dependencies(settings: Settings) -> Surroundings:
     """Builds the dependencies of a process from its settings."""
-    incarnation = identity.new_incarnation()
+    incarnation = identifiers.new_incarnation()
     make_store = STORES.get(settings.store_kind)
     return Surroundings(
         clock=SystemClock(),
--- a/rhubarbwinch/programs/entry.py
+++ b/rhubarbwinch/programs/entry.py
@@ -23,9 +23,9 @@
 from rhubarbwinch.programs.claimcomponents import ClaimComponents
 from rhubarbwinch.programs.config import EntrySettings
 from rhubarbwinch.programs.daemon import Daemon
-from rhubarbwinch.programs.surroundings import Surroundings
+from rhubarbwinch.programs.dependencies import Surroundings
 from rhubarbwinch.records.apikeys import KeyChecker
-from rhubarbwinch.shared import events, identity, metrics, rendezvous, tracing
+from rhubarbwinch.shared import events, identifiers, metrics, rendezvous, tracing
 from rhubarbwinch.shared.verdict import Reason, not_run
 
 ENTRIES_TTL_MS = 5000
@@ -59,7 +59,7 @@
             settings.permit_timeout_ms,
             daemon.metrics,
         )
-        ids = identity.IdMaker(daemon.incarnation, settings.stream_secret)
+        ids = identifiers.IdMaker(daemon.incarnation, settings.stream_secret)
         self._claims = ClaimComponents(daemon, settings)
         self._streams = OpenStreams(
             self._permits,
@@ -209,7 +209,7 @@
                 call = parse_call(account, request, snapshot)
                 await self._guarded_runner.serve(call, snapshot, responder)
                 return
-            after = identity.parse_event_id(last_event_id)
+            after = identifiers.parse_event_id(last_event_id)
             if after is None:
                 raise Refused(not_run(Reason.BAD_REQUEST, "Last-Event-ID"))
             self._runner.check_owner(account, after.generation)
--- a/rhubarbwinch/programs/gatewaymain.py
+++ b/rhubarbwinch/programs/gatewaymain.py
@@ -8,8 +8,8 @@
 import anyio
 import attrs
 
-from rhubarbwinch.gateway import statistics
-from rhubarbwinch.gateway.hops import Tracer
+from rhubarbwinch.gateway import gatewaymetrics
+from rhubarbwinch.gateway.requestspans import Tracer
 from rhubarbwinch.gateway.program import Gateway, Outside, make_transport
 from rhubarbwinch.gateway.settings import GatewaySettings
 from rhubarbwinch.gateway.wire import PLATFORMS
@@ -157,7 +157,7 @@
         sys.stderr.write(f"{error}\n")
         sys.exit(ExitStatus.USAGE)
     lines = LineOutput(
-        _STDOUT_DESCRIPTOR, SystemClock(), statistics.LOG_LINES_DROPPED.inc
+        _STDOUT_DESCRIPTOR, SystemClock(), gatewaymetrics.LOG_LINES_DROPPED.inc
     )
     events.configure(LogFormat.JSON, options.log_level, settings.name, lines)
 
--- a/rhubarbwinch/records/specs.py
+++ b/rhubarbwinch/records/specs.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from rhubarbwinch.shared import misc
+from rhubarbwinch.shared import netaddress
 
 MAX_ENDPOINTS = 64
 _NAME_PATTERN = re.compile(r"^[a-z0-9][a-z0-9.-]{0,62}$")
@@ -62,7 +62,7 @@
 
 def _is_address(value: str) -> bool:
     try:
-        misc.split_address(value)
+        netaddress.split_address(value)
     except ValueError:
         return False
     return True
--- a/rhubarbwinch/shared/settingtypes.py
+++ b/rhubarbwinch/shared/settingtypes.py
@@ -8,7 +8,7 @@
 import attrs
 import cappa
 
-from rhubarbwinch.shared import misc
+from rhubarbwinch.shared import netaddress
 from rhubarbwinch.shared.registry import Registry
 
 ENV_PREFIX = "RHUBARBWINCH_"
@@ -113,7 +113,7 @@
 
 
 def _to_address(value: str) -> str:
-    misc.split_address(value)
+    netaddress.split_address(value)
     return value
 
 
--- a/tests/claimworld.py
+++ b/tests/claimworld.py
@@ -20,7 +20,7 @@
 from rhubarbwinch.http.httpapi import Refused, Request, Responder
 from rhubarbwinch.links.messages import ClaimQuestion, PermitGrant
 from rhubarbwinch.records.accepted import make_snapshot
-from rhubarbwinch.shared import identity
+from rhubarbwinch.shared import identifiers
 from rhubarbwinch.shared.clock import ManualClock
 from rhubarbwinch.shared.exceptions import (
     EndpointError,
@@ -177,7 +177,7 @@
             self.permits,
             GatedEndpoints(world.desk, self.gate, world.clock),
             self.claims,
-            identity.IdMaker(incarnation, "secret"),
+            identifiers.IdMaker(incarnation, "secret"),
             name,
             "dc-a",
         )
--- a/tests/gateway/test_hops.py
+++ b/tests/gateway/test_requestspans.py
@@ -14,7 +14,7 @@
 PARENT = f"00-{'12' * 16}-{'34' * 8}-01"
 
 
-class HopsTest(unittest.TestCase):
+class RequestSpansTest(unittest.TestCase):
     """A request with and without tracing."""
 
     @asynchronous
