--- a/lab/catalogue.py
+++ b/lab/catalogue.py
@@ -191,7 +191,7 @@
         meanings = _attribute_docs(kind)
         rows = []
         for name in _field_names(kind):
-            setting = settingtypes.info(name.replace("_", "-"))
+            setting = settingtypes.find_setting(name.replace("_", "-"))
             if name in common_names or setting is None:
                 continue
             default = (
--- a/lab/control_traffic.py
+++ b/lab/control_traffic.py
@@ -60,11 +60,11 @@
         self._count = count
 
     async def call(
-        self, address: str, message: Any, answer: type[T], timeout_ms: int
+        self, address: str, message: Any, reply_type: type[T], timeout_ms: int
     ) -> T:
         """Calls a peer and returns its reply."""
         self._count.add(message)
-        reply = await super().call(address, message, answer, timeout_ms)
+        reply = await super().call(address, message, reply_type, timeout_ms)
         self._count.add(reply)
         return reply
 
--- a/lab/memberset.py
+++ b/lab/memberset.py
@@ -148,7 +148,7 @@
 
     def kill(self, name: str) -> None:
         """Stops a member without notice; calls to it time out."""
-        self.network.cut.add(name)
+        self.network.disconnected.add(name)
         self.nodes.pop(name).stop()
 
     def generations(self) -> list[int]:
--- a/lab/seeded/callers.py
+++ b/lab/seeded/callers.py
@@ -8,7 +8,7 @@
 
 from lab.seeded.log import Attempt, End, RequestKind
 from lab.seeded.world import API_KEY, Program, World, completion_body
-from rhubarbwinch.http.sse import DONE, Splitter
+from rhubarbwinch.http.sse import DONE_EVENT, EventSplitter
 from rhubarbwinch.programs.entry import Entry
 
 MAX_ATTEMPTS = 8
@@ -50,7 +50,7 @@
         self._body: bytes | None = body
         self._disconnect_after = disconnect_after
         self._disconnected = anyio.Event()
-        self._splitter = Splitter()
+        self._splitter = EventSplitter()
         self._is_stream = False
 
     async def run(self, program: Program) -> None:
@@ -93,7 +93,7 @@
 
     def _record_events(self, data: bytes) -> None:
         for event in self._splitter.feed(data):
-            if event.raw.startswith(b"id:") or event.raw == DONE:
+            if event.raw.startswith(b"id:") or event.raw == DONE_EVENT:
                 self._attempt.events.append(event.raw)
             elif event.is_error:
                 problem = orjson.loads(event.data)
@@ -171,7 +171,7 @@
         return Call(attempt, headers, "POST", path, body)
 
     def _is_settled(self, attempt: Attempt) -> bool:
-        if DONE in attempt.events:
+        if DONE_EVENT in attempt.events:
             # A caller that disconnected after the last event has all events.
             return True
         if attempt.end is End.ANSWERED:
--- a/lab/seeded/check.py
+++ b/lab/seeded/check.py
@@ -5,7 +5,7 @@
 import orjson
 
 from lab.seeded.log import Attempt, End, Journal, RequestKind, Run
-from rhubarbwinch.http.sse import DONE
+from rhubarbwinch.http.sse import DONE_EVENT
 
 
 def find_violations(journal: Journal) -> list[str]:
@@ -31,7 +31,7 @@
     token_counts = {run.generation: run.number for run in journal.runs}
     for request, attempts in by_request.items():
         events = [event for attempt in attempts for event in attempt.events]
-        done = DONE in events
+        done = DONE_EVENT in events
         tokens = [event for event in events if event.startswith(b"id:")]
         positions = [_generation_and_index(event) for event in tokens]
         if len({name for name, _ in positions}) > 1:
--- a/lab/seeded/endpoints.py
+++ b/lab/seeded/endpoints.py
@@ -12,7 +12,7 @@
 from lab.seeded.log import Journal, Run
 from rhubarbwinch.endpoints.endpoints import EndpointClient
 from rhubarbwinch.endpoints.relay import EventStream
-from rhubarbwinch.http.sse import DONE, StreamEvent
+from rhubarbwinch.http.sse import DONE_EVENT, StreamEvent
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import EndpointError, GenerationLostError
 
@@ -139,7 +139,7 @@
             arrived = [generation.event(i) for i in range(index, last)]
             index = max(index, last)
             if index == generation.length:
-                arrived.append(StreamEvent(DONE))
+                arrived.append(StreamEvent(DONE_EVENT))
             if self.draw_fault():
                 arrived = await self._apply_fault(arrived, generation)
             if arrived:
--- a/lab/seeded/links.py
+++ b/lab/seeded/links.py
@@ -102,7 +102,7 @@
         """Sets the handler for messages of a class."""
         self._handlers[message_type.__name__] = _Handler(message_type, handle)
 
-    def on_late(
+    def on_late_reply(
         self, message_type: type[T], handle: Callable[[T], Awaitable[None]]
     ) -> None:
         """Sets the handler for replies whose call has timed out."""
--- a/lab/seeded/run.py
+++ b/lab/seeded/run.py
@@ -7,7 +7,7 @@
 from lab.seeded.check import find_violations
 from lab.seeded.log import Attempt, End, RequestKind
 from lab.seeded.world import ENGINES, PLAIN_ENDPOINTS, Program, World
-from rhubarbwinch.http.sse import DONE
+from rhubarbwinch.http.sse import DONE_EVENT
 from rhubarbwinch.shared.registry import Registry
 
 ENTRIES = 3
@@ -211,7 +211,7 @@
         f"probe {a.request}: {a.kind} ended {a.end} {a.status} "
         f"{a.verdict} {a.body.decode()}"
         for a in finished
-        if a.end is not End.ANSWERED and DONE not in a.events
+        if a.end is not End.ANSWERED and DONE_EVENT not in a.events
     ]
     if len(finished) < PROBES:
         violations.append(f"{PROBES - len(finished)} probes without a response")
--- a/lab/seeded/world.py
+++ b/lab/seeded/world.py
@@ -14,7 +14,7 @@
 from rhubarbwinch.programs.broker import Broker
 from rhubarbwinch.programs.config import BrokerSettings, EntrySettings
 from rhubarbwinch.programs.entry import Entry
-from rhubarbwinch.programs.dependencies import Surroundings
+from rhubarbwinch.programs.dependencies import Dependencies
 from rhubarbwinch.records import accepted
 from rhubarbwinch.records.accepted import Head
 from rhubarbwinch.records.apikeys import hash_key
@@ -142,8 +142,8 @@
 
     def __init__(
         self,
-        build: Callable[[Surroundings, SeededEndpoints], Entry | Broker],
-        dependencies: Surroundings,
+        build: Callable[[Dependencies, SeededEndpoints], Entry | Broker],
+        dependencies: Dependencies,
         store: KillableStore,
         endpoints: SeededEndpoints,
         link: str,
@@ -215,7 +215,7 @@
         )
 
         def build(
-            dependencies: Surroundings, endpoints: SeededEndpoints
+            dependencies: Dependencies, endpoints: SeededEndpoints
         ) -> Entry:
             return Entry(settings, dependencies, endpoints)
 
@@ -228,7 +228,7 @@
         )
 
         def build(
-            dependencies: Surroundings, endpoints: SeededEndpoints
+            dependencies: Dependencies, endpoints: SeededEndpoints
         ) -> Broker:
             return Broker(settings, dependencies, endpoints)
 
@@ -249,13 +249,13 @@
 
     def _start(
         self,
-        build: Callable[[Surroundings, SeededEndpoints], Entry | Broker],
+        build: Callable[[Dependencies, SeededEndpoints], Entry | Broker],
         link: str,
     ) -> Program:
         self._start_count += 1
         node = self.network.add_node(link)
         store = KillableStore(self.store)
-        dependencies = Surroundings(
+        dependencies = Dependencies(
             clock=self.clock,
             store=store,
             links=node,
--- a/lab/soak/proxy.py
+++ b/lab/soak/proxy.py
@@ -75,7 +75,7 @@
 
     async def run(self) -> None:
         """Serves until cancelled."""
-        host, port = netaddress.split_address(self.address)
+        host, port = netaddress.parse_address(self.address)
         listener = await anyio.create_tcp_listener(
             local_host=host, local_port=port, backlog=512
         )
@@ -86,7 +86,7 @@
         async with caller:
             if self.faults.is_refusing:
                 return
-            host, port = netaddress.split_address(self._target)
+            host, port = netaddress.parse_address(self._target)
             try:
                 target = await anyio.connect_tcp(host, port)
             except OSError:
--- a/lab/spread.py
+++ b/lab/spread.py
@@ -104,7 +104,7 @@
 
 
 def _link_bytes(fleet: MemberSet) -> int:
-    return sum(node.links.traffic.octets for node in fleet.nodes.values())
+    return sum(node.links.traffic.byte_count for node in fleet.nodes.values())
 
 
 def main() -> None:
--- a/lab/standins/engine.py
+++ b/lab/standins/engine.py
@@ -150,7 +150,7 @@
         name = request.path.rpartition("/")[2]
         generation = self._generations.get(name)
         if generation is None:
-            await responder.json(b"{}", 404)
+            await responder.send_json(b"{}", 404)
             return
         start = int(request.query.removeprefix("from="))
         await self._send(generation, start, responder)
@@ -159,18 +159,18 @@
         name = request.path.rpartition("/")[2]
         self._model.cancel(name)
         self._log.append({"cancelled": name})
-        await responder.json(b"{}")
+        await responder.send_json(b"{}")
 
     async def _set_priority(
         self, request: Request, responder: Responder
     ) -> None:
         priority = orjson.loads(request.body)["priority"]
         self._model.set_priority(request.path.rpartition("/")[2], priority)
-        await responder.json(b"{}")
+        await responder.send_json(b"{}")
 
     async def _set_faults(self, request: Request, responder: Responder) -> None:
         self._faults.set_faults(orjson.loads(request.body))
-        await responder.json(b"{}")
+        await responder.send_json(b"{}")
 
     async def _send(
         self, generation: Generation, index: int, responder: Responder
@@ -201,10 +201,10 @@
             "step_ms": model.last_step_ms,
             "preemptions": model.preemptions,
         }
-        await responder.json(orjson.dumps(data))
+        await responder.send_json(orjson.dumps(data))
 
     async def _show_log(self, _: Request, responder: Responder) -> None:
-        await responder.json(orjson.dumps(self._log))
+        await responder.send_json(orjson.dumps(self._log))
 
 
 async def _run(engine: Engine, address: str) -> None:
--- a/lab/standins/faults.py
+++ b/lab/standins/faults.py
@@ -43,7 +43,7 @@
         """Applies the faults of a start; returns whether it was refused."""
         if self.refuse:
             self.refuse -= 1
-            await responder.json(b"{}", 503)
+            await responder.send_json(b"{}", 503)
             return True
         late_ms, self.late_ms = self.late_ms, 0
         await anyio.sleep(late_ms / 1000)
--- a/lab/standins/kvstore.py
+++ b/lab/standins/kvstore.py
@@ -71,14 +71,14 @@
         try:
             kvs = await self._read_range(body)
         except StoreError as error:
-            await responder.json(orjson.dumps({"error": str(error)}), 503)
+            await responder.send_json(orjson.dumps({"error": str(error)}), 503)
             return
         response = {
             "header": self._header(),
             "kvs": kvs,
             "count": str(len(kvs)),
         }
-        await responder.json(orjson.dumps(response))
+        await responder.send_json(orjson.dumps(response))
 
     async def _read_range(self, body: JSON) -> list[JSON]:
         key = _decode_text(body["key"])
@@ -111,44 +111,44 @@
             # No response, so that the caller times out with unknown outcome.
             await anyio.sleep_forever()
         except StoreError as error:
-            await responder.json(orjson.dumps({"error": str(error)}), 503)
+            await responder.send_json(orjson.dumps({"error": str(error)}), 503)
             return
         response: JSON = {"header": self._header(), "succeeded": swap.won}
         if not swap.won:
             kvs = [_format_entry(swap.current)] if swap.current else []
             response["responses"] = [{"response_range": {"kvs": kvs}}]
-        await responder.json(orjson.dumps(response))
+        await responder.send_json(orjson.dumps(response))
 
     async def _grant(self, request: Request, responder: Responder) -> None:
         body = await self._receive(request)
         try:
             lease = await self._store.grant_lease(int(body["TTL"]) * 1000)
         except StoreError as error:
-            await responder.json(orjson.dumps({"error": str(error)}), 503)
+            await responder.send_json(orjson.dumps({"error": str(error)}), 503)
             return
         response = {"ID": str(lease), "TTL": body["TTL"]}
-        await responder.json(orjson.dumps(response))
+        await responder.send_json(orjson.dumps(response))
 
     async def _renew(self, request: Request, responder: Responder) -> None:
         body = await self._receive(request)
         try:
             remaining_ms = await self._store.keep_lease(int(body["ID"]))
         except StoreError as error:
-            await responder.json(orjson.dumps({"error": str(error)}), 503)
+            await responder.send_json(orjson.dumps({"error": str(error)}), 503)
             return
         response = {
             "result": {"ID": body["ID"], "TTL": str(remaining_ms // 1000)}
         }
-        await responder.json(orjson.dumps(response))
+        await responder.send_json(orjson.dumps(response))
 
     async def _revoke(self, request: Request, responder: Responder) -> None:
         body = await self._receive(request)
         try:
             await self._store.revoke_lease(int(body["ID"]))
         except StoreError as error:
-            await responder.json(orjson.dumps({"error": str(error)}), 503)
+            await responder.send_json(orjson.dumps({"error": str(error)}), 503)
             return
-        await responder.json(orjson.dumps({"header": self._header()}))
+        await responder.send_json(orjson.dumps({"header": self._header()}))
 
     async def _watch(self, request: Request, responder: Responder) -> None:
         body = await self._receive(request)
@@ -194,10 +194,10 @@
         faults.lose_answers = body.get("lose_answers", faults.lose_answers)
         self._delay_ms = body.get("delay_ms", self._delay_ms)
         self._store.wake_watches()
-        await responder.json(b"{}")
+        await responder.send_json(b"{}")
 
     async def _show_counts(self, _: Request, responder: Responder) -> None:
-        await responder.json(orjson.dumps(self._counts))
+        await responder.send_json(orjson.dumps(self._counts))
 
 
 def main() -> None:
--- a/lab/standins/orders.py
+++ b/lab/standins/orders.py
@@ -64,10 +64,10 @@
     ) -> None:
         data = orjson.loads(request.body)
         if data["kind"] == "load" and not await self._can_load(data["subject"]):
-            await responder.json(b'{"error":"no weights"}', 503)
+            await responder.send_json(b'{"error":"no weights"}', 503)
             return
         applied = self.take(data["kind"], data["subject"], data["fence"])
-        await responder.json(b"{}", 200 if applied else 409)
+        await responder.send_json(b"{}", 200 if applied else 409)
 
     async def _can_load(self, subject: str) -> bool:
         """Reads weights from the weight store, if any; returns the success."""
@@ -78,8 +78,8 @@
             return (await client.get(url)).status_code == httpx.codes.OK
 
     async def _show_state(self, _: Request, responder: Responder) -> None:
-        await responder.json(orjson.dumps(self.state()))
+        await responder.send_json(orjson.dumps(self.state()))
 
     async def _show_log(self, _: Request, responder: Responder) -> None:
         rows = [attrs.asdict(order) for order in self.log]
-        await responder.json(orjson.dumps(rows))
+        await responder.send_json(orjson.dumps(rows))
--- a/lab/standins/service.py
+++ b/lab/standins/service.py
@@ -33,10 +33,10 @@
         delay = request.query.removeprefix("delay_ms=")
         if delay.isdecimal():
             await anyio.sleep(int(delay) / 1000)
-        await responder.json(orjson.dumps(response))
+        await responder.send_json(orjson.dumps(response))
 
     async def _show_log(self, _: Request, responder: Responder) -> None:
-        await responder.json(orjson.dumps(self._log))
+        await responder.send_json(orjson.dumps(self._log))
 
 
 def main() -> None:
--- a/lab/standins/vmlist.py
+++ b/lab/standins/vmlist.py
@@ -55,20 +55,20 @@
         shown = {c.host: c.state for c in self._changes if c.shown_at <= now}
         shown |= self._overrides
         items = [{"host": h, "state": s} for h, s in sorted(shown.items())]
-        await responder.json(orjson.dumps(items))
+        await responder.send_json(orjson.dumps(items))
 
     async def _change_vm(self, request: Request, responder: Responder) -> None:
         body: dict[str, Any] = orjson.loads(request.body)
         shown_at = time.monotonic() + self._lag_s
         change = _Change(body["host"], body["state"], shown_at)
         self._changes.append(change)
-        await responder.json(b"{}")
+        await responder.send_json(b"{}")
 
     async def _set_faults(self, request: Request, responder: Responder) -> None:
         body = orjson.loads(request.body)
         self._silent = body.get("silent", self._silent)
         self._overrides = body.get("wrong", self._overrides)
-        await responder.json(b"{}")
+        await responder.send_json(b"{}")
 
 
 def main() -> None:
--- a/lab/standins/weights.py
+++ b/lab/standins/weights.py
@@ -36,14 +36,14 @@
         self._read_times = [t for t in self._read_times if now - t < MINUTE_MS]
         if len(self._read_times) >= self._reads_per_minute:
             self._refused_count += 1
-            await responder.json(b"{}", 429)
+            await responder.send_json(b"{}", 429)
             return
         self._read_times.append(now)
-        await responder.json(b"{}")
+        await responder.send_json(b"{}")
 
     async def _show_counts(self, _: Request, responder: Responder) -> None:
         data = {"reads": len(self._read_times), "refused": self._refused_count}
-        await responder.json(orjson.dumps(data))
+        await responder.send_json(orjson.dumps(data))
 
 
 def main() -> None:
--- a/rhubarbwinch/admission/permits.py
+++ b/rhubarbwinch/admission/permits.py
@@ -5,7 +5,7 @@
 import attrs
 from result import Err, Ok, Result
 
-from rhubarbwinch.links.linkinterfaces import RunningCaller
+from rhubarbwinch.links.linkinterfaces import RunningPeerCaller
 from rhubarbwinch.links.messages import (
     PermitGrant,
     PermitRelease,
@@ -64,7 +64,7 @@
 
     def __init__(
         self,
-        links: RunningCaller,
+        links: RunningPeerCaller,
         members: Members,
         timeout_ms: int,
         counters: metrics.Metrics | None = None,
@@ -74,7 +74,7 @@
         self._members = members
         self._timeout_ms = timeout_ms
         self._permits: dict[str, Permit] = {}
-        links.on_late(PermitReply, self._release_late)
+        links.on_late_reply(PermitReply, self._release_late)
 
     @property
     def open_permits(self) -> list[Permit]:
@@ -148,7 +148,7 @@
             owner = pool_owner(pool, self._members)
             attempt = attrs.evolve(request, pool=pool, request_id=new_id())
             with tracing.span("permit", pool=pool):
-                attempt = attrs.evolve(attempt, traceparent=tracing.current())
+                attempt = attrs.evolve(attempt, traceparent=tracing.current_traceparent())
                 outcome = await self.ask(attempt)
                 if _is_broker_unavailable(outcome) and owner is not None:
                     # The broker is down; the pool's next owner can reply.
--- a/rhubarbwinch/admission/reports.py
+++ b/rhubarbwinch/admission/reports.py
@@ -4,7 +4,7 @@
 
 from rhubarbwinch.admission.digests import StreamReportBuilder
 from rhubarbwinch.admission.permits import Permit, PermitClient, pool_owner
-from rhubarbwinch.links.linkinterfaces import RunningCaller
+from rhubarbwinch.links.linkinterfaces import RunningPeerCaller
 from rhubarbwinch.links.messages import DigestReply, StreamProgress
 from rhubarbwinch.membership.members import Members, Role
 from rhubarbwinch.shared.clock import Clock
@@ -34,7 +34,7 @@
         entry: str,
         permits: PermitClient,
         members: Members,
-        links: RunningCaller,
+        links: RunningPeerCaller,
         clock: Clock,
     ) -> None:
         self._report_builder = StreamReportBuilder(entry)
--- a/rhubarbwinch/callers/calls.py
+++ b/rhubarbwinch/callers/calls.py
@@ -149,7 +149,7 @@
             "total_tokens": call.prompt_tokens + len(parts),
         },
     }
-    await responder.json(orjson.dumps(response))
+    await responder.send_json(orjson.dumps(response))
 
 
 def _text_of(choice: dict[str, Any], chat: bool) -> str:
--- a/rhubarbwinch/callers/drainlimit.py
+++ b/rhubarbwinch/callers/drainlimit.py
@@ -51,7 +51,7 @@
         raise errors[0]
     if is_done or not limit.is_set():
         return
-    if not responder.started:
+    if not responder.has_started:
         detail = "this entry ended before the answer was complete"
         raise Refused(
             Failure(
--- a/rhubarbwinch/callers/generate.py
+++ b/rhubarbwinch/callers/generate.py
@@ -51,7 +51,7 @@
         permits: PermitClient,
         endpoints: EndpointClient,
         streams: OpenStreams,
-        ids: identifiers.IdMaker,
+        ids: identifiers.IdGenerator,
         clock: Clock,
         counters: metrics.Metrics,
         budget: RetryBudget,
@@ -119,7 +119,7 @@
     def _claim_retry(
         self, call: GenerationCall, attempts: int, responder: Responder
     ) -> bool:
-        if responder.started or attempts >= MAX_ATTEMPTS:
+        if responder.has_started or attempts >= MAX_ATTEMPTS:
             return False
         if self._budget.take_retry(call.account):
             return True
@@ -292,7 +292,7 @@
         started_ms = self._clock.now()
         position = relay.position
         async for batch in relay.events():
-            if not responder.started:
+            if not responder.has_started:
                 await responder.start(200, SSE_HEADERS)
                 elapsed = self._clock.now() - started_ms
                 self._metrics.timing(metrics.FIRST_TOKEN, elapsed)
--- a/rhubarbwinch/callers/plain.py
+++ b/rhubarbwinch/callers/plain.py
@@ -69,7 +69,7 @@
     return PlainCall(account, name, service, request, path, key)
 
 
-class PlainCaller:
+class PlainServiceProxy:
     """Forwards calls of plain services to their endpoints.
 
     Args:
@@ -86,7 +86,7 @@
         permits: PermitClient,
         endpoints: EndpointClient,
         claims: Claims,
-        ids: identifiers.IdMaker,
+        ids: identifiers.IdGenerator,
         entry: str,
         data_center: str,
     ) -> None:
@@ -291,7 +291,7 @@
 async def _send_response(
     response: httpx.Response, responder: Responder
 ) -> None:
-    await responder.whole(
+    await responder.send_response(
         response.status_code,
         [(b"content-type", _content_type(response).encode())],
         response.content,
--- a/rhubarbwinch/callers/takeover.py
+++ b/rhubarbwinch/callers/takeover.py
@@ -4,7 +4,7 @@
 
 from rhubarbwinch.admission.permits import Permit
 from rhubarbwinch.callers.streams import OpenStreams
-from rhubarbwinch.links.linkinterfaces import Caller
+from rhubarbwinch.links.linkinterfaces import PeerCaller
 from rhubarbwinch.links.messages import PermitGrant, StreamTake, StreamTaken
 from rhubarbwinch.membership.members import Member, Members, Role
 from rhubarbwinch.records.accepted import Snapshot
@@ -25,7 +25,7 @@
     def __init__(
         self,
         streams: OpenStreams,
-        links: Caller,
+        links: PeerCaller,
         members: Members,
         timeout_ms: int,
     ) -> None:
--- a/rhubarbwinch/claims/claimowners.py
+++ b/rhubarbwinch/claims/claimowners.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from rhubarbwinch.claims.claimpages import ClaimRecord
-from rhubarbwinch.links.linkinterfaces import Caller
+from rhubarbwinch.links.linkinterfaces import PeerCaller
 from rhubarbwinch.links.messages import ClaimAnswer, ClaimQuestion
 from rhubarbwinch.membership.members import Members
 from rhubarbwinch.shared.exceptions import CodecError, LinkError
@@ -36,7 +36,7 @@
         members: The known members.
     """
 
-    def __init__(self, links: Caller, members: Members) -> None:
+    def __init__(self, links: PeerCaller, members: Members) -> None:
         self._links = links
         self._members = members
 
--- a/rhubarbwinch/claims/claimrouting.py
+++ b/rhubarbwinch/claims/claimrouting.py
@@ -14,7 +14,7 @@
 
 from rhubarbwinch.claims.claimchanges import Finish, Take
 from rhubarbwinch.claims.claimpages import ClaimRecord
-from rhubarbwinch.links.linkinterfaces import Caller
+from rhubarbwinch.links.linkinterfaces import PeerCaller
 from rhubarbwinch.membership.members import Member, Members, Role
 from rhubarbwinch.shared import rendezvous
 from rhubarbwinch.shared.clock import Clock
@@ -83,7 +83,7 @@
     """
 
     def __init__(
-        self, pages: PageAccess, links: Caller, members: Members, clock: Clock
+        self, pages: PageAccess, links: PeerCaller, members: Members, clock: Clock
     ) -> None:
         self._pages = pages
         self._links = links
--- a/rhubarbwinch/claims/repeatable.py
+++ b/rhubarbwinch/claims/repeatable.py
@@ -64,6 +64,6 @@
         )
         raise Refused(Failure(Verdict.RAN, Reason.OUTCOME_NOT_KEPT, detail))
     content_type = (b"content-type", outcome.content_type.encode())
-    await responder.whole(
+    await responder.send_response(
         outcome.status, [content_type, REPLAYED_HEADER], outcome.body
     )
--- a/rhubarbwinch/configuration/distribution.py
+++ b/rhubarbwinch/configuration/distribution.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from rhubarbwinch.links.linkinterfaces import Caller, Listener
+from rhubarbwinch.links.linkinterfaces import PeerCaller, Listener
 from rhubarbwinch.membership.members import Members
 from rhubarbwinch.records import accepted
 from rhubarbwinch.records.accepted import Head
@@ -68,7 +68,7 @@
 
     def __init__(
         self,
-        links: Caller,
+        links: PeerCaller,
         server: Listener,
         members: Members,
         rng: random.Random,
--- a/rhubarbwinch/endpoints/endpoints.py
+++ b/rhubarbwinch/endpoints/endpoints.py
@@ -8,7 +8,7 @@
 import orjson
 
 from rhubarbwinch.endpoints.relay import EventStream
-from rhubarbwinch.http.sse import Splitter
+from rhubarbwinch.http.sse import EventSplitter
 from rhubarbwinch.http.transport import Transport
 from rhubarbwinch.shared import events, tracing
 from rhubarbwinch.shared.exceptions import EndpointError, GenerationLostError
@@ -173,7 +173,7 @@
 
 
 async def _read_events(response: httpx.Response) -> EventStream:
-    splitter = Splitter()
+    splitter = EventSplitter()
     # `aiter_raw` would add several calls for each token, so the underlying
     # stream is read directly.
     assert isinstance(response.stream, httpx.AsyncByteStream)
--- a/rhubarbwinch/endpoints/relay.py
+++ b/rhubarbwinch/endpoints/relay.py
@@ -6,7 +6,7 @@
 import attrs
 
 from rhubarbwinch.endpoints.retries import Backoff
-from rhubarbwinch.http.sse import DONE, StreamEvent
+from rhubarbwinch.http.sse import DONE_EVENT, StreamEvent
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import (
@@ -118,7 +118,7 @@
                 error.sent = self._was_sent
                 if position.finished and self._is_permanent(error):
                     # All tokens were received; only the end marker is missing.
-                    yield [StreamEvent(DONE)]
+                    yield [StreamEvent(DONE_EVENT)]
                     return
                 if self._is_permanent(error):
                     raise
--- a/rhubarbwinch/gateway/carrying.py
+++ b/rhubarbwinch/gateway/carrying.py
@@ -49,7 +49,7 @@
         ):
             return
         spec = self._context.engine_spec(run.job.service)
-        if spec is None or not spec.can_move:
+        if spec is None or not spec.supports_migration:
             return
         if run.job.route.is_resumable or self.has_standby(run):
             # The run can be restarted elsewhere, or a standby has its KV cache.
@@ -134,7 +134,7 @@
         migrated_copy = self._new_copy(run, source, reservation)
         try:
             while True:
-                wait_ms = moving.REFRESH_MS
+                wait_ms = moving.COPY_REFRESH_MS
                 result = await copies.refresh(migrated_copy, False, run.events)
                 if result.state is MoveState.COPIED:
                     location = KvCacheLocation(source.address, result.handle)
--- a/rhubarbwinch/gateway/context.py
+++ b/rhubarbwinch/gateway/context.py
@@ -6,7 +6,7 @@
 
 from rhubarbwinch.gateway import gatewaymetrics
 from rhubarbwinch.gateway.copies import CopyManager
-from rhubarbwinch.gateway.crashes import Break, CrashLedger, fingerprint
+from rhubarbwinch.gateway.crashes import BrokenResponse, CrashTracker, fingerprint
 from rhubarbwinch.gateway.edge import EdgeRequest
 from rhubarbwinch.gateway.failurereports import (
     WINDOW_MS,
@@ -63,7 +63,7 @@
     peers: Peers
     upstream: Upstream
     copies: CopyManager
-    crashes: CrashLedger
+    crashes: CrashTracker
     tracer: Tracer | None = None
     table: RoutingTable | None = None
     is_draining: bool = False
@@ -102,13 +102,13 @@
             self.suspicion.failure_share(endpoint.id),
         )
 
-    def note(
+    def record_outcome(
         self, job: "Job", service: str, endpoint_id: str, outcome: Outcome
     ) -> None:
         """Records how an attempt ended."""
         now = self.clock.now()
-        gatewaymetrics.SENDS.labels(outcome.name.lower()).inc()
-        if self.suspicion.note(service, endpoint_id, outcome, now):
+        gatewaymetrics.ATTEMPTS.labels(outcome.name.lower()).inc()
+        if self.suspicion.record_outcome(service, endpoint_id, outcome, now):
             events.ENDPOINT_AVOIDED.log(
                 request=job.call.request_id,
                 endpoint=endpoint_id,
@@ -138,7 +138,7 @@
         traffic = Traffic(
             self.suspicion.calls_each(service, WINDOW_MS),
             self.peers.near_count + 1,
-            self.peers.count + 1,
+            self.peers.live_count + 1,
             frozenset(k.endpoint.id for k in self.fleet.of_service(service)),
         )
         if not self.reports.note(notice, traffic, now):
@@ -150,7 +150,7 @@
         events.ENDPOINT_REPORTED.log(
             endpoint=notice.endpoint,
             reporter=notice.gateway,
-            calls_each=round(traffic.calls_each, 2),
+            calls_each=round(traffic.calls_per_endpoint, 2),
             gateways=traffic.gateways,
             pause_ms=until_ms - now,
         )
@@ -160,13 +160,13 @@
         known = self.fleet.get(endpoint_id)
         if known is None or known.is_leaving:
             return
-        self.crashes.suspect(
-            Break(job.call.request_id, job.fingerprint, endpoint_id, address)
+        self.crashes.check_endpoint(
+            BrokenResponse(job.call.request_id, job.fingerprint, endpoint_id, address)
         )
 
     def acquire_retry(self, service: str) -> bool:
         """Takes one attempt from the retry budget; False if it is used up."""
-        return self.budget.take(service, self.peers.count + 1, self.clock.now())
+        return self.budget.take(service, self.peers.live_count + 1, self.clock.now())
 
 
 @attrs.define
--- a/rhubarbwinch/gateway/continuing.py
+++ b/rhubarbwinch/gateway/continuing.py
@@ -53,7 +53,7 @@
         Returns:
             The response of the next engine, or None if the run cannot resume.
         """
-        self._context.note(
+        self._context.record_outcome(
             run.job, run.job.service, source.id, self._outcome_for(source)
         )
         if run.migration_scope is not None:
@@ -147,7 +147,7 @@
             return None
         result = await self._sender.open(run, endpoint, location)
         is_resumed = isinstance(result, UpstreamResponse)
-        gatewaymetrics.MOVES.labels(how, "good" if is_resumed else "failed").inc()
+        gatewaymetrics.CONTINUATIONS.labels(how, "good" if is_resumed else "failed").inc()
         events.CARRIED_ON.log(
             request=run.id,
             endpoint=endpoint.id,
--- a/rhubarbwinch/gateway/copies.py
+++ b/rhubarbwinch/gateway/copies.py
@@ -137,7 +137,7 @@
             results.append(result)
         finally:
             copy.end_call()
-        gatewaymetrics.MOVES.labels(
+        gatewaymetrics.CONTINUATIONS.labels(
             "stop" if stop_first else "copy", result.state
         ).inc()
         events.MOVED.log(
--- a/rhubarbwinch/gateway/crashes.py
+++ b/rhubarbwinch/gateway/crashes.py
@@ -41,7 +41,7 @@
 
 
 @attrs.frozen
-class Break:
+class BrokenResponse:
     """A response that an endpoint broke off.
 
     Attributes:
@@ -57,7 +57,7 @@
     address: str
 
 
-class CrashLedger:
+class CrashTracker:
     """Counts the endpoints that crashed while serving each request.
 
     Args:
@@ -76,10 +76,10 @@
         self._clock = clock
         self._broadcast = broadcast
         self._suspects: dict[str, _Suspect] = {}
-        self._unchecked: list[Break] = []
+        self._unchecked: list[BrokenResponse] = []
         self._has_unchecked = anyio.Event()
 
-    def suspect(self, broken: Break) -> None:
+    def check_endpoint(self, broken: BrokenResponse) -> None:
         """Schedules a check whether the endpoint has crashed; does not wait."""
         self._unchecked.append(broken)
         self._has_unchecked.set()
@@ -94,7 +94,7 @@
                 for broken in unchecked:
                     tasks.start_soon(self._check, broken)
 
-    def note(self, request: str, endpoint: str, now_ms: int) -> int:
+    def record_crash(self, request: str, endpoint: str, now_ms: int) -> int:
         """Records a crash; returns the request's number of crashes."""
         suspect = self._suspects.setdefault(request, _Suspect())
         if now_ms - suspect.last_ms > SUSPECT_RETENTION_MS:
@@ -117,10 +117,10 @@
             return False
         return len(suspect.endpoints) >= MAX_CRASHES
 
-    async def _check(self, broken: Break) -> None:
+    async def _check(self, broken: BrokenResponse) -> None:
         if not await self._is_gone(broken.address):
             return
-        count = self.note(
+        count = self.record_crash(
             broken.fingerprint, broken.endpoint, self._clock.now()
         )
         events.CRASHED_UNDER.log(
--- a/rhubarbwinch/gateway/edge.py
+++ b/rhubarbwinch/gateway/edge.py
@@ -16,7 +16,7 @@
 
 from rhubarbwinch.gateway.routes import HttpLimits
 from rhubarbwinch.gateway.wire import Headers
-from rhubarbwinch.http.transport import probe_dead_peer
+from rhubarbwinch.http.transport import set_dead_peer_timeout
 from rhubarbwinch.shared import events, netaddress
 from rhubarbwinch.shared.clock import Clock
 
@@ -141,7 +141,7 @@
     def _new_parser(self) -> h11.Connection:
         limits = self._server.status.limits
         return h11.Connection(
-            h11.SERVER, max_incomplete_event_size=limits.head_bytes
+            h11.SERVER, max_incomplete_event_size=limits.max_head_bytes
         )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -150,7 +150,7 @@
         self.is_open = True
         sock: socket.socket = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        probe_dead_peer(sock, CALLER_ACK_TIMEOUT_MS)
+        set_dead_peer_timeout(sock, CALLER_ACK_TIMEOUT_MS)
         self._server.start(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -278,7 +278,7 @@
         received_ms = clock.now()
         head: h11.Request | None = None
         body = bytearray()
-        with anyio.move_on_after(limits.head_ms / 1000) as timer:
+        with anyio.move_on_after(limits.head_timeout_ms / 1000) as timer:
             while True:
                 event = self._next_event()
                 if event is h11.NEED_DATA:
@@ -292,9 +292,9 @@
                 elif isinstance(event, h11.Data):
                     body += event.data
                     timer.deadline = anyio.current_time() + (
-                        limits.head_ms / 1000
+                        limits.head_timeout_ms / 1000
                     )
-                    if len(body) > limits.body_bytes:
+                    if len(body) > limits.max_body_bytes:
                         raise _RefusedError(_STATUS_TOO_LARGE, "body too long")
                 elif isinstance(event, h11.EndOfMessage):
                     assert head is not None
@@ -321,7 +321,7 @@
         lengths = [v for n, v in head.headers if n == b"content-length"]
         if lengths and b"transfer-encoding" in names:
             raise _RefusedError(400, "a length and chunks")
-        if lengths and int(lengths[0]) > limits.body_bytes:
+        if lengths and int(lengths[0]) > limits.max_body_bytes:
             raise _RefusedError(_STATUS_TOO_LARGE, "body too long")
 
     def _next_event(self) -> Any:
@@ -343,7 +343,7 @@
     async def _wait_first_byte(self) -> bool:
         """Waits for a request; False after a close or the idle timeout."""
         limits = self._server.status.limits
-        with anyio.move_on_after(limits.idle_ms / 1000):
+        with anyio.move_on_after(limits.idle_timeout_ms / 1000):
             while self.is_open and not self._buffer:
                 await self._wait_wakeup()
         return bool(self._buffer)
@@ -409,7 +409,7 @@
 
     async def run(self) -> None:
         """Serves until cancelled."""
-        host, port = netaddress.split_address(self._address)
+        host, port = netaddress.parse_address(self._address)
         loop = asyncio.get_running_loop()
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
--- a/rhubarbwinch/gateway/enginesends.py
+++ b/rhubarbwinch/gateway/enginesends.py
@@ -68,7 +68,7 @@
                 return await self._classify(run, endpoint, response, now)
         except EndpointError as error:
             outcome = Outcome.BROKEN if error.sent else Outcome.UNREACHABLE
-            context.note(job, job.service, endpoint.id, outcome)
+            context.record_outcome(job, job.service, endpoint.id, outcome)
             self._log_attempt(run, endpoint, now, str(error))
             if error.sent:
                 context.check_crash(job, endpoint.id, endpoint.address)
@@ -110,14 +110,14 @@
         finally:
             await response.close()
         if head.is_refusal:
-            context.note(job, job.service, endpoint.id, Outcome.REFUSED)
+            context.record_outcome(job, job.service, endpoint.id, Outcome.REFUSED)
             return not_run(
                 Reason.QUEUE_FULL, "the engine refused", RETRY_AFTER_MS
             )
-        context.note(job, job.service, endpoint.id, Outcome.ERROR)
+        context.record_outcome(job, job.service, endpoint.id, Outcome.ERROR)
         if not head.is_signed or head.status in NOT_RUN_STATUSES:
             raise EndpointError(f"status {head.status}", sent=True)
-        if run.head_sent or job.route.may_repeat:
+        if run.head_sent or job.route.is_repeatable:
             return Failure(
                 Verdict.MAY_HAVE_RUN,
                 Reason.ENDPOINT_FAILED,
--- a/rhubarbwinch/gateway/feed.py
+++ b/rhubarbwinch/gateway/feed.py
@@ -18,7 +18,7 @@
     ValueCall,
 )
 from rhubarbwinch.gateway.replica import Replica
-from rhubarbwinch.links.linkinterfaces import Caller
+from rhubarbwinch.links.linkinterfaces import PeerCaller
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import (
@@ -96,7 +96,7 @@
         peer_revision: Callable[[], int],
         broadcast_batch: Callable[[SharedBatch], None],
         on_change: ChangeHandler,
-        links: Caller,
+        links: PeerCaller,
         link: str,
     ) -> None:
         self._store = store
@@ -118,7 +118,7 @@
         self._is_synced = False
 
     @property
-    def confirmed_ms(self) -> int:
+    def confirmed_age_ms(self) -> int:
         """Milliseconds since the store last confirmed the replica."""
         if self._confirmed_at_ms is None:
             return 1 << 40
--- a/rhubarbwinch/gateway/gatewaymetrics.py
+++ b/rhubarbwinch/gateway/gatewaymetrics.py
@@ -24,19 +24,19 @@
     buckets=_SECONDS,
     registry=REGISTRY,
 )
-SENDS = Counter(
+ATTEMPTS = Counter(
     "rhubarbwinch_sends",
     "Sends to endpoints by how they ended.",
     ["outcome"],
     registry=REGISTRY,
 )
-MOVES = Counter(
+CONTINUATIONS = Counter(
     "rhubarbwinch_moves",
     "Generations that went on at another engine, by how and how it ended.",
     ["how", "outcome"],
     registry=REGISTRY,
 )
-GAPS = Counter(
+LATE_GAPS = Counter(
     "rhubarbwinch_late_gaps",
     "Pauses between events of a stream over the route's bound.",
     ["route"],
@@ -47,7 +47,7 @@
     "Generations that wait for an engine.",
     registry=REGISTRY,
 )
-OPEN = Gauge(
+OPEN_REQUESTS = Gauge(
     "rhubarbwinch_open_requests",
     "Requests that are being served.",
     registry=REGISTRY,
--- a/rhubarbwinch/gateway/moving.py
+++ b/rhubarbwinch/gateway/moving.py
@@ -30,7 +30,7 @@
 # Tokens generated after the copy need prefill before the run resumes. Frequent
 # refreshes keep the pause of the stream short and take only some milliseconds
 # of the network link.
-REFRESH_MS = 400
+COPY_REFRESH_MS = 400
 # A copy that took long lacks the events that its run has made meanwhile. With
 # more missing events than this, the pause could exceed the bound of a route, so
 # the copy is refreshed early.
@@ -83,7 +83,7 @@
     Args:
         events_behind: Events that the run has made since the copy was taken.
     """
-    return EARLY_REFRESH_MS if events_behind > MAX_EVENTS_BEHIND else REFRESH_MS
+    return EARLY_REFRESH_MS if events_behind > MAX_EVENTS_BEHIND else COPY_REFRESH_MS
 
 
 def _cost(candidate: Candidate, source: Endpoint) -> float:
--- a/rhubarbwinch/gateway/outage.py
+++ b/rhubarbwinch/gateway/outage.py
@@ -27,7 +27,7 @@
 CHECK_INTERVAL_MS = 200
 
 
-class OutageWatch:
+class OutageMonitor:
     """Detects store outages and polls engines for shutdown notices.
 
     Args:
--- a/rhubarbwinch/gateway/peers.py
+++ b/rhubarbwinch/gateway/peers.py
@@ -16,7 +16,7 @@
     SnapshotCall,
 )
 from rhubarbwinch.links.broadcast import Broadcast
-from rhubarbwinch.links.linkinterfaces import Caller
+from rhubarbwinch.links.linkinterfaces import PeerCaller
 from rhubarbwinch.shared import events, rendezvous
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import CodecError, LinkError
@@ -75,7 +75,7 @@
         self,
         own: Heartbeat,
         broadcast: Broadcast,
-        links: Caller,
+        links: PeerCaller,
         clock: Clock,
         loads: LoadBook,
         add_state: Callable[[Heartbeat], Heartbeat],
@@ -174,7 +174,7 @@
         )
 
     @property
-    def count(self) -> int:
+    def live_count(self) -> int:
         """The number of live peers, leaving ones included."""
         return len(self._live_heartbeats())
 
@@ -206,10 +206,10 @@
         Watchers do, and so does a gateway none of whose peers has a fresh
         response from the store.
         """
-        return self.is_watcher() or self.confirmed_ms > MAX_FRESH_AGE_MS
+        return self.is_watcher() or self.confirmed_age_ms > MAX_FRESH_AGE_MS
 
     @property
-    def confirmed_ms(self) -> int:
+    def confirmed_age_ms(self) -> int:
         """Milliseconds since the store last confirmed any peer's replica."""
         now = self._clock.now()
         return min(
--- a/rhubarbwinch/gateway/plaincalls.py
+++ b/rhubarbwinch/gateway/plaincalls.py
@@ -107,7 +107,7 @@
 
     def _may_repeat(self, job: Job, runs_before: int) -> bool:
         """Returns whether a call may be executed once more."""
-        return job.route.may_repeat and runs_before + 1 < job.route.max_attempts
+        return job.route.is_repeatable and runs_before + 1 < job.route.max_attempts
 
     async def _send(
         self, job: Job, endpoint: Endpoint, left_ms: int, runs_before: int
@@ -129,7 +129,7 @@
             return failure
         finally:
             context.loads.add_local(endpoint.id, -1)
-        context.note(job, job.service, endpoint.id, Outcome.BROKEN)
+        context.record_outcome(job, job.service, endpoint.id, Outcome.BROKEN)
         self._log_attempt(
             job, endpoint, started_ms, f"no answer in {limit_ms} ms"
         )
@@ -151,7 +151,7 @@
         started_ms = context.clock.now()
         options = AttemptOptions(endpoint.id, job.account, left_ms)
         response = await context.upstream.send(
-            endpoint, job.call, job.body, options, job.route.may_repeat
+            endpoint, job.call, job.body, options, job.route.is_repeatable
         )
         try:
             body = await response.read()
@@ -159,7 +159,7 @@
             await response.close()
         head = response.head
         if head.is_refusal:
-            context.note(job, job.service, endpoint.id, Outcome.REFUSED)
+            context.record_outcome(job, job.service, endpoint.id, Outcome.REFUSED)
             self._log_attempt(
                 job, endpoint, started_ms, f"refused by {head.status}"
             )
@@ -175,7 +175,7 @@
         whole = WholeResponse(head, body)
         outcome = Outcome.GOOD if whole.is_success else Outcome.ERROR
         context.crashes.clear(job.fingerprint)
-        context.note(job, job.service, endpoint.id, outcome)
+        context.record_outcome(job, job.service, endpoint.id, outcome)
         self._log_attempt(job, endpoint, started_ms, str(head.status))
         return whole
 
@@ -187,7 +187,7 @@
         error: EndpointError,
     ) -> Failure:
         outcome = Outcome.BROKEN if error.sent else Outcome.UNREACHABLE
-        self._context.note(job, job.service, endpoint.id, outcome)
+        self._context.record_outcome(job, job.service, endpoint.id, outcome)
         self._log_attempt(job, endpoint, started_ms, str(error))
         if error.sent:
             return Failure(
--- a/rhubarbwinch/gateway/program.py
+++ b/rhubarbwinch/gateway/program.py
@@ -12,7 +12,7 @@
 from rhubarbwinch.gateway.beliefs import Beliefs
 from rhubarbwinch.gateway.context import Context
 from rhubarbwinch.gateway.copies import CopyManager
-from rhubarbwinch.gateway.crashes import CrashLedger
+from rhubarbwinch.gateway.crashes import CrashTracker
 from rhubarbwinch.gateway.edge import EdgeServer
 from rhubarbwinch.gateway.endpoints import Endpoint
 from rhubarbwinch.gateway.failurereports import FailureReports
@@ -30,7 +30,7 @@
     SnapshotCall,
     ValueCall,
 )
-from rhubarbwinch.gateway.outage import OutageWatch
+from rhubarbwinch.gateway.outage import OutageMonitor
 from rhubarbwinch.gateway.peers import Peers
 from rhubarbwinch.gateway.plaincalls import PlainCalls
 from rhubarbwinch.gateway.registration import GatewayRegistration
@@ -38,7 +38,7 @@
 from rhubarbwinch.gateway.retrybudget import RetryBudget
 from rhubarbwinch.gateway.router import Router
 from rhubarbwinch.gateway.routes import RoutingTable
-from rhubarbwinch.gateway.statusapi import SelfService
+from rhubarbwinch.gateway.statusapi import StatusApi
 from rhubarbwinch.gateway.settings import GatewaySettings
 from rhubarbwinch.gateway.streams import StreamCalls
 from rhubarbwinch.gateway.suspicion import Suspicion
@@ -161,7 +161,7 @@
             ),
             tracer=dependencies.tracer,
             copies=CopyManager(dependencies.engine_calls, clock),
-            crashes=CrashLedger(
+            crashes=CrashTracker(
                 dependencies.transport.is_unreachable,
                 clock,
                 self._broadcast.send,
@@ -192,17 +192,17 @@
             dependencies.store, clock, key, settings.address
         )
         router = Router(self._context, PlainCalls(self._context), self._streams)
-        self._outage = OutageWatch(
+        self._outage = OutageMonitor(
             clock,
             dependencies.engine_calls,
-            lambda: min(self._feed.confirmed_ms, self._peers.confirmed_ms),
+            lambda: min(self._feed.confirmed_age_ms, self._peers.confirmed_age_ms),
             lambda: self._peers.is_store_failing(self._feed.is_failing),
             lambda: [known.endpoint for known in self._own_engines()],
             self._own_expired_engines,
             self._announce_leaving,
         )
         self._front = EdgeServer(settings.front, router.handle, clock)
-        self._self_service = SelfService(
+        self._status_api = StatusApi(
             dependencies.platform, self._peers, settings, lambda: self.is_ready
         )
         self._was_ready = False
@@ -243,7 +243,7 @@
             ("directory", settings.directory),
             ("metrics", settings.metrics),
         ):
-            server = EdgeServer(address, self._self_service.answer, self._clock)
+            server = EdgeServer(address, self._status_api.handle, self._clock)
             supervisor.add(name, server.run)
         supervisor.add("copies", self._context.copies.run)
         supervisor.add("crashes", self._context.crashes.run)
@@ -277,7 +277,7 @@
             is_serving=self.is_ready,
             is_leaving=self._context.is_draining,
             revision=self._replica.revision,
-            confirmed_ms=self._feed.confirmed_ms,
+            confirmed_ms=self._feed.confirmed_age_ms,
             is_store_failing=self._feed.is_failing,
         )
 
@@ -324,7 +324,7 @@
 
     def _handle_crash(self, notice: CrashNotice) -> None:
         """Handles a crash that another gateway has observed."""
-        self._context.crashes.note(
+        self._context.crashes.record_crash(
             notice.request, notice.endpoint, self._clock.now()
         )
 
@@ -333,7 +333,7 @@
         while True:
             await self._clock.sleep(TICK_MS)
             self._beliefs.expire()
-            gatewaymetrics.OPEN.set(self._front.status.open_requests)
+            gatewaymetrics.OPEN_REQUESTS.set(self._front.status.open_requests)
             self._streams.note_change()
             if self._feed.is_failing != self._was_failing:
                 self._was_failing = self._feed.is_failing
@@ -343,7 +343,7 @@
                 events.READY_CHANGED.log(ready=self.is_ready)
                 self._peers.tell()
             lines = self._dependencies.lines
-            dropped = lines.take_dropped() if lines is not None else 0
+            dropped = lines.pop_dropped_count() if lines is not None else 0
             if dropped:
                 events.LOG_LINES_LEFT_OUT.log(lines=dropped)
 
@@ -364,7 +364,7 @@
         self._settings = settings
         for seed in settings.seeds:
             self._peers.add(seed)
-        self._context.budget.change(
+        self._context.budget.configure(
             settings.retry_ratio,
             settings.retry_window_ms,
             settings.retry_extra,
--- a/rhubarbwinch/gateway/relaying.py
+++ b/rhubarbwinch/gateway/relaying.py
@@ -12,7 +12,7 @@
 from rhubarbwinch.gateway.rooms import RunPlacer
 from rhubarbwinch.gateway.runs import Run
 from rhubarbwinch.gateway.upstream import UpstreamResponse
-from rhubarbwinch.http.sse import Splitter
+from rhubarbwinch.http.sse import EventSplitter
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.exceptions import EndpointError
 
@@ -49,7 +49,7 @@
 
     async def relay(self, run: Run, response: UpstreamResponse) -> bool:
         """Relays the events of one engine; returns whether the stream ended."""
-        splitter = Splitter()
+        splitter = EventSplitter()
         try:
             async with aclosing(
                 self._chunks_or_stall(run, response)
@@ -102,7 +102,7 @@
         self,
         run: Run,
         response: UpstreamResponse,
-        splitter: Splitter,
+        splitter: EventSplitter,
         chunk: bytes,
     ) -> None:
         """Sends the complete events of a chunk to the caller, each once.
@@ -148,10 +148,10 @@
     def _record_events(self, run: Run) -> None:
         now = self._context.clock.now()
         job = run.job
-        if run.events and run.last_event_ms and job.route.gap_ms:
+        if run.events and run.last_event_ms and job.route.max_event_gap_ms:
             pause = now - run.last_event_ms
-            if pause > job.route.gap_ms:
-                gatewaymetrics.GAPS.labels(job.route.name).inc()
+            if pause > job.route.max_event_gap_ms:
+                gatewaymetrics.LATE_GAPS.labels(job.route.name).inc()
                 events.LATE_GAP.log(
                     request=run.id,
                     endpoint=run.reservation.endpoint.id
--- a/rhubarbwinch/gateway/requestspans.py
+++ b/rhubarbwinch/gateway/requestspans.py
@@ -18,7 +18,7 @@
         """Runs a block in a span; spans started in it are its children."""
         ...
 
-    def current(self) -> str:
+    def current_traceparent(self) -> str:
         """Returns the traceparent of the current span; empty without one."""
         ...
 
@@ -39,7 +39,7 @@
     return tracer.span("gateway", "".join(traceparents[:1]), request=request_id)
 
 
-def send_span(
+def attempt_span(
     tracer: Tracer | None, endpoint_id: str
 ) -> AbstractContextManager[Any]:
     """Returns the span of an attempt, from its start to the response head."""
@@ -48,12 +48,12 @@
     return tracer.span("endpoint", endpoint=endpoint_id)
 
 
-def with_parent(tracer: Tracer | None, headers: Headers) -> Headers:
+def with_traceparent(tracer: Tracer | None, headers: Headers) -> Headers:
     """Returns the headers with the current span as the parent."""
     if tracer is None:
         return headers
     kept = [(n, v) for n, v in headers if not _is_traceparent(n)]
-    return [*kept, (TRACEPARENT, tracer.current().encode())]
+    return [*kept, (TRACEPARENT, tracer.current_traceparent().encode())]
 
 
 def _is_traceparent(name: bytes) -> bool:
--- a/rhubarbwinch/gateway/retrybudget.py
+++ b/rhubarbwinch/gateway/retrybudget.py
@@ -29,7 +29,7 @@
         self._requests: dict[str, deque[int]] = {}
         self._retries: dict[str, deque[int]] = {}
 
-    def change(self, ratio: float, window_ms: int, extra: int) -> None:
+    def configure(self, ratio: float, window_ms: int, extra: int) -> None:
         """Changes the parameters; the counts are kept."""
         self._ratio = ratio
         self._window_ms = window_ms
--- a/rhubarbwinch/gateway/rooms.py
+++ b/rhubarbwinch/gateway/rooms.py
@@ -114,7 +114,7 @@
         """Reserves capacity for a hot standby if another engine has enough."""
         context, job = self._context, run.job
         spec = context.engine_spec(job.service)
-        if run.reservation is None or spec is None or not spec.can_back_up:
+        if run.reservation is None or spec is None or not spec.supports_standby:
             return
         if job.route.is_resumable:
             # The run is short and can be restarted at another engine.
--- a/rhubarbwinch/gateway/router.py
+++ b/rhubarbwinch/gateway/router.py
@@ -91,11 +91,11 @@
             return not_run(
                 Reason.STORE_UNAVAILABLE, "no configuration yet", RETRY_AFTER_MS
             )
-        route = table.find(call.host, call.path)
+        route = table.find_route(call.host, call.path)
         if route is None:
             self._log_unknown(call, table, "route")
             return not_run(Reason.NOT_FOUND, "no such route")
-        if not table.needs_key or route.is_public:
+        if not table.requires_key or route.is_public:
             return self._check_drain(route, None, route.priority)
         account = table.accounts.get(call.api_key or "")
         if account is None:
--- a/rhubarbwinch/gateway/routes.py
+++ b/rhubarbwinch/gateway/routes.py
@@ -20,16 +20,16 @@
     Attributes:
         slots: The number of requests that an engine runs at once.
         kv_tokens: The KV cache of an engine in tokens.
-        can_move: Whether a run's KV cache can be copied to another engine.
-        can_back_up: Whether a run's KV cache can be replicated to a standby
+        supports_migration: Whether a run's KV cache can be copied to another engine.
+        supports_standby: Whether a run's KV cache can be replicated to a standby
             engine while the run goes on.
         copy_expiry_ms: How long an engine keeps an unused copy.
     """
 
     slots: int
     kv_tokens: int
-    can_move: bool
-    can_back_up: bool
+    supports_migration: bool
+    supports_standby: bool
     copy_expiry_ms: int = 0
 
 
@@ -50,7 +50,7 @@
 
 
 @attrs.frozen
-class Target:
+class WeightedService:
     """A service that gets a share of a route's requests.
 
     Attributes:
@@ -74,7 +74,7 @@
         timeout_ms: The time limit of a request.
         objective_ms: The latency objective of a response; of a stream, for its
             first event.
-        gap_ms: The longest pause between events that meets the objective; 0 for
+        max_event_gap_ms: The longest pause between events that meets the objective; 0 for
             no such bound.
         max_attempts: The number of endpoints to which a request may be sent.
         priority: The priority of its requests, 0 first.
@@ -90,16 +90,16 @@
     kind: CallKind
     timeout_ms: int
     objective_ms: int
-    gap_ms: int
+    max_event_gap_ms: int
     max_attempts: int
     priority: int
     is_public: bool
     is_generation: bool
     is_resumable: bool
-    targets: tuple[Target, ...]
+    targets: tuple[WeightedService, ...]
 
     @property
-    def may_repeat(self) -> bool:
+    def is_repeatable(self) -> bool:
         """Whether a request may be retried although it may have run."""
         return self.kind is CallKind.IDEMPOTENT or self.is_resumable
 
@@ -109,16 +109,16 @@
     """Limits on callers' requests.
 
     Attributes:
-        head_bytes: The maximum size of a request head.
-        body_bytes: The maximum size of a request body.
-        head_ms: The time limit for a head, and between parts of a body.
-        idle_ms: How long a connection may stay idle.
+        max_head_bytes: The maximum size of a request head.
+        max_body_bytes: The maximum size of a request body.
+        head_timeout_ms: The time limit for a head, and between parts of a body.
+        idle_timeout_ms: How long a connection may stay idle.
     """
 
-    head_bytes: int = 16_384
-    body_bytes: int = 4 << 20
-    head_ms: int = 3_000
-    idle_ms: int = 15_000
+    max_head_bytes: int = 16_384
+    max_body_bytes: int = 4 << 20
+    head_timeout_ms: int = 3_000
+    idle_timeout_ms: int = 15_000
 
 
 @attrs.frozen
@@ -144,7 +144,7 @@
         routes: The routes by host, then by prefix.
         services: The services by name.
         accounts: The accounts by API key.
-        needs_key: Whether requests need an API key, except on public routes.
+        requires_key: Whether requests need an API key, except on public routes.
         limits: Limits on callers' requests.
     """
 
@@ -152,10 +152,10 @@
     routes: dict[str, dict[str, Route]]
     services: dict[str, ServiceSpec]
     accounts: dict[str, Account]
-    needs_key: bool
+    requires_key: bool
     limits: HttpLimits
 
-    def find(self, host: str, path: str) -> Route | None:
+    def find_route(self, host: str, path: str) -> Route | None:
         """Returns the route with the longest prefix of `path`, or None."""
         by_prefix = self.routes.get(host, {})
         end = path.rfind("/")
--- a/rhubarbwinch/gateway/statusapi.py
+++ b/rhubarbwinch/gateway/statusapi.py
@@ -13,7 +13,7 @@
 DIRECTORY_TTL_MS = 2_000
 
 
-class SelfService:
+class StatusApi:
     """Handles requests to the gateway itself.
 
     Args:
@@ -35,7 +35,7 @@
         self._settings = settings
         self._is_ready = is_ready
 
-    async def answer(
+    async def handle(
         self, request: EdgeRequest, responder: EdgeResponder
     ) -> None:
         """Handles a directory, readiness or metrics request."""
--- a/rhubarbwinch/gateway/streams.py
+++ b/rhubarbwinch/gateway/streams.py
@@ -110,7 +110,7 @@
             failure = result
             job.tried.add(run.reservation.endpoint.id)
             if failure.verdict is not Verdict.NOT_RUN and not (
-                job.route.may_repeat and job.sends < job.route.max_attempts
+                job.route.is_repeatable and job.sends < job.route.max_attempts
             ):
                 return failure
         return failure
@@ -124,7 +124,7 @@
             source = run.reservation.endpoint
             with anyio.move_on_after(self._left_ms(run) / 1000):
                 if await self._relay.relay(run, response):
-                    self._context.note(
+                    self._context.record_outcome(
                         run.job, run.job.service, source.id, Outcome.GOOD
                     )
                     self._context.crashes.clear(run.job.fingerprint)
--- a/rhubarbwinch/gateway/suspicion.py
+++ b/rhubarbwinch/gateway/suspicion.py
@@ -66,7 +66,7 @@
     def __init__(self) -> None:
         self._records: dict[str, _Record] = {}
 
-    def note(
+    def record_outcome(
         self, service: str, endpoint: str, outcome: Outcome, now_ms: int
     ) -> bool:
         """Records an outcome; returns whether a new pause begins with it."""
--- a/rhubarbwinch/gateway/upstream.py
+++ b/rhubarbwinch/gateway/upstream.py
@@ -100,7 +100,7 @@
         call: CallHead,
         body: bytes,
         options: AttemptOptions,
-        may_repeat: bool,
+        is_repeatable: bool,
     ) -> UpstreamResponse:
         """Sends a request; returns the response when its head is received.
 
@@ -108,9 +108,9 @@
             EndpointError: No head was received. Its attribute `sent` tells
                 whether a byte was sent.
         """
-        with requestspans.send_span(self._tracer, endpoint.id):
+        with requestspans.attempt_span(self._tracer, endpoint.id):
             request = self._request(endpoint, call, body, options)
-            if not may_repeat:
+            if not is_repeatable:
                 request.extensions["max_idle_s"] = NOT_REPEATABLE_MAX_IDLE_S
             try:
                 response = await self._transport.handle_async_request(request)
@@ -134,7 +134,7 @@
         return httpx.Request(
             call.method,
             f"http://{endpoint.address}/",
-            headers=requestspans.with_parent(self._tracer, headers),
+            headers=requestspans.with_traceparent(self._tracer, headers),
             stream=httpx.ByteStream(body),
             extensions={
                 "target": call.target,
--- a/rhubarbwinch/http/httpapi.py
+++ b/rhubarbwinch/http/httpapi.py
@@ -66,16 +66,16 @@
     ) -> None:
         self._send = send
         self._closes_connection = closes_connection
-        self._started = False
+        self._has_started = False
 
     @property
-    def started(self) -> bool:
+    def has_started(self) -> bool:
         """Whether the response head has been sent."""
-        return self._started
+        return self._has_started
 
     async def start(self, status: int, headers: Headers) -> None:
         """Sends the response head."""
-        self._started = True
+        self._has_started = True
         if self._closes_connection:
             headers = [*headers, (b"connection", b"close")]
         await self._send(
@@ -93,24 +93,24 @@
             {"type": "http.response.body", "body": data, "more_body": more}
         )
 
-    async def whole(self, status: int, headers: Headers, data: bytes) -> None:
+    async def send_response(self, status: int, headers: Headers, data: bytes) -> None:
         """Sends a complete response."""
         length = (b"content-length", str(len(data)).encode())
         await self.start(status, [*headers, length])
         await self.write(data, more=False)
 
-    async def json(self, data: bytes, status: int = 200) -> None:
+    async def send_json(self, data: bytes, status: int = 200) -> None:
         """Sends a complete JSON response."""
-        await self.whole(status, [(b"content-type", b"application/json")], data)
+        await self.send_response(status, [(b"content-type", b"application/json")], data)
 
-    async def problem(self, failure: Failure) -> None:
+    async def send_problem(self, failure: Failure) -> None:
         """Sends a failure; within an event stream, as an error event."""
         data = problems.body(failure)
-        if self._started:
+        if self._has_started:
             await self.write(b"event: error\ndata: " + data + b"\n\n", False)
             return
         status = problems.STATUS[failure.reason]
-        await self.whole(status, problems.headers(failure), data)
+        await self.send_response(status, problems.headers(failure), data)
 
 
 Handler = Callable[[Request, Responder], Awaitable[None]]
@@ -174,7 +174,7 @@
                 verdict=failure.verdict,
                 detail=failure.detail,
             )
-            await responder.problem(failure)
+            await responder.send_problem(failure)
 
     async def _read_in_time(
         self, scope: Any, receive: ASGIReceiveCallable
--- a/rhubarbwinch/http/sse.py
+++ b/rhubarbwinch/http/sse.py
@@ -13,7 +13,7 @@
 from rhubarbwinch.shared.identifiers import EventId, parse_event_id
 
 MAX_EVENT_BYTES = 1 << 20
-DONE = b"data: [DONE]\n\n"
+DONE_EVENT = b"data: [DONE]\n\n"
 _EVENT_END = b"\n\n"
 _NO_FINISH_REASON = b'"finish_reason":null'
 
@@ -31,7 +31,7 @@
     @property
     def is_done(self) -> bool:
         """Whether this is the event that ends the stream."""
-        return self.raw == DONE
+        return self.raw == DONE_EVENT
 
     @property
     def is_comment(self) -> bool:
@@ -89,7 +89,7 @@
     return b"".join([event.raw for event in events])
 
 
-class Splitter:
+class EventSplitter:
     """Splits received bytes into events."""
 
     def __init__(self) -> None:
--- a/rhubarbwinch/http/transport.py
+++ b/rhubarbwinch/http/transport.py
@@ -509,11 +509,11 @@
     except OSError as error:
         raise httpx.ConnectError(f"{host}:{port}: {error}") from error
     if options.dead_peer_ms:
-        probe_dead_peer(connection.socket, options.dead_peer_ms)
+        set_dead_peer_timeout(connection.socket, options.dead_peer_ms)
     return connection
 
 
-def probe_dead_peer(sock: socket.socket, limit_ms: int) -> None:
+def set_dead_peer_timeout(sock: socket.socket, limit_ms: int) -> None:
     """Makes the operating system close a connection to a silent peer.
 
     Args:
--- a/rhubarbwinch/links/broadcast.py
+++ b/rhubarbwinch/links/broadcast.py
@@ -42,7 +42,7 @@
 
     def add(self, address: str) -> None:
         """Adds a peer to the receivers of all later messages."""
-        self._peers[address] = netaddress.split_address(address)
+        self._peers[address] = netaddress.parse_address(address)
 
     def forget(self, address: str) -> None:
         """Removes a peer that is gone from the receivers."""
@@ -61,7 +61,7 @@
         """Receives messages until cancelled."""
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
-            lambda: self, local_addr=netaddress.split_address(self._address)
+            lambda: self, local_addr=netaddress.parse_address(self._address)
         )
         self._transport = transport
         try:
--- a/rhubarbwinch/links/linkinterfaces.py
+++ b/rhubarbwinch/links/linkinterfaces.py
@@ -6,7 +6,7 @@
 T = TypeVar("T")
 
 
-class Caller(Protocol):
+class PeerCaller(Protocol):
     """Calls peers by their addresses."""
 
     async def call(
@@ -33,7 +33,7 @@
         ...
 
 
-class RunningCaller(Caller, Protocol):
+class RunningPeerCaller(PeerCaller, Protocol):
     """Calls peers while its `run` is active."""
 
     async def run(self) -> None:
@@ -48,7 +48,7 @@
         """
         ...
 
-    def on_late(
+    def on_late_reply(
         self, kind: type[T], handle: Callable[[T], Awaitable[None]]
     ) -> None:
         """Sets the handler for replies that arrive after their call ended."""
--- a/rhubarbwinch/links/links.py
+++ b/rhubarbwinch/links/links.py
@@ -274,7 +274,7 @@
         """
         await self._send(address, 0, message, _CONNECT_TIMEOUT_MS)
 
-    def on_late(
+    def on_late_reply(
         self, kind: type[T], handle: Callable[[T], Awaitable[None]]
     ) -> None:
         """Sets the handler for replies that arrive after their call ended."""
--- a/rhubarbwinch/links/memlinks.py
+++ b/rhubarbwinch/links/memlinks.py
@@ -20,12 +20,12 @@
     """The traffic of a node, without the transport's headers."""
 
     messages: int = 0
-    octets: int = 0
+    byte_count: int = 0
 
-    def count(self, octets: int) -> None:
+    def count(self, byte_count: int) -> None:
         """Adds one message."""
         self.messages += 1
-        self.octets += octets
+        self.byte_count += byte_count
 
 
 @attrs.frozen
@@ -44,11 +44,11 @@
         latency_ms: The delay of a message in one direction.
 
     Attributes:
-        cut: The addresses of nodes that are disconnected.
+        disconnected: The addresses of nodes that are disconnected.
     """
 
     def __init__(self, clock: Clock, latency_ms: int = 1) -> None:
-        self.cut: set[str] = set()
+        self.disconnected: set[str] = set()
         self._clock = clock
         self._latency_ms = latency_ms
         self._nodes: dict[str, MemoryLinks] = {}
@@ -66,13 +66,13 @@
         Raises:
             LinkTimeout: One of the two nodes is missing or disconnected.
         """
-        if address not in self._nodes or self.cut & {source, address}:
+        if address not in self._nodes or self.disconnected & {source, address}:
             await self._clock.sleep(timeout_ms)
             raise LinkTimeout(f"{address} gave no answer in {timeout_ms} ms")
         await self._clock.sleep(self._latency_ms)
         reply = await self._nodes[address].receive(message)
         await self._clock.sleep(self._latency_ms)
-        if self.cut & {source, address}:
+        if self.disconnected & {source, address}:
             raise LinkTimeout(f"{address} was cut off")
         return reply
 
@@ -122,7 +122,7 @@
             # A sender does not learn whether such a message has arrived.
             return
 
-    def on_late(
+    def on_late_reply(
         self, kind: type[T], handle: Callable[[T], Awaitable[None]]
     ) -> None:
         """Does nothing; replies in memory are never late."""
--- a/rhubarbwinch/membership/gossip.py
+++ b/rhubarbwinch/membership/gossip.py
@@ -11,13 +11,13 @@
 import anyio
 import anyio.abc
 
-from rhubarbwinch.links.linkinterfaces import Caller, Listener
+from rhubarbwinch.links.linkinterfaces import PeerCaller, Listener
 from rhubarbwinch.membership import overlay
 from rhubarbwinch.membership.heartbeat import Heartbeat, ViewReply, ViewRequest
 from rhubarbwinch.membership.members import Health, Member, MemberNews, Members
 from rhubarbwinch.membership.rumours import Rumour, UpdateBuffer
 from rhubarbwinch.shared import codec, events
-from rhubarbwinch.shared.bytebucket import ByteBudget
+from rhubarbwinch.shared.bytebucket import ByteTokenBucket
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import CodecError, LinkError
 
@@ -66,7 +66,7 @@
 
     def __init__(
         self,
-        links: Caller,
+        links: PeerCaller,
         server: Listener,
         members: Members,
         clock: Clock,
@@ -82,7 +82,7 @@
         self._holds_lease = holds_lease
         self._handlers: dict[str, UpdateHandler] = {}
         self._updates = UpdateBuffer()
-        self._budget = ByteBudget(clock, UPDATE_BYTES_PER_S, UPDATE_BURST_BYTES)
+        self._budget = ByteTokenBucket(clock, UPDATE_BYTES_PER_S, UPDATE_BURST_BYTES)
         self._generation = 0
         self._is_shutting_down = False
         self._on_newer_generation: NewerGenerationHandler = (
@@ -290,7 +290,7 @@
 
     def _update_bytes_left(self) -> int:
         """Returns how many bytes of updates the next message may hold."""
-        return min(MAX_MESSAGE_UPDATE_BYTES, self._budget.left)
+        return min(MAX_MESSAGE_UPDATE_BYTES, self._budget.available)
 
     def _make_heartbeat(self, peer: str, updates: list[Rumour]) -> Heartbeat:
         member_update = self._members.update_of(peer)
@@ -301,7 +301,7 @@
             # The peer is reachable, so it is sent the update that says it is
             # suspected or dead, which it then refutes.
             updates = [*updates, _make_member_update(member_update)]
-        self._budget.spend(sum(update.size for update in updates))
+        self._budget.consume(sum(update.size for update in updates))
         return Heartbeat(
             self._members.me.name,
             self._generation,
--- a/rhubarbwinch/membership/leaving.py
+++ b/rhubarbwinch/membership/leaving.py
@@ -56,7 +56,7 @@
         return {
             endpoint.name
             for endpoint in spec.endpoints
-            if netaddress.split_address(endpoint.address)[0] in hosts
+            if netaddress.parse_address(endpoint.address)[0] in hosts
         }
 
     def configure(self, snapshot: Snapshot) -> None:
--- a/rhubarbwinch/platform/bootfile.py
+++ b/rhubarbwinch/platform/bootfile.py
@@ -64,7 +64,7 @@
         if len(ports) < 2:
             raise SettingError("internal_ports", ports, "two ports")
         link_port = int(ports[0])
-        seeds = [netaddress.split_address(seed)[0] for seed in self._list("seeds")]
+        seeds = [netaddress.parse_address(seed)[0] for seed in self._list("seeds")]
         return GatewaySettings(
             name=self._text("node"),
             data_center=self._text("zone"),
@@ -99,7 +99,7 @@
     def _address(self, name: str) -> str:
         value = self._text(name)
         try:
-            netaddress.split_address(value)
+            netaddress.parse_address(value)
         except ValueError as error:
             raise SettingError(name, value, "IP number:port") from error
         return value
--- a/rhubarbwinch/platform/documents.py
+++ b/rhubarbwinch/platform/documents.py
@@ -14,7 +14,7 @@
     Route,
     RoutingTable,
     ServiceSpec,
-    Target,
+    WeightedService,
 )
 from rhubarbwinch.gateway.wire import EngineReport
 from rhubarbwinch.shared import netaddress
@@ -105,7 +105,7 @@
         routes=routes,
         services={service.name: service for service in services},
         accounts=accounts,
-        needs_key="tenants" in document,
+        requires_key="tenants" in document,
         limits=_decode_limits(document.get("limits", {})),
     )
 
@@ -113,11 +113,11 @@
 def _decode_route(item: JSON) -> Route:
     if item.get("traffic_split"):
         targets = tuple(
-            Target(_non_empty_text(part["service"]), float(part["weight"]))
+            WeightedService(_non_empty_text(part["service"]), float(part["weight"]))
             for part in item["traffic_split"]
         )
     else:
-        targets = (Target(_non_empty_text(item["service"]), 1.0),)
+        targets = (WeightedService(_non_empty_text(item["service"]), 1.0),)
     timeout_ms = int(item.get("timeout_ms") or DEFAULT_TIMEOUT_MS)
     return Route(
         name=str(item.get("name", "")),
@@ -127,7 +127,7 @@
         kind=CALL_KINDS.get(item["kind"], CallKind.NON_IDEMPOTENT),
         timeout_ms=timeout_ms,
         objective_ms=int(item.get("target_latency_ms") or timeout_ms),
-        gap_ms=int(item.get("target_gap_ms") or 0),
+        max_event_gap_ms=int(item.get("target_gap_ms") or 0),
         max_attempts=max(1, int(item.get("max_attempts") or 1)),
         priority=int(item.get("priority") or 0),
         is_public=bool(item.get("public")),
@@ -150,8 +150,8 @@
     return EngineSpec(
         slots=int(item["slots"]),
         kv_tokens=int(item["kv_tokens"]),
-        can_move=bool(item.get("moves")),
-        can_back_up=bool(item.get("backups")),
+        supports_migration=bool(item.get("moves")),
+        supports_standby=bool(item.get("backups")),
         copy_expiry_ms=int(1_000 * float(item.get("handle_s") or 0)),
     )
 
@@ -159,10 +159,10 @@
 def _decode_limits(item: JSON) -> HttpLimits:
     defaults = HttpLimits()
     return HttpLimits(
-        head_bytes=int(item.get("max_header_bytes") or defaults.head_bytes),
-        body_bytes=int(item.get("max_body_bytes") or defaults.body_bytes),
-        head_ms=int(item.get("header_timeout_ms") or defaults.head_ms),
-        idle_ms=int(item.get("idle_timeout_ms") or defaults.idle_ms),
+        max_head_bytes=int(item.get("max_header_bytes") or defaults.max_head_bytes),
+        max_body_bytes=int(item.get("max_body_bytes") or defaults.max_body_bytes),
+        head_timeout_ms=int(item.get("header_timeout_ms") or defaults.head_timeout_ms),
+        idle_timeout_ms=int(item.get("idle_timeout_ms") or defaults.idle_timeout_ms),
     )
 
 
@@ -176,7 +176,7 @@
 
     def build(document: JSON) -> Endpoint:
         address = _non_empty_text(document["address"])
-        netaddress.split_address(address)
+        netaddress.parse_address(address)
         return Endpoint(
             id=endpoint_id,
             service=_non_empty_text(document["service"]),
--- a/rhubarbwinch/programs/broker.py
+++ b/rhubarbwinch/programs/broker.py
@@ -28,7 +28,7 @@
 from rhubarbwinch.membership.ownership import Ownership
 from rhubarbwinch.programs.config import BrokerSettings
 from rhubarbwinch.programs.daemon import Daemon
-from rhubarbwinch.programs.dependencies import Surroundings
+from rhubarbwinch.programs.dependencies import Dependencies
 from rhubarbwinch.records.accepted import Snapshot
 from rhubarbwinch.records.records import PoolSpec
 from rhubarbwinch.shared import metrics, tracing
@@ -54,7 +54,7 @@
     reply: PermitReply | None = None
 
 
-class PoolKeeper:
+class BrokerPools:
     """The pools of a broker and the permit requests that wait for them.
 
     Args:
@@ -89,7 +89,7 @@
         """The number of requests that wait for a decision."""
         return len(self._waiters)
 
-    def mark_leaving(self, find: LeavingFinder) -> None:
+    def set_leaving_finder(self, find: LeavingFinder) -> None:
         """Sets the function that finds a pool's leaving endpoints."""
         self._find_leaving = find
         for name, pool in self._pools.items():
@@ -117,9 +117,9 @@
         for name in self._pools.keys() - snapshot.pools.keys():
             del self._pools[name]
             self._refuse_waiting(name)
-        self.mark_leaving(self._find_leaving)
+        self.set_leaving_finder(self._find_leaving)
 
-    async def answer(self, request: PermitRequest) -> PermitReply:
+    async def decide(self, request: PermitRequest) -> PermitReply:
         """Decides a request, after its wait in the pool's queue."""
         pool = self._pools.get(request.pool)
         if pool is None:
@@ -213,13 +213,13 @@
     def __init__(
         self,
         settings: BrokerSettings,
-        dependencies: Surroundings | None = None,
+        dependencies: Dependencies | None = None,
         endpoints: EndpointClient | None = None,
     ) -> None:
         self._daemon = Daemon(Role.BROKER, settings, dependencies)
         self._settings = settings
         self._endpoints = endpoints or EndpointClient(LOAD_TIMEOUT_MS)
-        self._broker_pools = PoolKeeper(
+        self._broker_pools = BrokerPools(
             self._daemon.clock,
             random.Random(self._daemon.incarnation),
             self._daemon.metrics,
@@ -246,10 +246,10 @@
 
     async def _handle_request(self, request: PermitRequest) -> PermitReply:
         with tracing.span("queue", request.traceparent, pool=request.pool):
-            return await self._broker_pools.answer(request)
+            return await self._broker_pools.decide(request)
 
     def _mark_leaving(self) -> None:
-        self._broker_pools.mark_leaving(self._daemon.leaving.endpoints_of)
+        self._broker_pools.set_leaving_finder(self._daemon.leaving.endpoints_of)
 
     async def _tick(self) -> None:
         while True:
--- a/rhubarbwinch/programs/daemon.py
+++ b/rhubarbwinch/programs/daemon.py
@@ -17,7 +17,7 @@
 from rhubarbwinch.membership.registration import Registration
 from rhubarbwinch.programs.config import Settings
 from rhubarbwinch.programs.probes import DrainState, Probes
-from rhubarbwinch.programs.dependencies import Surroundings, make_dependencies
+from rhubarbwinch.programs.dependencies import Dependencies, make_dependencies
 from rhubarbwinch.shared import events, metrics, netaddress
 from rhubarbwinch.shared.exceptions import StoreError
 from rhubarbwinch.shared.metrics import Metrics
@@ -47,7 +47,7 @@
         self,
         role: Role,
         settings: Settings,
-        dependencies: Surroundings | None = None,
+        dependencies: Dependencies | None = None,
     ) -> None:
         dependencies = dependencies or make_dependencies(settings)
         self.settings = settings
@@ -179,10 +179,10 @@
                 break
             # The receiver stays open, so that a second signal does not abort
             # the requests that are still open.
-            await self.leave()
+            await self.shut_down()
         tasks.cancel_scope.cancel()
 
-    async def leave(self) -> None:
+    async def shut_down(self) -> None:
         """Stops accepting work and drains, then closes the HTTP interface.
 
         The wait for open requests ends at the drain limit.
@@ -210,7 +210,7 @@
 
     def _update_state(self) -> None:
         """Sets this member's state by the leaving notices of its VM."""
-        host = netaddress.split_address(self.settings.link)[0]
+        host = netaddress.parse_address(self.settings.link)[0]
         is_leaving = host in self.leaving.hosts or self.drain.started
         self._set_state(
             MemberState.LEAVING if is_leaving else MemberState.SERVING
--- a/rhubarbwinch/programs/dependencies.py
+++ b/rhubarbwinch/programs/dependencies.py
@@ -3,7 +3,7 @@
 import attrs
 
 from rhubarbwinch.links.links import Links, LinkServer
-from rhubarbwinch.links.linkinterfaces import RunningCaller, RunningListener
+from rhubarbwinch.links.linkinterfaces import RunningPeerCaller, RunningListener
 from rhubarbwinch.programs.config import Settings
 from rhubarbwinch.shared import identifiers
 from rhubarbwinch.shared.clock import Clock, SystemClock
@@ -11,7 +11,7 @@
 
 
 @attrs.frozen
-class Surroundings:
+class Dependencies:
     """The external dependencies of a daemon.
 
     Attributes:
@@ -28,18 +28,18 @@
 
     clock: Clock
     store: Store
-    links: RunningCaller
-    gossip_links: RunningCaller
+    links: RunningPeerCaller
+    gossip_links: RunningPeerCaller
     server: RunningListener
     incarnation: int
     is_embedded: bool = False
 
 
-def make_dependencies(settings: Settings) -> Surroundings:
+def make_dependencies(settings: Settings) -> Dependencies:
     """Builds the dependencies of a process from its settings."""
     incarnation = identifiers.new_incarnation()
     make_store = STORES.get(settings.store_kind)
-    return Surroundings(
+    return Dependencies(
         clock=SystemClock(),
         store=make_store(settings.store, settings.store_timeout_ms),
         links=Links(incarnation, settings.link_keys),
--- a/rhubarbwinch/programs/entry.py
+++ b/rhubarbwinch/programs/entry.py
@@ -12,7 +12,7 @@
 from rhubarbwinch.callers.drainlimit import run_until_limit
 from rhubarbwinch.callers.generate import GenerationRunner
 from rhubarbwinch.callers.guarded import GuardedGenerationRunner
-from rhubarbwinch.callers.plain import PREFIX, PlainCaller
+from rhubarbwinch.callers.plain import PREFIX, PlainServiceProxy
 from rhubarbwinch.callers.streams import OpenStreams
 from rhubarbwinch.callers.takeover import Takeover
 from rhubarbwinch.endpoints.endpoints import EndpointClient
@@ -23,7 +23,7 @@
 from rhubarbwinch.programs.claimcomponents import ClaimComponents
 from rhubarbwinch.programs.config import EntrySettings
 from rhubarbwinch.programs.daemon import Daemon
-from rhubarbwinch.programs.dependencies import Surroundings
+from rhubarbwinch.programs.dependencies import Dependencies
 from rhubarbwinch.records.apikeys import KeyChecker
 from rhubarbwinch.shared import events, identifiers, metrics, rendezvous, tracing
 from rhubarbwinch.shared.verdict import Reason, not_run
@@ -44,7 +44,7 @@
     def __init__(
         self,
         settings: EntrySettings,
-        dependencies: Surroundings | None = None,
+        dependencies: Dependencies | None = None,
         endpoints: EndpointClient | None = None,
     ) -> None:
         daemon = Daemon(Role.ENTRY, settings, dependencies)
@@ -59,7 +59,7 @@
             settings.permit_timeout_ms,
             daemon.metrics,
         )
-        ids = identifiers.IdMaker(daemon.incarnation, settings.stream_secret)
+        ids = identifiers.IdGenerator(daemon.incarnation, settings.stream_secret)
         self._claims = ClaimComponents(daemon, settings)
         self._streams = OpenStreams(
             self._permits,
@@ -93,7 +93,7 @@
             self._permits,
             self._endpoints,
         )
-        self._plain_services = PlainCaller(
+        self._plain_services = PlainServiceProxy(
             self._permits,
             self._endpoints,
             self._claims.claims,
@@ -258,7 +258,7 @@
             for name in order
         ]
         data = {"entries": listed, "ttl_ms": ENTRIES_TTL_MS}
-        await responder.json(orjson.dumps(data))
+        await responder.send_json(orjson.dumps(data))
 
     async def _list_models(
         self, request: Request, responder: Responder
@@ -266,4 +266,4 @@
         """Lists the account's generation services in OpenAI's format."""
         account = self._authenticate(request)
         snapshot = self._daemon.follower.snapshot
-        await responder.json(models.model_list(account, snapshot))
+        await responder.send_json(models.model_list(account, snapshot))
--- a/rhubarbwinch/programs/options.py
+++ b/rhubarbwinch/programs/options.py
@@ -40,7 +40,7 @@
         return f"setting {_setting_label(matched[1])}: {matched[2]}"
     if matched := _NO_VALUE.fullmatch(message):
         name = matched[1].lower().replace("_", "-")
-        setting = settingtypes.info(name)
+        setting = settingtypes.find_setting(name)
         if setting is None:
             return f"argument {name}: no value"
         return (
@@ -53,7 +53,7 @@
 
 
 def _setting_label(name: str) -> str:
-    setting = settingtypes.info(name)
+    setting = settingtypes.find_setting(name)
     return f"--{name} ({setting.variable})" if setting else f"--{name}"
 
 
@@ -129,7 +129,7 @@
 
 def _check_required(settings: Any) -> None:
     for field in attrs.fields(type(settings)):
-        setting = settingtypes.info(field.name.replace("_", "-"))
+        setting = settingtypes.find_setting(field.name.replace("_", "-"))
         if setting is None or not setting.is_required:
             continue
         if getattr(settings, field.name) is None:
--- a/rhubarbwinch/programs/probes.py
+++ b/rhubarbwinch/programs/probes.py
@@ -44,10 +44,10 @@
         app.route("GET", "/readyz", self._readyz)
 
     async def _healthz(self, _: Request, responder: Responder) -> None:
-        await responder.json(b'{"alive":true}')
+        await responder.send_json(b'{"alive":true}')
 
     async def _readyz(self, _: Request, responder: Responder) -> None:
         generation = self._follower.snapshot.generation
         ready = generation > 0 and not self._drain.started
         data = {"ready": ready, "generation": generation}
-        await responder.json(orjson.dumps(data), 200 if ready else 503)
+        await responder.send_json(orjson.dumps(data), 200 if ready else 503)
--- a/rhubarbwinch/records/specs.py
+++ b/rhubarbwinch/records/specs.py
@@ -62,7 +62,7 @@
 
 def _is_address(value: str) -> bool:
     try:
-        netaddress.split_address(value)
+        netaddress.parse_address(value)
     except ValueError:
         return False
     return True
--- a/rhubarbwinch/shared/bytebucket.py
+++ b/rhubarbwinch/shared/bytebucket.py
@@ -3,7 +3,7 @@
 from rhubarbwinch.shared.clock import Clock
 
 
-class ByteBudget:
+class ByteTokenBucket:
     """A token bucket of bytes.
 
     Args:
@@ -20,7 +20,7 @@
         self._refilled_ms = clock.now()
 
     @property
-    def left(self) -> int:
+    def available(self) -> int:
         """The bytes that may be spent now."""
         now = self._clock.now()
         refill = (now - self._refilled_ms) * self._rate // 1000
@@ -29,6 +29,6 @@
             self._available = min(self._burst, self._available + refill)
         return self._available
 
-    def spend(self, count: int) -> None:
+    def consume(self, count: int) -> None:
         """Removes bytes from the bucket; it never holds less than 0."""
-        self._available = max(0, self.left - count)
+        self._available = max(0, self.available - count)
--- a/rhubarbwinch/shared/identifiers.py
+++ b/rhubarbwinch/shared/identifiers.py
@@ -34,7 +34,7 @@
     index: int
 
 
-class IdMaker:
+class IdGenerator:
     """Makes request ids that are unique across processes.
 
     Args:
--- a/rhubarbwinch/shared/logoutput.py
+++ b/rhubarbwinch/shared/logoutput.py
@@ -34,7 +34,7 @@
         self._unwritten = b""
         self._dropped_count = 0
 
-    def take_dropped(self) -> int:
+    def pop_dropped_count(self) -> int:
         """Returns how many lines were dropped since the last call."""
         dropped, self._dropped_count = self._dropped_count, 0
         return dropped
--- a/rhubarbwinch/shared/metrics.py
+++ b/rhubarbwinch/shared/metrics.py
@@ -63,7 +63,7 @@
     def __init__(self, address: str, role: str) -> None:
         self._client = None
         if address:
-            host, port = netaddress.split_address(address)
+            host, port = netaddress.parse_address(address)
             self._client = statsd.StatsClient(host, port, f"{PREFIX}.{role}")
 
     def count(self, name: str, amount: int = 1) -> None:
--- a/rhubarbwinch/shared/netaddress.py
+++ b/rhubarbwinch/shared/netaddress.py
@@ -6,7 +6,7 @@
 _MAX_PORT = 65_535
 
 
-def split_address(address: str) -> tuple[str, int]:
+def parse_address(address: str) -> tuple[str, int]:
     """Returns the host and port of an `a.b.c.d:port` address.
 
     Raises:
--- a/rhubarbwinch/shared/settingtypes.py
+++ b/rhubarbwinch/shared/settingtypes.py
@@ -75,7 +75,7 @@
 _settings: dict[str, SettingInfo] = {}
 
 
-def info(name: str) -> SettingInfo | None:
+def find_setting(name: str) -> SettingInfo | None:
     """Returns the setting called `name`, or None if there is none."""
     return _settings.get(name)
 
@@ -113,7 +113,7 @@
 
 
 def _to_address(value: str) -> str:
-    netaddress.split_address(value)
+    netaddress.parse_address(value)
     return value
 
 
--- a/rhubarbwinch/shared/tracing.py
+++ b/rhubarbwinch/shared/tracing.py
@@ -6,7 +6,7 @@
 context is propagated as W3C `traceparent`: in HTTP headers of callers and
 endpoints, and in a field of the messages between the programs.
 
-Until `configure` or `use` is called, every span is one shared object that
+Until `configure` or `configure_processor` is called, every span is one shared object that
 records nothing.
 """
 
@@ -98,10 +98,10 @@
         )
 
         processor = BatchSpanProcessor(OTLPSpanExporter(endpoint=target))
-    use(processor, process, percent)
+    configure_processor(processor, process, percent)
 
 
-def use(processor: SpanProcessor, process: str, percent: int = 100) -> None:
+def configure_processor(processor: SpanProcessor, process: str, percent: int = 100) -> None:
     """Turns tracing on with the given span processor."""
     resource = Resource(
         {"service.name": "rhubarbwinch", "service.instance.id": process}
@@ -181,7 +181,7 @@
         active_span.end()
 
 
-def current() -> str:
+def current_traceparent() -> str:
     """Returns the `traceparent` of the current span; empty without a span."""
     if _state.tracer is None:
         return _propagated.get()
--- a/tests/callers/test_drainlimit.py
+++ b/tests/callers/test_drainlimit.py
@@ -23,7 +23,7 @@
         """Returns the response headers of a program that is draining."""
         app = App(1024)
         app.is_closing = lambda: True
-        app.route("GET", "/", lambda _, responder: responder.json(b"{}"))
+        app.route("GET", "/", lambda _, responder: responder.send_json(b"{}"))
         scope = {
             "type": "http",
             "http_version": version,
--- a/tests/callers/test_streams.py
+++ b/tests/callers/test_streams.py
@@ -51,7 +51,7 @@
     def __init__(self, holder):
         self._holder = holder
 
-    async def call(self, address, message, answer, timeout_ms):
+    async def call(self, address, message, reply_type, timeout_ms):
         if self._holder is None:
             raise LinkTimeout("silent")
         return await self._holder.hand_over(message)
--- a/tests/claimworld.py
+++ b/tests/claimworld.py
@@ -10,7 +10,7 @@
 from result import Err, Ok
 
 from rhubarbwinch.admission.permits import Permit
-from rhubarbwinch.callers.plain import PlainCaller
+from rhubarbwinch.callers.plain import PlainServiceProxy
 from rhubarbwinch.claims.audit import Period, list_calls
 from rhubarbwinch.claims.claimfloor import ClaimFloor
 from rhubarbwinch.claims.claimowners import Standing
@@ -173,11 +173,11 @@
             name,
             incarnation,
         )
-        self.caller = PlainCaller(
+        self.proxy = PlainServiceProxy(
             self.permits,
             GatedEndpoints(world.desk, self.gate, world.clock),
             self.claims,
-            identifiers.IdMaker(incarnation, "secret"),
+            identifiers.IdGenerator(incarnation, "secret"),
             name,
             "dc-a",
         )
@@ -269,7 +269,7 @@
         async def run():
             with answer.scope:
                 try:
-                    await self.entries[entry].caller.serve(
+                    await self.entries[entry].proxy.serve(
                         "acme", request, self.snapshot, Responder(answer.send)
                     )
                 except Refused as refused:
--- a/tests/endpoints/test_relay.py
+++ b/tests/endpoints/test_relay.py
@@ -7,7 +7,7 @@
 
 from rhubarbwinch.endpoints.relay import Position, Relay
 from rhubarbwinch.endpoints.retries import Backoff
-from rhubarbwinch.http.sse import Splitter, join
+from rhubarbwinch.http.sse import EventSplitter, join
 from rhubarbwinch.shared.clock import ManualClock
 from rhubarbwinch.shared.exceptions import EndpointError, GenerationLostError
 from tests import builders
@@ -48,7 +48,7 @@
         yield self._stream(steps)
 
     async def _stream(self, steps):
-        splitter = Splitter()
+        splitter = EventSplitter()
         for step in steps:
             if isinstance(step, EndpointError):
                 raise step
@@ -192,5 +192,5 @@
 
 def _indexes(data):
     """Returns the indexes of the events in some bytes."""
-    batch = Splitter().feed(data)
+    batch = EventSplitter().feed(data)
     return " ".join("done" if e.is_done else str(e.id.index) for e in batch)
--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -8,7 +8,7 @@
     MAX_CRASHES,
     MAX_SUSPECTS,
     SUSPECT_RETENTION_MS,
-    CrashLedger,
+    CrashTracker,
     fingerprint,
 )
 from rhubarbwinch.gateway.routes import CallKind
@@ -18,39 +18,39 @@
 from tests.helpers import asynchronous
 
 
-class CrashLedgerTest(unittest.TestCase):
+class CrashTrackerTest(unittest.TestCase):
     """When a request is refused after recorded crashes."""
 
     def setUp(self):
-        self.ledger = CrashLedger(None, ManualClock(), None)
+        self.tracker = CrashTracker(None, ManualClock(), None)
 
     def _crash(self, request, endpoints, now=0):
         for endpoint in endpoints:
-            self.ledger.note(request, endpoint, now)
+            self.tracker.record_crash(request, endpoint, now)
 
     def test_a_request_is_refused_after_crashes_of_several_endpoints(self):
         self._crash("r", ["e1", "e2", "e2", "e1"])
-        self.assertFalse(self.ledger.is_refused("r", 1))
+        self.assertFalse(self.tracker.is_refused("r", 1))
         self._crash("r", ["e3"])
-        self.assertTrue(self.ledger.is_refused("r", 1))
-        self.assertFalse(self.ledger.is_refused("other", 1))
+        self.assertTrue(self.tracker.is_refused("r", 1))
+        self.assertFalse(self.tracker.is_refused("other", 1))
 
     def test_success_clears_a_request(self):
         self._crash("r", ["e1", "e2"])
-        self.ledger.clear("r")
+        self.tracker.clear("r")
         self._crash("r", ["e3"])
-        self.assertFalse(self.ledger.is_refused("r", 1))
+        self.assertFalse(self.tracker.is_refused("r", 1))
 
     def test_crashes_of_long_ago_do_not_count(self):
         self._crash("r", ["e1", "e2", "e3"])
-        self.assertFalse(self.ledger.is_refused("r", SUSPECT_RETENTION_MS + 1))
+        self.assertFalse(self.tracker.is_refused("r", SUSPECT_RETENTION_MS + 1))
         self._crash("r", ["e4"], SUSPECT_RETENTION_MS + 2)
-        self.assertFalse(self.ledger.is_refused("r", SUSPECT_RETENTION_MS + 2))
+        self.assertFalse(self.tracker.is_refused("r", SUSPECT_RETENTION_MS + 2))
 
     def test_the_number_of_suspects_is_bounded(self):
         for i in range(MAX_SUSPECTS + 50):
             self._crash(f"r{i}", ["e1"], i)
-        self.assertEqual(len(self.ledger._suspects), MAX_SUSPECTS)
+        self.assertEqual(len(self.tracker._suspects), MAX_SUSPECTS)
 
     def test_requests_that_differ_in_any_part_have_other_fingerprints(self):
         parts = [("a", b"/x", b"b"), ("a", b"/", b"xb"), ("ax", b"/", b"b")]
--- a/tests/gateway/test_edge.py
+++ b/tests/gateway/test_edge.py
@@ -130,7 +130,7 @@
 
     @asynchronous
     async def test_requests_over_the_limits_are_refused(self):
-        limits = HttpLimits(head_bytes=500, body_bytes=10)
+        limits = HttpLimits(max_head_bytes=500, max_body_bytes=10)
         long_head = b"GET /a HTTP/1.1\r\nHost: h\r\nX: " + b"x" * 900
         post = b"POST /a HTTP/1.1\r\nHost: h\r\n"
         async with edge(limits) as server:
@@ -144,13 +144,13 @@
 
     @asynchronous
     async def test_a_head_that_comes_too_slowly_is_refused(self):
-        async with edge(HttpLimits(head_ms=50)) as server:
+        async with edge(HttpLimits(head_timeout_ms=50)) as server:
             response = await server.talk(b"GET /a HTTP/1.1\r\n")
             self.assertIn(b" 408 ", response)
 
     @asynchronous
     async def test_an_idle_connection_is_closed_without_a_response(self):
-        async with edge(HttpLimits(idle_ms=50)) as server:
+        async with edge(HttpLimits(idle_timeout_ms=50)) as server:
             reader, writer = await server.connect()
             self.assertEqual(await reader.read(), b"")
             writer.close()
@@ -213,7 +213,7 @@
         self,
     ):
         valid = b"POST /ok HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nGET "
-        async with edge(HttpLimits(head_ms=30, idle_ms=30)) as server:
+        async with edge(HttpLimits(head_timeout_ms=30, idle_timeout_ms=30)) as server:
             for seed in range(120):
                 rng = random.Random(seed)
                 data = bytearray(valid * 2)
--- a/tests/gateway/test_outage.py
+++ b/tests/gateway/test_outage.py
@@ -8,7 +8,7 @@
     POLL_INTERVAL_MS,
     STALE_AND_FAILING_MS,
     STALE_MS,
-    OutageWatch,
+    OutageMonitor,
 )
 from rhubarbwinch.gateway.wire import EngineReport
 from rhubarbwinch.shared.clock import ManualClock
@@ -36,7 +36,7 @@
     return EngineReport(leaves_ms, is_leaving)
 
 
-class OutageWatchTest(unittest.TestCase):
+class OutageMonitorTest(unittest.TestCase):
     """An outage watch on a manual clock."""
 
     async def _run(self, stale_ms, ms, is_failing=False, expired=0):
@@ -48,7 +48,7 @@
             engines[1].address: _report(leaves_ms=900),
         }
         clock = ManualClock()
-        watch = OutageWatch(
+        monitor = OutageMonitor(
             clock,
             self.calls,
             lambda: stale_ms,
@@ -58,7 +58,7 @@
             lambda engine: self.leaving.append(engine.id),
         )
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(watch.run)
+            tasks.start_soon(monitor.run)
             await clock.advance(ms)
             tasks.cancel_scope.cancel()
 
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -83,4 +83,4 @@
 
     def test_gateways_of_the_own_data_center_are_counted(self):
         self._receive(g2={"data_center": "dc-b"}, g3={"data_center": "dc-b"})
-        self.assertEqual((self.peers.count, self.peers.near_count), (5, 3))
+        self.assertEqual((self.peers.live_count, self.peers.near_count), (5, 3))
--- a/tests/gateway/test_placing.py
+++ b/tests/gateway/test_placing.py
@@ -108,7 +108,7 @@
     def test_a_copy_that_lacks_many_events_is_refreshed_early(self):
         # A first copy took 1.4 s, in which its run made 50 events.
         self.assertEqual(moving.refresh_after_ms(50), moving.EARLY_REFRESH_MS)
-        self.assertEqual(moving.refresh_after_ms(2), moving.REFRESH_MS)
+        self.assertEqual(moving.refresh_after_ms(2), moving.COPY_REFRESH_MS)
 
 
 class ChooseStandbyTest(unittest.TestCase):
--- a/tests/gateway/test_requestspans.py
+++ b/tests/gateway/test_requestspans.py
@@ -20,7 +20,7 @@
     @asynchronous
     async def test_the_span_of_an_attempt_is_a_child_of_the_requests_span(self):
         exporter = InMemorySpanExporter()
-        tracing.use(SimpleSpanProcessor(exporter), "g1")
+        tracing.configure_processor(SimpleSpanProcessor(exporter), "g1")
         self.addCleanup(tracing.close)
         async with world(engines=1, tracer=tracing) as w:
             response = await w.call(traceparent=PARENT)
--- a/tests/gateway/test_routes.py
+++ b/tests/gateway/test_routes.py
@@ -16,7 +16,7 @@
         )
 
     def _prefix(self, host, path):
-        matched = self.table.find(host, path)
+        matched = self.table.find_route(host, path)
         return matched and matched.prefix
 
     def test_the_longest_prefix_is_taken(self):
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -11,7 +11,7 @@
 from tests.gatewayworld import read_response, world
 from tests.helpers import asynchronous
 
-NO_STANDBY = attrs.evolve(build.ENGINE, can_back_up=False)
+NO_STANDBY = attrs.evolve(build.ENGINE, supports_standby=False)
 NOT_REPEATABLE = build.table(
     build.route(CallKind.STREAM, timeout_ms=20_000), engine=NO_STANDBY
 )
--- a/tests/gateway/test_suspicion.py
+++ b/tests/gateway/test_suspicion.py
@@ -26,7 +26,7 @@
             counts[name] += 1
             bad = rng.random() < shares[name]
             outcome = Outcome.BROKEN if bad else Outcome.GOOD
-            suspicion.note("svc", name, outcome, now)
+            suspicion.record_outcome("svc", name, outcome, now)
         return counts
 
     def test_an_endpoint_that_fails_half_of_its_calls_gets_few(self):
@@ -44,17 +44,17 @@
         suspicion = Suspicion()
         for name in NAMES:
             for _ in range(5):
-                suspicion.note("svc", name, Outcome.UNREACHABLE, 0)
+                suspicion.record_outcome("svc", name, Outcome.UNREACHABLE, 0)
         self.assertEqual(len(suspicion.usable(NAMES, 1)), 2)
 
     def test_after_its_pause_one_good_call_clears_an_endpoint(self):
         suspicion = Suspicion()
-        suspicion.note("svc", "e1", Outcome.UNREACHABLE, 0)
+        suspicion.record_outcome("svc", "e1", Outcome.UNREACHABLE, 0)
         self.assertTrue(suspicion.is_avoided("e1", INITIAL_PAUSE_MS - 1))
         later = INITIAL_PAUSE_MS + 1
         self.assertFalse(suspicion.is_avoided("e1", later))
-        suspicion.note("svc", "e1", Outcome.GOOD, later)
-        suspicion.note("svc", "e1", Outcome.BROKEN, later)
+        suspicion.record_outcome("svc", "e1", Outcome.GOOD, later)
+        suspicion.record_outcome("svc", "e1", Outcome.BROKEN, later)
         self.assertFalse(suspicion.is_avoided("e1", later))
 
     def test_a_trial_that_fails_doubles_the_pause_up_to_a_bound(self):
@@ -62,7 +62,7 @@
         now = 0
         pauses = []
         for _ in range(6):
-            suspicion.note("svc", "e1", Outcome.UNREACHABLE, now)
+            suspicion.record_outcome("svc", "e1", Outcome.UNREACHABLE, now)
             start = now
             while suspicion.is_avoided("e1", now):
                 now += 100
--- a/tests/gatewaybuilders.py
+++ b/tests/gatewaybuilders.py
@@ -13,7 +13,7 @@
     Route,
     RoutingTable,
     ServiceSpec,
-    Target,
+    WeightedService,
 )
 from rhubarbwinch.gateway.wire import CallHead
 from rhubarbwinch.stores.store import Change, Entry
@@ -21,8 +21,8 @@
 ENGINE = EngineSpec(
     slots=24,
     kv_tokens=34_000,
-    can_move=True,
-    can_back_up=True,
+    supports_migration=True,
+    supports_standby=True,
 )
 
 
@@ -35,13 +35,13 @@
         "kind": kind,
         "timeout_ms": 5_000,
         "objective_ms": 500,
-        "gap_ms": 180 if kind is CallKind.STREAM else 0,
+        "max_event_gap_ms": 180 if kind is CallKind.STREAM else 0,
         "max_attempts": 2 if kind is CallKind.IDEMPOTENT else 1,
         "priority": 1,
         "is_public": False,
         "is_generation": kind is CallKind.STREAM,
         "is_resumable": False,
-        "targets": (Target("svc", 1.0),),
+        "targets": (WeightedService("svc", 1.0),),
     }
     return Route(**(base | fields))
 
@@ -56,7 +56,7 @@
         "routes": by_host,
         "services": {"svc": ServiceSpec("svc", 100, engine)},
         "accounts": {key: Account("acme", None) for key in keys},
-        "needs_key": True,
+        "requires_key": True,
         "limits": HttpLimits(),
     }
     return RoutingTable(**(base | fields))
--- a/tests/gatewayworld.py
+++ b/tests/gatewayworld.py
@@ -9,7 +9,7 @@
 from lab.standins.platformengine import ScriptedEngine
 from rhubarbwinch.gateway.context import Context
 from rhubarbwinch.gateway.copies import CopyManager
-from rhubarbwinch.gateway.crashes import CrashLedger
+from rhubarbwinch.gateway.crashes import CrashTracker
 from rhubarbwinch.gateway.edge import EdgeServer
 from rhubarbwinch.gateway.failurereports import FailureReports
 from rhubarbwinch.gateway.fleet import Fleet
@@ -32,7 +32,7 @@
 class NoPeers:
     """A `Peers` for a gateway without other gateways."""
 
-    count = 0
+    live_count = 0
     near_count = 0
 
     def tell_loads(self):
@@ -80,7 +80,7 @@
             copies=CopyManager(
                 PlatformEngineCalls(self.transport), SystemClock()
             ),
-            crashes=CrashLedger(
+            crashes=CrashTracker(
                 self.transport.is_unreachable, SystemClock(), self.told.append
             ),
             table=table,
--- a/tests/lab/test_seeded.py
+++ b/tests/lab/test_seeded.py
@@ -8,7 +8,7 @@
 from lab.seeded.check import find_violations
 from lab.seeded.log import Attempt, End, Journal, RequestKind, Run
 from lab.seeded.run import run_seed
-from rhubarbwinch.http.sse import DONE
+from rhubarbwinch.http.sse import DONE_EVENT
 
 # With seed 31 a request got no response, because a wait used a different clock.
 # With seed 10 a pool refused all work, because of a prediction that no engine
@@ -44,7 +44,7 @@
     def test_a_good_journal_passes(self):
         run = Run("e", "m1", "", 3, "g")
         cut, rest = _stream(0, 1), _stream(2)
-        rest.events.append(DONE)
+        rest.events.append(DONE_EVENT)
         self.assertEqual(_violations_of([cut, rest], [run]), [])
 
     def test_lost_duplicated_reordered_and_mixed_tokens_are_found(self):
@@ -55,7 +55,7 @@
 
     def test_a_stream_that_ends_early_is_found(self):
         early = _stream(0, 1)
-        early.events.append(DONE)
+        early.events.append(DONE_EVENT)
         self.assertTrue(_violations_of([early], [Run("e", "m1", "", 3, "g")]))
 
     def test_a_false_not_run_verdict_is_found(self):
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -100,19 +100,19 @@
             recorder.add_line(
                 "# one is disconnected from its peers, not from the store"
             )
-            fleet.network.cut.add("broker-3")
+            fleet.network.disconnected.add("broker-3")
             await recorder.wait(70_000)
             recorder.add_line(
                 "# the link works again; the member refutes the suspicion"
             )
-            fleet.network.cut.discard("broker-3")
+            fleet.network.disconnected.discard("broker-3")
             await recorder.wait(5000)
             recorder.add_line("# one is disconnected from both")
-            fleet.network.cut.add("broker-4")
+            fleet.network.disconnected.add("broker-4")
             fleet.nodes["broker-4"].stop()
             await recorder.wait(15_000)
             recorder.add_line("# the same member is started again")
-            fleet.network.cut.discard("broker-4")
+            fleet.network.disconnected.discard("broker-4")
             fleet.add("broker-4", Role.BROKER)
             await recorder.wait(5000)
 
@@ -137,10 +137,10 @@
             origin.share("strike", "f1", b"1")
             await fleet.clock.advance(100)
             quick = len(received)
-            fleet.network.cut.add("broker-7")
+            fleet.network.disconnected.add("broker-7")
             origin.share("strike", "f2", b"2")
             await fleet.clock.advance(2000)
-            fleet.network.cut.discard("broker-7")
+            fleet.network.disconnected.discard("broker-7")
             await fleet.clock.advance(3000)
             tasks.cancel_scope.cancel()
         self.assertEqual(quick, 19)
--- a/tests/membership/test_leaving.py
+++ b/tests/membership/test_leaving.py
@@ -10,7 +10,7 @@
 from rhubarbwinch.membership.members import Role
 from rhubarbwinch.membership.vmlist import Vm, VmListReader, VmState
 from rhubarbwinch.programs import ctl
-from rhubarbwinch.programs.broker import PoolKeeper
+from rhubarbwinch.programs.broker import BrokerPools
 from rhubarbwinch.records.records import Record
 from rhubarbwinch.shared.exceptions import VmListError
 from rhubarbwinch.shared.metrics import Metrics
@@ -60,32 +60,32 @@
         node = self.fleet.add(name, Role.BROKER)
         # Each engine must receive work before the notice. With one request at
         # a time the default policy does not guarantee this.
-        keeper = PoolKeeper(
+        pools = BrokerPools(
             self.fleet.clock,
             random.Random(1),
             Metrics("", Role.BROKER),
             options=Options(placement="least-outstanding"),
         )
-        node.follower.on_change(keeper.configure)
+        node.follower.on_change(pools.configure)
         node.leaving.on_change(
-            lambda: keeper.mark_leaving(node.leaving.endpoints_of)
+            lambda: pools.set_leaving_finder(node.leaving.endpoints_of)
         )
-        self.tasks.start_soon(self._request_permits, name, keeper)
+        self.tasks.start_soon(self._request_permits, name, pools)
 
-    async def _request_permits(self, name, keeper):
+    async def _request_permits(self, name, pools):
         """Requests permits in a loop and records their endpoints."""
         number = 0
         while True:
             await self.fleet.clock.sleep(REQUEST_INTERVAL_MS)
             number += 1
             request = builders.permit_request(f"{name}-{number}", wait_ms=0)
-            reply = await keeper.answer(request)
+            reply = await pools.decide(request)
             if reply.grant is None:
                 continue
             now = self.fleet.clock.now()
             self.granted_at[name, reply.grant.endpoint] = now
             release = PermitRelease(request.request_id, POOL, StreamEnd.UNUSED)
-            await keeper.release(release)
+            await pools.release(release)
 
     async def observe(self, title, endpoint, seconds=10):
         """Advances the clock; records whether an endpoint still gets work."""
--- a/tests/membership/test_ownership.py
+++ b/tests/membership/test_ownership.py
@@ -17,7 +17,7 @@
 from rhubarbwinch.membership.members import Role
 from rhubarbwinch.membership.ownership import Ownership
 from rhubarbwinch.programs import ctl
-from rhubarbwinch.programs.broker import PoolKeeper
+from rhubarbwinch.programs.broker import BrokerPools
 from rhubarbwinch.shared.metrics import Metrics
 from tests import builders
 from tests.helpers import GoldTestCase, asynchronous
@@ -29,22 +29,22 @@
 
 def _add_broker(fleet, tasks, name):
     node = fleet.add(name, Role.BROKER)
-    keeper = PoolKeeper(
+    pools = BrokerPools(
         fleet.clock,
         random.Random(1),
         Metrics("", Role.BROKER),
         Ownership(node.members, fleet.clock),
     )
-    node.follower.on_change(keeper.configure)
-    node.links.on(PermitRequest, keeper.answer)
-    node.links.on(PermitRelease, keeper.release)
-    node.links.on(ProgressReport, keeper.report_progress)
-    node.links.on(DigestReport, keeper.check_digest)
+    node.follower.on_change(pools.configure)
+    node.links.on(PermitRequest, pools.decide)
+    node.links.on(PermitRelease, pools.release)
+    node.links.on(ProgressReport, pools.report_progress)
+    node.links.on(DigestReport, pools.check_digest)
 
     async def tick():
         while True:
             await fleet.clock.sleep(TICK_MS)
-            keeper.tick()
+            pools.tick()
 
     tasks.start_soon(tick)
 
@@ -60,9 +60,9 @@
         await self._clock.sleep(REPORT_DELAY_MS)
         await self._links.send(address, message)
 
-    async def call(self, address, message, answer, timeout_ms):
+    async def call(self, address, message, reply_type, timeout_ms):
         await self._clock.sleep(REPORT_DELAY_MS)
-        return await self._links.call(address, message, answer, timeout_ms)
+        return await self._links.call(address, message, reply_type, timeout_ms)
 
 
 class PermitRequester:
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -115,27 +115,27 @@
 
     def test_a_version_is_read(self):
         table = documents.decode_config(orjson.dumps(CONFIG))
-        stream = table.find("h.example", "/a/x")
+        stream = table.find_route("h.example", "/a/x")
         self.assertIs(stream.kind, CallKind.STREAM)
-        self.assertEqual(stream.gap_ms, 180)
+        self.assertEqual(stream.max_event_gap_ms, 180)
         self.assertEqual([t.weight for t in stream.targets], [90, 10])
         self.assertEqual(table.accounts["k2"].name, "t1")
         self.assertEqual(table.accounts["k2"].priority, 3)
-        self.assertEqual(table.limits.head_bytes, 999)
-        self.assertEqual(table.limits.idle_ms, 4_000)
+        self.assertEqual(table.limits.max_head_bytes, 999)
+        self.assertEqual(table.limits.idle_timeout_ms, 4_000)
         self.assertEqual(table.services["s1"].engine.kv_tokens, 34_261)
         self.assertIsNone(table.services["s2"].engine)
 
     def test_a_route_of_an_unknown_kind_is_not_repeatable(self):
         table = documents.decode_config(orjson.dumps(CONFIG))
-        found = table.find("h.example", "/b/")
+        found = table.find_route("h.example", "/b/")
         self.assertIs(found.kind, CallKind.NON_IDEMPOTENT)
         self.assertEqual(found.max_attempts, 1)
 
     def test_without_accounts_no_request_needs_a_key(self):
         document = {k: v for k, v in CONFIG.items() if k != "tenants"}
         self.assertFalse(
-            documents.decode_config(orjson.dumps(document)).needs_key
+            documents.decode_config(orjson.dumps(document)).requires_key
         )
 
     def test_a_malformed_document_is_rejected(self):
--- a/tests/programs/test_broker.py
+++ b/tests/programs/test_broker.py
@@ -6,7 +6,7 @@
 import anyio
 
 from rhubarbwinch.membership.members import Role
-from rhubarbwinch.programs.broker import PoolKeeper
+from rhubarbwinch.programs.broker import BrokerPools
 from rhubarbwinch.records import accepted
 from rhubarbwinch.shared.clock import ManualClock
 from rhubarbwinch.shared.metrics import Metrics
@@ -15,12 +15,12 @@
 from tests.helpers import asynchronous
 
 
-class PoolKeeperTest(unittest.TestCase):
+class BrokerPoolsTest(unittest.TestCase):
     """Requests that wait for a permit while pools are removed."""
 
     def setUp(self):
         self.clock = ManualClock()
-        self.keeper = PoolKeeper(
+        self.pools = BrokerPools(
             self.clock, random.Random(1), Metrics("", Role.BROKER)
         )
         engines = [builders.endpoint("engine-1")]
@@ -29,11 +29,11 @@
         self.replies = {}
 
     def _configure(self, generation, *items):
-        self.keeper.configure(accepted.make_snapshot(generation, items))
+        self.pools.configure(accepted.make_snapshot(generation, items))
 
     async def _ask(self, request_id):
         request = builders.permit_request(request_id, wait_ms=60_000)
-        self.replies[request_id] = await self.keeper.answer(request)
+        self.replies[request_id] = await self.pools.decide(request)
 
     @asynchronous
     async def test_a_waiting_request_is_refused_when_its_pool_is_removed(self):
--- a/tests/shared/test_logoutput.py
+++ b/tests/shared/test_logoutput.py
@@ -30,7 +30,7 @@
         for _ in range(MAX_LINES_PER_WINDOW + 5):
             self.output.write(1, b"a\n")
         self.output.write(2, b"b\n")
-        self.assertEqual(self.output.take_dropped(), 5)
+        self.assertEqual(self.output.pop_dropped_count(), 5)
         self.clock.set(WINDOW_MS)
         self.output.write(1, b"c\n")
         data = os.read(self.reader, 100_000)
--- a/tests/shared/test_tracing.py
+++ b/tests/shared/test_tracing.py
@@ -36,7 +36,7 @@
         self.addCleanup(tracing.close)
 
     def _turn_on(self, percent=100):
-        tracing.use(SimpleSpanProcessor(self.exporter), "entry-1", percent)
+        tracing.configure_processor(SimpleSpanProcessor(self.exporter), "entry-1", percent)
 
     def _spans(self):
         return {span.name: span for span in self.exporter.get_finished_spans()}
@@ -48,7 +48,7 @@
         headers = {}
         with tracing.span("entry", PARENT):
             with tracing.span("permit"):
-                passed = tracing.current()
+                passed = tracing.current_traceparent()
             with tracing.span("queue", passed):
                 pass
             await store.get("a")
@@ -98,7 +98,7 @@
     def test_an_unsampled_caller_context_is_not_recorded(self):
         self._turn_on()
         with tracing.span("entry", UNSAMPLED):
-            self.assertRegex(tracing.current(), r"-00$")
+            self.assertRegex(tracing.current_traceparent(), r"-00$")
         self.assertEqual(self._spans(), {})
 
     def test_no_trace_begins_here_at_zero_percent(self):
@@ -110,7 +110,7 @@
     def test_the_context_is_propagated_while_tracing_is_off(self):
         headers = {}
         with tracing.span("entry", PARENT):
-            self.assertEqual(tracing.current(), PARENT)
+            self.assertEqual(tracing.current_traceparent(), PARENT)
             with tracing.stream_span("endpoint", headers):
                 pass
         self.assertEqual(headers, {tracing.HEADER: PARENT})
@@ -124,7 +124,7 @@
             self.assertEqual(headers, {})
 
     def test_finished_spans_are_log_events(self):
-        tracing.use(SimpleSpanProcessor(tracing.LogExporter()), "entry-1")
+        tracing.configure_processor(SimpleSpanProcessor(tracing.LogExporter()), "entry-1")
         with self.assertLogs("absl", "INFO") as logs:
             with tracing.span("entry", PARENT, path="/v1"):
                 pass
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -53,7 +53,7 @@
             self.assertTrue(all(found == lists[0] for found in lists))
             self.assertGreater(lists[0][1], 0)
             leaving_entry = world.entries[lists[0][0][0]].daemon
-            tasks.start_soon(leaving_entry.daemon.leave)
+            tasks.start_soon(leaving_entry.daemon.shut_down)
             await world.clock.advance(3000)
             for program in world.entries.values():
                 names, _ = await _list_entries(program)
