--- a/lab/bench_claims.py
+++ b/lab/bench_claims.py
@@ -16,7 +16,7 @@
 import attrs
 from result import Ok
 
-from rhubarbwinch.claims.claimfloor import ClaimFloor
+from rhubarbwinch.claims.claimretention import ClaimFloor
 from rhubarbwinch.claims.claimkeys import ClaimKey
 from rhubarbwinch.claims.claimowners import Standing
 from rhubarbwinch.claims.claimpages import ClaimPages, ClaimRecord
--- a/lab/bench_policies.py
+++ b/lab/bench_policies.py
@@ -6,7 +6,7 @@
 
 from lab.bench_load import Arrival
 from rhubarbwinch.admission.admission import Options
-from rhubarbwinch.admission.lengths import (
+from rhubarbwinch.admission.outputlengths import (
     HORIZONS,
     LearnedLengths,
     LengthEstimator,
--- a/rhubarbwinch/admission/admission.py
+++ b/rhubarbwinch/admission/admission.py
@@ -17,14 +17,14 @@
     Stream,
 )
 from rhubarbwinch.admission.fairness import QueuedRequest, ShareMeter
-from rhubarbwinch.admission.gate import RETRY_AFTER_MS, EarlyRejection
-from rhubarbwinch.admission.lengths import LearnedLengths, LengthEstimator
+from rhubarbwinch.admission.earlyrejection import RETRY_AFTER_MS, EarlyRejection
+from rhubarbwinch.admission.outputlengths import LearnedLengths, LengthEstimator
 from rhubarbwinch.admission.limits import Limits
 from rhubarbwinch.admission.placement import KV_CACHE_DEVIATIONS, POLICIES
 from rhubarbwinch.admission.queueing import RequestQueue
 from rhubarbwinch.admission.steptime import StepTime
 from rhubarbwinch.admission.streamindex import StreamIndex
-from rhubarbwinch.admission.yielding import (
+from rhubarbwinch.admission.deprioritization import (
     LOWERED_PRIORITY,
     choose_stream_to_lower,
 )
--- a/rhubarbwinch/admission/enginestate.py
+++ b/rhubarbwinch/admission/enginestate.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from rhubarbwinch.admission.lengths import HORIZONS, LengthEstimator
+from rhubarbwinch.admission.outputlengths import HORIZONS, LengthEstimator
 from rhubarbwinch.admission.steptime import StepTime
 from rhubarbwinch.links.messages import PermitRequest
 from rhubarbwinch.records.records import EndpointSpec
--- a/rhubarbwinch/admission/queueing.py
+++ b/rhubarbwinch/admission/queueing.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterator
 
 from rhubarbwinch.admission.fairness import FairQueue, QueuedRequest
-from rhubarbwinch.admission.waits import ServiceRate
+from rhubarbwinch.admission.waitestimate import ServiceRate
 from rhubarbwinch.links.messages import PermitRequest
 from rhubarbwinch.shared.clock import Clock
 
--- a/rhubarbwinch/callers/calls.py
+++ b/rhubarbwinch/callers/calls.py
@@ -13,7 +13,7 @@
 )
 from rhubarbwinch.callers.callparams import check_parameters
 from rhubarbwinch.claims.claimkeys import ClaimKey
-from rhubarbwinch.claims.repeatable import claim_key
+from rhubarbwinch.claims.idempotency import claim_key
 from rhubarbwinch.endpoints.relay import Relay
 from rhubarbwinch.http.httpapi import Refused, Request, Responder
 from rhubarbwinch.records.accepted import Snapshot
--- a/rhubarbwinch/claims/claims.py
+++ b/rhubarbwinch/claims/claims.py
@@ -15,7 +15,7 @@
 
 from rhubarbwinch.claims import claimkeys
 from rhubarbwinch.claims.claimchanges import Finish, Take
-from rhubarbwinch.claims.claimfloor import ClaimFloor
+from rhubarbwinch.claims.claimretention import ClaimFloor
 from rhubarbwinch.claims.claimkeys import CLOCK_SKEW_MS, ClaimKey
 from rhubarbwinch.claims.claimowners import Owners, Standing
 from rhubarbwinch.claims.claimpages import ClaimRecord, ClaimState, Outcome
--- a/rhubarbwinch/programs/claimcomponents.py
+++ b/rhubarbwinch/programs/claimcomponents.py
@@ -2,7 +2,7 @@
 
 import secrets
 
-from rhubarbwinch.claims.claimfloor import ClaimCleaner, ClaimFloor
+from rhubarbwinch.claims.claimretention import ClaimCleaner, ClaimFloor
 from rhubarbwinch.claims.claimowners import LinkOwners
 from rhubarbwinch.claims.claimpages import ClaimPages
 from rhubarbwinch.claims.claimrouting import PageCall, RoutedPages
--- a/tests/admission/test_lengths.py
+++ b/tests/admission/test_outputlengths.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from rhubarbwinch.admission.lengths import (
+from rhubarbwinch.admission.outputlengths import (
     HORIZONS,
     MIN_OBSERVATIONS,
     LearnedLengths,
--- a/tests/claims/test_claimfloor.py
+++ b/tests/claims/test_claimretention.py
@@ -1,6 +1,6 @@
 """Tests that cleanup bounds the stored pages and no key runs again."""
 
-from rhubarbwinch.claims.claimfloor import (
+from rhubarbwinch.claims.claimretention import (
     MAX_FLOOR_AGE_MS,
     PASS_INTERVAL_MS,
     ClaimCleaner,
--- a/tests/claimworld.py
+++ b/tests/claimworld.py
@@ -12,7 +12,7 @@
 from rhubarbwinch.admission.permits import Permit
 from rhubarbwinch.callers.plain import PlainCaller
 from rhubarbwinch.claims.audit import Period, list_calls
-from rhubarbwinch.claims.claimfloor import ClaimFloor
+from rhubarbwinch.claims.claimretention import ClaimFloor
 from rhubarbwinch.claims.claimowners import Standing
 from rhubarbwinch.claims.claimpages import ClaimPages
 from rhubarbwinch.claims.claims import Claims
