--- a/lab/bench_broker.py
+++ b/lab/bench_broker.py
@@ -78,12 +78,12 @@
         )
         self._record_grants(self.admission.release(release))
         self._record_grants(self.admission.submit(self._request()))
-        if self.admission.queued < self._queue_length:
+        if self.admission.queue_length < self._queue_length:
             # A queued request was granted; submit another to keep the number.
             self._record_grants(self.admission.submit(self._request()))
 
     def _fill_queue(self) -> None:
-        while self.admission.queued < self._queue_length:
+        while self.admission.queue_length < self._queue_length:
             self._record_grants(self.admission.submit(self._request()))
 
     def _record_grants(self, decisions: list[Decision]) -> None:
@@ -118,7 +118,7 @@
                 capacity_tokens=CAPACITY_TOKENS,
                 step_ms=self._rng.uniform(25, 35),
             )
-            self.admission.report_load(report)
+            self.admission.apply_load_report(report)
 
 
 def _measure(permits: int) -> None:
@@ -136,7 +136,7 @@
     p50, p99 = (histogram.get_value_at_percentile(p) for p in (50, 99))
     sys.stdout.write(
         f"{ENGINES} engines, {bench.running} streams, "
-        f"{bench.admission.queued} waiting: {permits / cpu_s:.0f} permits/s, "
+        f"{bench.admission.queue_length} waiting: {permits / cpu_s:.0f} permits/s, "
         f"{cpu_s / permits * 1e6:.0f} us each, p50 {p50} us, p99 {p99} us\n"
     )
 
--- a/lab/bench_claims.py
+++ b/lab/bench_claims.py
@@ -18,7 +18,7 @@
 
 from rhubarbwinch.claims.claimretention import ClaimFloor
 from rhubarbwinch.claims.claimkeys import ClaimKey
-from rhubarbwinch.claims.claimowners import Standing
+from rhubarbwinch.claims.claimowners import OwnerStatus
 from rhubarbwinch.claims.claimpages import ClaimPages, ClaimRecord
 from rhubarbwinch.claims.claimrouting import RoutedPages
 from rhubarbwinch.claims.claims import Claims, make_outcome
@@ -67,15 +67,15 @@
         self.routed: dict[str, RoutedPages] = {}
 
     async def call(
-        self, address: str, message: Any, answer: type[T], timeout_ms: int
+        self, address: str, message: Any, reply: type[T], timeout_ms: int
     ) -> T:
         """Calls a peer and returns its reply; both are encoded and decoded."""
         _ = timeout_ms
         data = codec.encode(message)
-        reply = await self.routed[address].answer(
+        result = await self.routed[address].reply(
             codec.decode(data, type(message))
         )
-        return codec.decode(codec.encode(reply), answer)
+        return codec.decode(codec.encode(result), reply)
 
     def forget(self, address: str) -> None:
         """Does nothing, because there are no connections."""
@@ -84,9 +84,9 @@
 class OwnerQueryStub:
     """A stub of the query for the standing of a claim's owner."""
 
-    async def ask(self, _: ClaimRecord) -> Standing:
+    async def get_status(self, _: ClaimRecord) -> OwnerStatus:
         """Returns that the owner still holds the claim."""
-        return Standing.HELD
+        return OwnerStatus.MAY_SEND
 
 
 @attrs.define
@@ -123,8 +123,8 @@
 ) -> None:
     key = ClaimKey("acme", "booking", _uuid7(clock, rng), "00" * 16, 86_400_000)
     began = clock.now()
-    found = await claims.find(key)
-    claimed = await claims.take(key) if isinstance(found, Ok) else found
+    found = await claims.find_outcome(key)
+    claimed = await claims.acquire_claim(key) if isinstance(found, Ok) else found
     if not isinstance(claimed, Ok) or claimed.ok_value is None:
         run.refused += 1
         return
@@ -132,7 +132,7 @@
     claim = claimed.ok_value
     claims.begin_send(claim, "desk")  # type: ignore[arg-type]
     outcome = make_outcome(200, "application/json", b'{"ok":true}')
-    await claims.complete(claim, outcome)  # type: ignore[arg-type]
+    await claims.record_outcome(claim, outcome)  # type: ignore[arg-type]
     run.done += 1
 
 
@@ -177,7 +177,7 @@
             calls.cancel_scope.cancel()
         run.writes = sum(page.counters.writes for page in pages)
         run.reads = sum(page.counters.reads for page in pages)
-        run.races = sum(page.counters.lost_races for page in pages)
+        run.races = sum(page.counters.conflicts for page in pages)
         tasks.cancel_scope.cancel()
 
 
--- a/lab/bench_policies.py
+++ b/lab/bench_policies.py
@@ -5,12 +5,12 @@
 import attrs
 
 from lab.bench_load import Arrival
-from rhubarbwinch.admission.admission import Options
+from rhubarbwinch.admission.admission import AdmissionOptions
 from rhubarbwinch.admission.outputlengths import (
     HORIZONS,
     LearnedLengths,
     LengthEstimator,
-    Outlook,
+    LengthForecast,
 )
 from rhubarbwinch.links.messages import PermitRequest
 
@@ -27,11 +27,11 @@
             a.request.request_id: a.output_tokens for a in arrivals
         }
 
-    def outlook(self, request: PermitRequest, tokens: int) -> Outlook:
+    def forecast(self, request: PermitRequest, tokens: int) -> LengthForecast:
         """Returns the true remaining length as a forecast."""
         request_id = request.request_id.partition("/")[0]
         remaining_tokens = max(0, self._lengths[request_id] - tokens)
-        return Outlook(
+        return LengthForecast(
             [float(h < remaining_tokens) for h in HORIZONS],
             float(remaining_tokens),
         )
@@ -53,7 +53,7 @@
     """
 
     name: str
-    options: Options
+    options: AdmissionOptions
     is_oracle: bool = False
 
     def length_estimator(self, arrivals: Iterable[Arrival]) -> LengthEstimator:
@@ -62,21 +62,21 @@
 
 
 def _baseline(placement: str) -> AdmissionPolicy:
-    options = Options(
+    options = AdmissionOptions(
         placement=placement,
-        is_fair=False,
-        refuses_early=False,
-        limits_retries=False,
+        shares_by_weight=False,
+        rejects_early=False,
+        has_retry_budget=False,
         lowers_priority=False,
     )
     return AdmissionPolicy(placement, options)
 
 
-PRODUCT = AdmissionPolicy("product", Options())
+PRODUCT = AdmissionPolicy("product", AdmissionOptions())
 WITHOUT_RETRY_BUDGETS = AdmissionPolicy(
-    "no-budgets", Options(limits_retries=False)
+    "no-budgets", AdmissionOptions(has_retry_budget=False)
 )
-ORACLE = AdmissionPolicy("oracle", Options(), is_oracle=True)
+ORACLE = AdmissionPolicy("oracle", AdmissionOptions(), is_oracle=True)
 BASELINES = [
     _baseline("round-robin"),
     _baseline("least-outstanding"),
--- a/lab/bench_sim.py
+++ b/lab/bench_sim.py
@@ -27,7 +27,7 @@
     Decision,
     LoadReport,
 )
-from rhubarbwinch.admission.limits import backoff_ms
+from rhubarbwinch.admission.limits import retry_delay_ms
 from rhubarbwinch.links.messages import (
     PermitGrant,
     PermitRelease,
@@ -226,7 +226,7 @@
         wait_ms = 100
         if scenario.honours_retry_after:
             base_ms = retry_after_ms or 500
-            wait_ms = base_ms + backoff_ms(
+            wait_ms = base_ms + retry_delay_ms(
                 job.attempts, base_ms, 30_000, self._rng
             )
         self._schedule(self._now_ms + wait_ms, lambda: self._submit(job, []))
@@ -324,7 +324,7 @@
 
     def _tick(self) -> None:
         self._apply_decisions(self._admission.decide())
-        for item in self._admission.take_priority_changes():
+        for item in self._admission.pop_priority_changes():
             change = item.message
             engine = self._engines_by_name[change.endpoint]
             engine.model.set_priority(change.request_id, change.priority)
@@ -347,7 +347,7 @@
             )
             self._schedule(
                 self._now_ms + LOAD_REPORT_DELAY_MS,
-                partial(self._admission.report_load, load),
+                partial(self._admission.apply_load_report, load),
             )
             self._send_cache_events(engine)
 
@@ -364,7 +364,7 @@
         )
         self._schedule(
             self._now_ms + CACHE_REPORT_DELAY_MS,
-            lambda: self._admission.report_cache(report),
+            lambda: self._admission.apply_cache_report(report),
         )
 
     def _report_progress(self) -> None:
@@ -382,7 +382,7 @@
             progress = StreamProgress(request, name, running.get(request_id, 0))
             streams[request.entry].append(progress)
         for entry, items in streams.items():
-            self._admission.report_progress(
+            self._admission.apply_progress_report(
                 ProgressReport(entry, bench_load.POOL, items)
             )
 
--- a/lab/capacity_rows.py
+++ b/lab/capacity_rows.py
@@ -1,8 +1,8 @@
 """Computes the cost rows of docs/CAPACITY.md at the target size."""
 
 from lab.capacity_model import DAY_S, Row, Slopes, Target
-from rhubarbwinch.admission.digests import GROWTH_TOKENS
-from rhubarbwinch.admission.reports import MAX_PERIOD_MS
+from rhubarbwinch.admission.digests import GROWTH_REPORT_TOKENS
+from rhubarbwinch.admission.reports import MAX_REPORT_PERIOD_MS
 
 
 def config_rows(target: Target, slopes: Slopes) -> list[Row]:
@@ -54,7 +54,7 @@
 RENEWALS_PER_LEASE = 3
 PROGRAMS_PER_VM = 3
 SEEDS_PER_DATA_CENTER = 2
-REPORT_PERIOD_S = MAX_PERIOD_MS / 1000
+REPORT_PERIOD_S = MAX_REPORT_PERIOD_MS / 1000
 METER_FLUSH_S = 30
 LOADS_PER_S = 4
 # Share of requests that run at most once; the requirements do not state one.
@@ -154,7 +154,7 @@
 def traffic_rows(target: Target, slopes: Slopes) -> list[Row]:
     """Returns the control traffic of an entry and of the owner of a shard."""
     digest = slopes["digest_bytes"] + 2 * FRAME_BYTES
-    grown = target.tokens_per_s / target.shards / GROWTH_TOKENS
+    grown = target.tokens_per_s / target.shards / GROWTH_REPORT_TOKENS
     common_parts = {
         "heartbeats and news of members": slopes["gossip_bytes"],
         "configuration": (
--- a/rhubarbwinch/admission/admission.py
+++ b/rhubarbwinch/admission/admission.py
@@ -7,7 +7,7 @@
 import random
 from collections import OrderedDict, deque
 
-from rhubarbwinch.admission.decisions import Decision, EntryChange, Options
+from rhubarbwinch.admission.decisions import Decision, EntryMessage, AdmissionOptions
 from rhubarbwinch.admission.digests import DigestChecker
 from rhubarbwinch.admission.enginestate import (
     FORECAST_MAX_AGE_MS,
@@ -60,9 +60,9 @@
     "Admission",
     "CacheReport",
     "Decision",
-    "EntryChange",
+    "EntryMessage",
     "LoadReport",
-    "Options",
+    "AdmissionOptions",
 ]
 
 
@@ -84,12 +84,12 @@
         clock: Clock,
         rng: random.Random,
         accounts: dict[str, AccountSpec] | None = None,
-        options: Options | None = None,
+        options: AdmissionOptions | None = None,
         lengths: LengthEstimator | None = None,
     ) -> None:
         self._spec = spec
         self._clock = clock
-        self._options = options or Options()
+        self._options = options or AdmissionOptions()
         self._lengths = lengths or LearnedLengths()
         self._limits = Limits(clock, accounts or {})
         self._step_time = StepTime()
@@ -113,7 +113,7 @@
             self._background,
         )
         self._leaving: set[str] = set()
-        self._priority_changes: list[EntryChange] = []
+        self._priority_changes: list[EntryMessage] = []
         self._last_housekeeping_ms = clock.now()
 
     @property
@@ -122,7 +122,7 @@
         return self._streams
 
     @property
-    def queued(self) -> int:
+    def queue_length(self) -> int:
         """The number of queued requests."""
         return len(self._interactive) + len(self._background)
 
@@ -173,7 +173,7 @@
                 engine.mark_suspect(self._clock.now())
         return self.decide()
 
-    def report_progress(self, report: ProgressReport) -> None:
+    def apply_progress_report(self, report: ProgressReport) -> None:
         """Replaces the known streams of an entry with the reported ones."""
         now = self._clock.now()
         self._last_report_ms[report.entry] = now
@@ -203,7 +203,7 @@
         ids = [stream.request.request_id for stream in known]
         return self._digests.needs_full_report(report, ids)
 
-    def report_load(self, report: LoadReport) -> None:
+    def apply_load_report(self, report: LoadReport) -> None:
         """Applies an engine's load report."""
         engine = self._engines.get(report.endpoint)
         if engine is None:
@@ -214,13 +214,13 @@
                 report.running, report.used_tokens, report.step_ms
             )
 
-    def report_cache(self, report: CacheReport) -> None:
+    def apply_cache_report(self, report: CacheReport) -> None:
         """Applies an engine's cache events."""
         engine = self._engines.get(report.endpoint)
         if engine is not None:
             engine.update_cache(report)
 
-    def take_priority_changes(self) -> list[EntryChange]:
+    def pop_priority_changes(self) -> list[EntryMessage]:
         """Returns and clears the priority changes to send to entries."""
         changes, self._priority_changes = self._priority_changes, []
         return changes
@@ -248,8 +248,8 @@
         return self._interactive if request.interactive else self._background
 
     def _expected_tokens(self, request: PermitRequest) -> int:
-        outlook = self._lengths.outlook(request, 0)
-        return request.prompt_tokens + int(outlook.mean_tokens)
+        forecast = self._lengths.forecast(request, 0)
+        return request.prompt_tokens + int(forecast.mean_tokens)
 
     def _grant_queued(
         self, queue: RequestQueue, decisions: list[Decision]
@@ -435,7 +435,7 @@
         change = PriorityChange(
             stream.request.request_id, stream.endpoint, stream.priority
         )
-        self._priority_changes.append(EntryChange(stream.request.entry, change))
+        self._priority_changes.append(EntryMessage(stream.request.entry, change))
 
 
 def _refuse(request: PermitRequest, failure: Failure) -> Decision:
--- a/rhubarbwinch/admission/decisions.py
+++ b/rhubarbwinch/admission/decisions.py
@@ -18,7 +18,7 @@
 
 
 @attrs.frozen
-class EntryChange:
+class EntryMessage:
     """A message and the name of the entry to send it to."""
 
     entry: str
@@ -26,26 +26,26 @@
 
 
 @attrs.frozen
-class Options:
+class AdmissionOptions:
     """Which decisions are enabled; simulations disable some for comparison.
 
     Attributes:
         placement: The placement policy's name.
-        is_fair: Whether accounts share the pool by weight; otherwise requests
+        shares_by_weight: Whether accounts share the pool by weight; otherwise requests
             are served first in, first out.
-        refuses_early: Whether requests that can't start in time are refused
+        rejects_early: Whether requests that can't start in time are refused
             immediately; otherwise they are queued until their deadline.
-        limits_retries: Whether each account has a retry budget.
+        has_retry_budget: Whether each account has a retry budget.
         lowers_priority: Whether a stream's priority is lowered when an engine
             needs more KV cache than was predicted.
     """
 
     placement: str = "quantile"
-    is_fair: bool = True
-    refuses_early: bool = True
-    limits_retries: bool = True
+    shares_by_weight: bool = True
+    rejects_early: bool = True
+    has_retry_budget: bool = True
     lowers_priority: bool = True
 
     def share_key(self, request: PermitRequest) -> str:
         """Returns the fair queueing key: the account, or "" if not fair."""
-        return request.account if self.is_fair else ""
+        return request.account if self.shares_by_weight else ""
--- a/rhubarbwinch/admission/digests.py
+++ b/rhubarbwinch/admission/digests.py
@@ -21,7 +21,7 @@
 
 # A stream's token count is reported again after this many tokens. Between two
 # reports the owner estimates the count from the step time.
-GROWTH_TOKENS = 2048
+GROWTH_REPORT_TOKENS = 2048
 # A grant or release in flight makes a single digest differ, so a full report
 # is requested only after the second mismatch in a row.
 MISMATCHES_ALLOWED = 1
@@ -56,7 +56,7 @@
         for stream in streams:
             request_id = stream.request.request_id
             last_reported = reported.get(request_id, 0)
-            if stream.tokens - last_reported >= GROWTH_TOKENS:
+            if stream.tokens - last_reported >= GROWTH_REPORT_TOKENS:
                 last_reported = stream.tokens
                 key = request_key(request_id)
                 grown.append(StreamGrowth(key, stream.tokens))
--- a/rhubarbwinch/admission/earlyrejection.py
+++ b/rhubarbwinch/admission/earlyrejection.py
@@ -1,6 +1,6 @@
 """Refuses requests over account limits or unable to start in time."""
 
-from rhubarbwinch.admission.decisions import Options
+from rhubarbwinch.admission.decisions import AdmissionOptions
 from rhubarbwinch.admission.fairness import ShareMeter
 from rhubarbwinch.admission.limits import AccountLimits, Limits
 from rhubarbwinch.admission.queueing import RequestQueue
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        options: Options,
+        options: AdmissionOptions,
         limits: Limits,
         shares: ShareMeter,
         interactive: RequestQueue,
@@ -52,7 +52,7 @@
         if queued >= MAX_QUEUED:
             detail = "too many requests wait"
             return not_run(Reason.QUEUE_FULL, detail, RETRY_AFTER_MS)
-        if self._options.is_fair and self._displaces_background(request):
+        if self._options.shares_by_weight and self._displaces_background(request):
             detail = "over the account's share while others wait"
             return not_run(Reason.RATE_LIMITED, detail, RETRY_AFTER_MS)
         return self._check_deadline(request)
@@ -61,7 +61,7 @@
         self, request: PermitRequest, limits: AccountLimits
     ) -> Failure | None:
         """Refuses a request over the account's retry budget or rate."""
-        if self._options.limits_retries:
+        if self._options.has_retry_budget:
             if not request.avoid:
                 limits.retry_budget.record_attempt()
             elif not limits.retry_budget.try_acquire():
@@ -91,7 +91,7 @@
 
     def _check_deadline(self, request: PermitRequest) -> Failure | None:
         """Refuses a request that is unlikely to start in time."""
-        if not self._options.refuses_early:
+        if not self._options.rejects_early:
             return None
         is_interactive = request.interactive
         queue = self._interactive if is_interactive else self._background
--- a/rhubarbwinch/admission/enginestate.py
+++ b/rhubarbwinch/admission/enginestate.py
@@ -106,21 +106,21 @@
 
     def update_forecast(self, tokens: int, lengths: LengthEstimator) -> None:
         """Predicts its KV cache use at each horizon after `tokens` tokens."""
-        outlook = lengths.outlook(self.request, tokens)
+        forecast = lengths.forecast(self.request, tokens)
         size = self.request.prompt_tokens + tokens
-        self.remaining_tokens = outlook.mean_tokens
+        self.remaining_tokens = forecast.mean_tokens
         self.kv_mean = [
             size * survival + mean_growth
             for survival, mean_growth in zip(
-                outlook.survival, outlook.mean_growth, strict=True
+                forecast.survival, forecast.mean_growth, strict=True
             )
         ]
-        survival = [a for a in outlook.survival if a >= MIN_SURVIVAL]
+        survival = [a for a in forecast.survival if a >= MIN_SURVIVAL]
         self.horizon_count = max(1, len(survival))
         self.kv_variance = [
             (size + horizon) ** 2 * survival_variance
             for horizon, survival_variance in zip(
-                HORIZONS, outlook.survival_variance, strict=True
+                HORIZONS, forecast.survival_variance, strict=True
             )
         ]
 
--- a/rhubarbwinch/admission/limits.py
+++ b/rhubarbwinch/admission/limits.py
@@ -68,7 +68,7 @@
         return True
 
 
-def backoff_ms(
+def retry_delay_ms(
     attempt: int, base_ms: int, limit_ms: int, rng: random.Random
 ) -> int:
     """Returns the delay before a retry: exponential, with full jitter.
--- a/rhubarbwinch/admission/outputlengths.py
+++ b/rhubarbwinch/admission/outputlengths.py
@@ -22,7 +22,7 @@
 
 
 @attrs.frozen
-class Outlook:
+class LengthForecast:
     """The forecast of the remaining output of a stream.
 
     The KV cache use of a stream at a horizon is its current size plus the
@@ -55,7 +55,7 @@
 class LengthEstimator(Protocol):
     """Forecasts output lengths."""
 
-    def outlook(self, request: PermitRequest, tokens: int) -> Outlook:
+    def forecast(self, request: PermitRequest, tokens: int) -> LengthForecast:
         """Returns the forecast of a stream after `tokens` output tokens."""
         ...
 
@@ -93,7 +93,7 @@
         self._weight = 1.0
         self._total = 0.0
         self._pending_weight = 0.0
-        self._forecasts: dict[tuple[int, int], Outlook] = {}
+        self._forecasts: dict[tuple[int, int], LengthForecast] = {}
 
     @property
     def observations(self) -> float:
@@ -120,7 +120,7 @@
         at_start = self._survival[index]
         return at_start + fraction * (self._survival[index + 1] - at_start)
 
-    def outlook(self, tokens: int, max_tokens: int) -> Outlook:
+    def forecast(self, tokens: int, max_tokens: int) -> LengthForecast:
         """Returns the forecast after `tokens` of at most `max_tokens`."""
         index = _bin_index(tokens)
         remaining = (
@@ -135,14 +135,14 @@
             self._forecasts[key] = cached
         return cached
 
-    def _forecast_after(self, tokens: float) -> Outlook:
+    def _forecast_after(self, tokens: float) -> LengthForecast:
         now = self.survival_at(tokens)
         if now <= 0:
             return _uniform(2 * int(tokens), int(tokens))
         survival = [
             min(1.0, self.survival_at(tokens + h) / now) for h in HORIZONS
         ]
-        return Outlook(survival, _mean_remaining(survival))
+        return LengthForecast(survival, _mean_remaining(survival))
 
     def _rebuild(self) -> None:
         """Recomputes the curve as the product of each bin's survival."""
@@ -167,19 +167,19 @@
     return mean
 
 
-def _truncated(outlook: Outlook, remaining: int) -> Outlook:
+def _truncated(forecast: LengthForecast, remaining: int) -> LengthForecast:
     survival = [
         a if h < remaining else 0.0
-        for a, h in zip(outlook.survival, HORIZONS, strict=True)
+        for a, h in zip(forecast.survival, HORIZONS, strict=True)
     ]
-    return Outlook(survival, min(outlook.mean_tokens, max(1, remaining)))
+    return LengthForecast(survival, min(forecast.mean_tokens, max(1, remaining)))
 
 
-def _uniform(max_tokens: int, tokens: int) -> Outlook:
+def _uniform(max_tokens: int, tokens: int) -> LengthForecast:
     """Returns the forecast for lengths that are uniform up to the limit."""
     remaining = max(1, max_tokens - tokens)
     survival = [max(0.0, 1 - h / remaining) for h in HORIZONS]
-    return Outlook(survival, remaining / 2)
+    return LengthForecast(survival, remaining / 2)
 
 
 class LearnedLengths:
@@ -188,12 +188,12 @@
     def __init__(self) -> None:
         self._cells: dict[tuple[str, ...], SurvivalCurve] = {}
 
-    def outlook(self, request: PermitRequest, tokens: int) -> Outlook:
+    def forecast(self, request: PermitRequest, tokens: int) -> LengthForecast:
         """Returns the forecast from the finest cell with enough data."""
         for key in _cell_keys(request):
             cell = self._cells.get(key)
             if cell is not None and cell.observations >= MIN_OBSERVATIONS:
-                return cell.outlook(tokens, request.max_tokens)
+                return cell.forecast(tokens, request.max_tokens)
         return _uniform(request.max_tokens, tokens)
 
     def observe(
--- a/rhubarbwinch/admission/permits.py
+++ b/rhubarbwinch/admission/permits.py
@@ -81,15 +81,15 @@
         """The permits that this entry holds."""
         return list(self._permits.values())
 
-    def adopt(self, permit: Permit) -> None:
+    def add_permit(self, permit: Permit) -> None:
         """Registers a permit that another entry acquired."""
         self._permits[permit.request.request_id] = permit
 
-    def drop(self, permit: Permit) -> None:
+    def remove_permit(self, permit: Permit) -> None:
         """Removes a permit that was released or moved to another entry."""
         self._permits.pop(permit.request.request_id, None)
 
-    async def ask(
+    async def acquire_permit(
         self, request: PermitRequest, excluded: str = ""
     ) -> Result[Permit, Failure]:
         """Requests a permit from the owner of the request's pool.
@@ -126,7 +126,7 @@
         self._permits[request.request_id] = permit
         return Ok(permit)
 
-    async def ask_any(
+    async def acquire_from_any(
         self,
         request: PermitRequest,
         pools: list[str],
@@ -149,20 +149,20 @@
             attempt = attrs.evolve(request, pool=pool, request_id=new_id())
             with tracing.span("permit", pool=pool):
                 attempt = attrs.evolve(attempt, traceparent=tracing.current())
-                outcome = await self.ask(attempt)
+                outcome = await self.acquire_permit(attempt)
                 if _is_broker_unavailable(outcome) and owner is not None:
                     # The broker is down; the pool's next owner can reply.
                     attempt = attrs.evolve(attempt, request_id=new_id())
-                    outcome = await self.ask(attempt, owner.name)
+                    outcome = await self.acquire_permit(attempt, owner.name)
             if outcome.is_ok():
                 break
         return outcome
 
-    async def give_back(
+    async def release_permit(
         self, permit: Permit, end: StreamEnd, tokens: int = 0
     ) -> None:
         """Releases a permit; stream reports make up for a lost message."""
-        self.drop(permit)
+        self.remove_permit(permit)
         request = permit.request
         message = PermitRelease(request.request_id, request.pool, end, tokens)
         broker = pool_owner(request.pool, self._members)
--- a/rhubarbwinch/admission/prefixes.py
+++ b/rhubarbwinch/admission/prefixes.py
@@ -13,7 +13,7 @@
 MAX_BLOCKS = 32
 
 
-def prompt_bytes(data: dict[str, Any]) -> bytes:
+def encode_prompt(data: dict[str, Any]) -> bytes:
     """Returns the prompt or the messages of a request as bytes."""
     return orjson.dumps(data.get("prompt", data.get("messages")))
 
--- a/rhubarbwinch/admission/reports.py
+++ b/rhubarbwinch/admission/reports.py
@@ -14,11 +14,11 @@
 # reports that an owner receives per second stays constant.
 PERIOD_MS_PER_ENTRY = 60
 MIN_PERIOD_MS = 2000
-MAX_PERIOD_MS = 20_000
+MAX_REPORT_PERIOD_MS = 20_000
 REPLY_TIMEOUT_MS = 1000
 
 
-class Reporter:
+class StreamReporter:
     """Sends periodic reports, and a full report to each new owner at once.
 
     Args:
@@ -51,7 +51,7 @@
     def _period_ms(self) -> int:
         entries = len(self._members.serving(Role.ENTRY))
         period = entries * PERIOD_MS_PER_ENTRY
-        return min(max(period, MIN_PERIOD_MS), MAX_PERIOD_MS)
+        return min(max(period, MIN_PERIOD_MS), MAX_REPORT_PERIOD_MS)
 
     async def run(self) -> None:
         """Sends reports until cancelled."""
--- a/rhubarbwinch/callers/calls.py
+++ b/rhubarbwinch/callers/calls.py
@@ -9,7 +9,7 @@
 from rhubarbwinch.admission.prefixes import (
     BYTES_PER_TOKEN,
     prefix_hashes,
-    prompt_bytes,
+    encode_prompt,
 )
 from rhubarbwinch.callers.callparams import check_parameters
 from rhubarbwinch.claims.claimkeys import ClaimKey
@@ -96,7 +96,7 @@
         stream=stream,
         prompt_tokens=len(request.body) // BYTES_PER_TOKEN,
         max_tokens=max_tokens,
-        prefix=prefix_hashes(prompt_bytes(data)),
+        prefix=prefix_hashes(encode_prompt(data)),
         claim_key=claim_key(account, name, service, request, request.path),
     )
 
--- a/rhubarbwinch/callers/generate.py
+++ b/rhubarbwinch/callers/generate.py
@@ -152,7 +152,7 @@
         permit = permit or self._reconstruct_permit(
             account, generation, snapshot
         )
-        self._permits.adopt(permit)
+        self._permits.add_permit(permit)
         address = permit.grant.address
         reopen = partial(self._endpoints.resume, address, generation)
         relay = Relay(position, reopen, reopen, self._clock, self._backoff)
@@ -221,7 +221,7 @@
             wait_ms=call.service.wait_ms,
             avoid=avoid,
         )
-        reply = await self._permits.ask_any(
+        reply = await self._permits.acquire_from_any(
             request,
             snapshot.pools_near(
                 call.service.target, self._data_center, call.fingerprint
--- a/rhubarbwinch/callers/guarded.py
+++ b/rhubarbwinch/callers/guarded.py
@@ -6,7 +6,7 @@
 from rhubarbwinch.callers.runguard import ClaimGuard, QuarantineGuard
 from rhubarbwinch.claims.claims import Claims
 from rhubarbwinch.claims.quarantine import Quarantine
-from rhubarbwinch.claims.idempotency import replay
+from rhubarbwinch.claims.idempotency import send_recorded_outcome
 from rhubarbwinch.endpoints.endpoints import EndpointClient
 from rhubarbwinch.http.httpapi import Responder
 from rhubarbwinch.records.accepted import Snapshot
@@ -59,9 +59,9 @@
         claim_guard = ClaimGuard(
             self._claims, self._permits, call.claim_key, guard
         )
-        outcome = await claim_guard.find()
+        outcome = await claim_guard.find_outcome()
         if outcome is not None:
-            await replay(outcome, responder)
+            await send_recorded_outcome(outcome, responder)
             return
         await guard.check()
         try:
--- a/rhubarbwinch/callers/plain.py
+++ b/rhubarbwinch/callers/plain.py
@@ -10,7 +10,7 @@
 from rhubarbwinch.admission.permits import Permit, PermitClient
 from rhubarbwinch.claims.claimkeys import ClaimKey
 from rhubarbwinch.claims.claims import Claim, Claims, make_outcome
-from rhubarbwinch.claims.idempotency import claim_key, replay
+from rhubarbwinch.claims.idempotency import claim_key, send_recorded_outcome
 from rhubarbwinch.endpoints.endpoints import EndpointClient
 from rhubarbwinch.http.httpapi import Refused, Request, Responder
 from rhubarbwinch.links.messages import PermitRequest, StreamEnd
@@ -152,11 +152,11 @@
     ) -> None:
         """Replays the recorded outcome of a call, or claims and runs it."""
         while True:
-            recorded = await self._claims.find(key)
+            recorded = await self._claims.find_outcome(key)
             if isinstance(recorded, Err):
                 raise Refused(recorded.err_value)
             if recorded.ok_value is not None:
-                await replay(recorded.ok_value, responder)
+                await send_recorded_outcome(recorded.ok_value, responder)
                 return
             # The permit is acquired before the claim: a call without a permit
             # costs the store no write, and a claimed call is sent at once.
@@ -173,7 +173,7 @@
         """Claims a key; returns None if another request holds the claim."""
         claim = None
         try:
-            claimed = await self._claims.take(key)
+            claimed = await self._claims.acquire_claim(key)
             if isinstance(claimed, Err):
                 if claimed.err_value.reason is Reason.IN_PROGRESS:
                     return None
@@ -183,7 +183,7 @@
         finally:
             if claim is None:
                 with anyio.CancelScope(shield=True):
-                    await self._permits.give_back(permit, StreamEnd.UNUSED)
+                    await self._permits.release_permit(permit, StreamEnd.UNUSED)
 
     async def _run_claimed(
         self, claim: Claim, permit: Permit, call: PlainCall, snapshot: Snapshot
@@ -211,24 +211,24 @@
         # call's outcome is recorded and replayed if the caller retries.
         with anyio.CancelScope(shield=True):
             if not self._claims.begin_send(claim, permit.grant.endpoint):
-                await self._permits.give_back(permit, StreamEnd.UNUSED)
+                await self._permits.release_permit(permit, StreamEnd.UNUSED)
                 detail = "the claim was held for too long before the send"
                 raise Refused(not_run(Reason.DEADLINE, detail, 1000))
             try:
                 response = await self._call_endpoint(permit, call)
             except EndpointError as error:
                 if error.sent:
-                    await self._claims.lose(claim)
+                    await self._claims.record_unknown(claim)
                 else:
                     claim.mark_unsent()
                 raise
             except Exception:
-                await self._claims.lose(claim)
+                await self._claims.record_unknown(claim)
                 raise
             outcome = make_outcome(
                 response.status_code, _content_type(response), response.content
             )
-            await self._claims.complete(claim, outcome)
+            await self._claims.record_outcome(claim, outcome)
         return response
 
     async def _acquire_permit(
@@ -245,7 +245,7 @@
             wait_ms=call.service.wait_ms,
             avoid=avoid,
         )
-        reply = await self._permits.ask_any(
+        reply = await self._permits.acquire_from_any(
             request,
             snapshot.pools_near(
                 call.service.target, self._data_center, call.account
@@ -280,7 +280,7 @@
             raise
         finally:
             with anyio.CancelScope(shield=True):
-                await self._permits.give_back(permit, end)
+                await self._permits.release_permit(permit, end)
         return response
 
 
--- a/rhubarbwinch/callers/runguard.py
+++ b/rhubarbwinch/callers/runguard.py
@@ -110,12 +110,12 @@
             suspect = await self._begin_run(permit, run)
         except BaseException:
             with anyio.CancelScope(shield=True):
-                await self._permits.give_back(permit, StreamEnd.UNUSED)
+                await self._permits.release_permit(permit, StreamEnd.UNUSED)
             raise
         has_struck = False
         try:
             yield
-            await self._quarantine.clear(self._fingerprint)
+            await self._quarantine.remove_suspect(self._fingerprint)
         except Refused:
             raise
         except Exception as error:
@@ -125,7 +125,7 @@
             self._sent = self._sent or sent
             has_struck = sent and await self._is_dead(permit, error)
             if has_struck:
-                await self._quarantine.strike(self._fingerprint, run)
+                await self._quarantine.record_strike(self._fingerprint, run)
             raise
         except anyio.get_cancelled_exc_class():
             # A caller that disconnects early cancels the run. The endpoint is
@@ -133,7 +133,7 @@
             with anyio.CancelScope(shield=True):
                 has_struck = await self._is_dead(permit)
                 if has_struck:
-                    await self._quarantine.strike(self._fingerprint, run)
+                    await self._quarantine.record_strike(self._fingerprint, run)
             raise
         finally:
             if suspect is not None:
@@ -148,18 +148,18 @@
             return None
         endpoint = permit.grant.endpoint
         try:
-            if not await self._quarantine.wait_lock(endpoint, run_id):
+            if not await self._quarantine.wait_for_lock(endpoint, run_id):
                 raise EndpointError(
                     f"{endpoint} runs another suspect", sent=False
                 )
             has_begun = False
             try:
-                has_begun = await self._quarantine.wait_trial(
+                has_begun = await self._quarantine.wait_for_trial(
                     self._fingerprint, run_id
                 )
             finally:
                 if not has_begun:
-                    await self._quarantine.unlock(endpoint, run_id)
+                    await self._quarantine.release_lock(endpoint, run_id)
         except StoreError as error:
             detail = f"a suspect can't run now: {error}"
             raise Refused(self._failure(detail, RETRY_AFTER_MS)) from error
@@ -171,7 +171,7 @@
     async def _end_trial(
         self, permit: Permit, run_id: str, has_struck: bool
     ) -> None:
-        await self._quarantine.unlock(permit.grant.endpoint, run_id)
+        await self._quarantine.release_lock(permit.grant.endpoint, run_id)
         if not has_struck:
             await self._quarantine.end_trial(self._fingerprint, run_id)
 
@@ -223,13 +223,13 @@
         self._inner = inner
         self._claim: Claim | None = None
 
-    async def find(self) -> Outcome | None:
+    async def find_outcome(self) -> Outcome | None:
         """Returns the recorded outcome, or None if the request may run.
 
         Raises:
             Refused: The request may not run.
         """
-        recorded = await self._claims.find(self._key)
+        recorded = await self._claims.find_outcome(self._key)
         if isinstance(recorded, Err):
             raise Refused(recorded.err_value)
         return recorded.ok_value
@@ -265,7 +265,7 @@
         failure = None
         try:
             if self._claim is None:
-                claimed = await self._claims.take(self._key)
+                claimed = await self._claims.acquire_claim(self._key)
                 if isinstance(claimed, Err):
                     failure = claimed.err_value
                 else:
@@ -277,9 +277,9 @@
                 failure = not_run(Reason.DEADLINE, detail, RETRY_AFTER_MS)
         except BaseException:
             with anyio.CancelScope(shield=True):
-                await self._permits.give_back(permit, StreamEnd.UNUSED)
+                await self._permits.release_permit(permit, StreamEnd.UNUSED)
             raise
-        await self._permits.give_back(permit, StreamEnd.UNUSED)
+        await self._permits.release_permit(permit, StreamEnd.UNUSED)
         if failure is None:
             raise AssertionError("neither a claim nor a failure")
         raise Refused(failure)
@@ -295,9 +295,9 @@
             )
             body = b'{"generation":"' + generation.encode() + b'"}'
             outcome = make_outcome(200, "application/json", body)
-            await self._claims.complete(claim, outcome)
+            await self._claims.record_outcome(claim, outcome)
         else:
-            await self._claims.lose(claim)
+            await self._claims.record_unknown(claim)
 
 
 def _may_have_run(error: EndpointError) -> Failure:
--- a/rhubarbwinch/callers/streams.py
+++ b/rhubarbwinch/callers/streams.py
@@ -111,7 +111,7 @@
             return StreamTaken()
         # The pool's owner learns of the new holder from the new holder's
         # reports.
-        self._permits.drop(permit)
+        self._permits.remove_permit(permit)
         return StreamTaken(permit.request, permit.grant.endpoint)
 
     async def change_priority(self, change: PriorityChange) -> None:
@@ -138,7 +138,7 @@
         if self._meter is not None:
             is_finished = end is StreamEnd.FINISHED
             self._meter.end(position.generation, is_finished)
-        await self._permits.give_back(stream.permit, end, position.next_index)
+        await self._permits.release_permit(stream.permit, end, position.next_index)
         if end is not StreamEnd.FINISHED:
             self._queue_cancel(stream)
 
--- a/rhubarbwinch/claims/claimowners.py
+++ b/rhubarbwinch/claims/claimowners.py
@@ -12,23 +12,23 @@
 ASK_TIMEOUT_MS = 500
 
 
-class Standing(enum.Enum):
+class OwnerStatus(enum.Enum):
     """What is known about the owner of a claim."""
 
     UNSENT = "the owner confirms that it never sent and never will"
-    HELD = "the owner may still send, or it did not reply"
-    GONE = "the owner's process is not among the known members"
+    MAY_SEND = "the owner may still send, or it did not reply"
+    NOT_A_MEMBER = "the owner's process is not among the known members"
 
 
-class Owners(Protocol):
+class ClaimOwners(Protocol):
     """Asks the owners of claims for their status."""
 
-    async def ask(self, record: ClaimRecord) -> Standing:
+    async def get_status(self, record: ClaimRecord) -> OwnerStatus:
         """Returns the status of a claim's owner."""
         ...
 
 
-class LinkOwners:
+class LinkClaimOwners:
     """Asks owners of claims over the links.
 
     Args:
@@ -40,11 +40,11 @@
         self._links = links
         self._members = members
 
-    async def ask(self, record: ClaimRecord) -> Standing:
+    async def get_status(self, record: ClaimRecord) -> OwnerStatus:
         """Returns the status of a claim's owner."""
         owner = self._members.get(record.owner)
         if owner is None or owner.incarnation != record.incarnation:
-            return Standing.GONE
+            return OwnerStatus.NOT_A_MEMBER
         question = ClaimQuestion(record.token, record.incarnation)
         try:
             answer = await self._links.call(
@@ -52,5 +52,5 @@
             )
         except (LinkError, CodecError):
             # A missing reply proves nothing: a paused owner may still send.
-            return Standing.HELD
-        return Standing.UNSENT if answer.unsent else Standing.HELD
+            return OwnerStatus.MAY_SEND
+        return OwnerStatus.UNSENT if answer.unsent else OwnerStatus.MAY_SEND
--- a/rhubarbwinch/claims/claimpages.py
+++ b/rhubarbwinch/claims/claimpages.py
@@ -146,7 +146,7 @@
     reads: int = 0
     writes: int = 0
     changes: int = 0
-    lost_races: int = 0
+    conflicts: int = 0
 
 
 class ClaimPages:
@@ -281,7 +281,7 @@
                 version = _PageVersion(updated, swap.revision, len(data))
                 self._finish_batch(page, version, batch)
                 return
-            self.counters.lost_races += 1
+            self.counters.conflicts += 1
             version = _decode_page(swap.current)
             is_fresh = True
             # A write that failed on a conflict counts towards the rate too.
--- a/rhubarbwinch/claims/claimrouting.py
+++ b/rhubarbwinch/claims/claimrouting.py
@@ -113,7 +113,7 @@
             return Ok(reply.record)
         return await self._pages.change(page, change)
 
-    async def answer(self, call: PageCall) -> PageReply:
+    async def reply(self, call: PageCall) -> PageReply:
         """Handles another entry's call, even if this isn't the writer."""
         change = call.take or call.finish
         if change is None:
--- a/rhubarbwinch/claims/claims.py
+++ b/rhubarbwinch/claims/claims.py
@@ -17,7 +17,7 @@
 from rhubarbwinch.claims.claimchanges import Finish, Take
 from rhubarbwinch.claims.claimretention import ClaimFloor
 from rhubarbwinch.claims.claimkeys import CLOCK_SKEW_MS, ClaimKey
-from rhubarbwinch.claims.claimowners import Owners, Standing
+from rhubarbwinch.claims.claimowners import ClaimOwners, OwnerStatus
 from rhubarbwinch.claims.claimpages import ClaimRecord, ClaimState, Outcome
 from rhubarbwinch.claims.claimrouting import PageAccess
 from rhubarbwinch.links.messages import ClaimAnswer, ClaimQuestion
@@ -116,7 +116,7 @@
     def __init__(
         self,
         pages: PageAccess,
-        owners: Owners,
+        owners: ClaimOwners,
         floor: ClaimFloor,
         clock: Clock,
         rng: random.Random,
@@ -132,7 +132,7 @@
         self._incarnation = incarnation
         # The claims under which this process may still send, or has sent
         # without recording the outcome in the store. For any other token of
-        # this incarnation, `answer` confirms that it is never used to send.
+        # this incarnation, `reply` confirms that it is never used to send.
         self._active: dict[str, Claim] = {}
         self._unrecorded: dict[str, tuple[str, Finish]] = {}
 
@@ -143,12 +143,12 @@
             for page, finish in list(self._unrecorded.values()):
                 await self._record(page, finish)
 
-    async def answer(self, question: ClaimQuestion) -> ClaimAnswer:
+    async def reply(self, question: ClaimQuestion) -> ClaimAnswer:
         """Replies whether a claim of this process is unsent and stays so."""
         ours = question.incarnation == self._incarnation
         return ClaimAnswer(ours and question.token not in self._active)
 
-    async def find(self, key: ClaimKey) -> Result[Outcome | None, Failure]:
+    async def find_outcome(self, key: ClaimKey) -> Result[Outcome | None, Failure]:
         """Returns the recorded outcome, or None if the key may be claimed.
 
         If another request holds a claim on the key, its outcome is awaited
@@ -169,15 +169,15 @@
                 return settled
             if record is None:
                 raise AssertionError("an absent claim must be settled")
-            standing = await self._owner_status(record)
-            if standing is Standing.UNSENT:
+            status = await self._owner_status(record)
+            if status is OwnerStatus.UNSENT:
                 return Ok(None)
             if self._clock.now() >= deadline_ms:
-                return Err(await self._timeout_failure(key, record, standing))
+                return Err(await self._timeout_failure(key, record, status))
             await self._clock.sleep(poll_ms)
             poll_ms = min(2 * poll_ms, MAX_POLL_MS)
 
-    async def take(self, key: ClaimKey) -> Result[Claim, Failure]:
+    async def acquire_claim(self, key: ClaimKey) -> Result[Claim, Failure]:
         """Claims a key.
 
         Returns:
@@ -185,7 +185,7 @@
             claimed the key first.
         """
         claim = Claim(key, f"{self._rng.getrandbits(128):032x}")
-        # The token is registered before it is written, so that `answer` never
+        # The token is registered before it is written, so that `reply` never
         # confirms it as unused while it may still be used to send.
         self._active[claim.token] = claim
         failure: Failure | None = _in_progress()
@@ -218,11 +218,11 @@
         claim.mark_sent(endpoint)
         return True
 
-    async def complete(self, claim: Claim, outcome: Outcome) -> None:
+    async def record_outcome(self, claim: Claim, outcome: Outcome) -> None:
         """Records the endpoint's response."""
         await self._finish(claim, ClaimState.COMPLETED, outcome)
 
-    async def lose(self, claim: Claim) -> None:
+    async def record_unknown(self, claim: Claim) -> None:
         """Records that the call was sent and its outcome is unknown."""
         await self._finish(claim, ClaimState.MAY_HAVE_RUN)
 
@@ -259,7 +259,7 @@
                 return None
             if current.state is not ClaimState.CLAIMED:
                 return _in_progress()
-            if await self._owner_status(current) is not Standing.UNSENT:
+            if await self._owner_status(current) is not OwnerStatus.UNSENT:
                 return _in_progress()
             from_token = current.token
 
@@ -275,17 +275,17 @@
         is_below_floor = key.time_ms // claimkeys.WINDOW_MS < floor.ok_value
         return _key_expired() if is_below_floor else None
 
-    async def _owner_status(self, record: ClaimRecord) -> Standing:
+    async def _owner_status(self, record: ClaimRecord) -> OwnerStatus:
         if record.incarnation != self._incarnation:
-            return await self._owners.ask(record)
+            return await self._owners.get_status(record)
         held = record.token in self._active
-        return Standing.HELD if held else Standing.UNSENT
+        return OwnerStatus.MAY_SEND if held else OwnerStatus.UNSENT
 
     async def _timeout_failure(
-        self, key: ClaimKey, record: ClaimRecord, standing: Standing
+        self, key: ClaimKey, record: ClaimRecord, status: OwnerStatus
     ) -> Failure:
         """Returns the failure of a request that waited for too long."""
-        if standing is not Standing.GONE:
+        if status is not OwnerStatus.NOT_A_MEMBER:
             return _in_progress()
         # The owner's process is not a member, and whether it sent the call is
         # unknown. If it still runs after all, it can record the outcome
--- a/rhubarbwinch/claims/idempotency.py
+++ b/rhubarbwinch/claims/idempotency.py
@@ -51,7 +51,7 @@
     return ClaimKey(account, name, parsed, digest, service.retention_ms)
 
 
-async def replay(outcome: Outcome, responder: Responder) -> None:
+async def send_recorded_outcome(outcome: Outcome, responder: Responder) -> None:
     """Sends the recorded response of a call again.
 
     Raises:
--- a/rhubarbwinch/claims/quarantine.py
+++ b/rhubarbwinch/claims/quarantine.py
@@ -146,7 +146,7 @@
         """Returns the suspect with a fingerprint, or None if there is none."""
         return self._suspects.get(fingerprint)
 
-    async def strike(self, fingerprint: str, run: str) -> None:
+    async def record_strike(self, fingerprint: str, run: str) -> None:
         """Records and broadcasts that an endpoint died during a run.
 
         Returns only after the broadcast has had time to reach all members, so
@@ -166,7 +166,7 @@
         if self._propagation_ms:
             await self._clock.sleep(self._propagation_ms)
 
-    async def clear(self, fingerprint: str) -> None:
+    async def remove_suspect(self, fingerprint: str) -> None:
         """Removes a suspect, because one of its runs has finished."""
         if self._suspects.pop(fingerprint, None) is None:
             return
@@ -183,7 +183,7 @@
             # need one more trial.
             events.STORE_DOWN.log(error=str(error))
 
-    async def wait_trial(self, fingerprint: str, run: str) -> bool:
+    async def wait_for_trial(self, fingerprint: str, run: str) -> bool:
         """Waits for a suspect's trial; returns whether the run may start.
 
         The wait gives another run of the suspect time to finish and clear it.
@@ -242,20 +242,20 @@
             # Other runs of the suspect are refused until the record expires.
             events.STORE_DOWN.log(error=str(error))
 
-    async def wait_lock(self, endpoint: str, run: str) -> bool:
+    async def wait_for_lock(self, endpoint: str, run: str) -> bool:
         """Waits for the endpoint's lock; returns whether it was acquired.
 
         Raises:
             StoreError: The store is unavailable, so the run must not start.
         """
         deadline_ms = self._clock.now() + LOCK_WAIT_MS
-        while not await self.lock(endpoint, run):
+        while not await self.acquire_lock(endpoint, run):
             if self._clock.now() >= deadline_ms:
                 return False
             await self._clock.sleep(LOCK_POLL_MS)
         return True
 
-    async def lock(self, endpoint: str, run: str) -> bool:
+    async def acquire_lock(self, endpoint: str, run: str) -> bool:
         """Tries to acquire the lock that keeps suspects apart on an endpoint.
 
         Returns whether the run holds the lock.
@@ -278,7 +278,7 @@
             found = await self._store.get(key)
             return found is not None and found.value == data
 
-    async def unlock(self, endpoint: str, run: str) -> None:
+    async def release_lock(self, endpoint: str, run: str) -> None:
         """Releases the endpoint's lock if the run holds it."""
         key = keys.trial(endpoint)
         try:
--- a/rhubarbwinch/programs/broker.py
+++ b/rhubarbwinch/programs/broker.py
@@ -9,9 +9,9 @@
 from rhubarbwinch.admission.admission import (
     Admission,
     Decision,
-    EntryChange,
+    EntryMessage,
     LoadReport,
-    Options,
+    AdmissionOptions,
 )
 from rhubarbwinch.admission.permits import pool_owner
 from rhubarbwinch.endpoints.endpoints import EndpointClient
@@ -72,12 +72,12 @@
         rng: random.Random,
         counters: metrics.Metrics,
         ownership: Ownership | None = None,
-        options: Options | None = None,
+        options: AdmissionOptions | None = None,
     ) -> None:
         self._clock = clock
         self._rng = rng
         self._metrics = counters
-        self._options = options or Options()
+        self._options = options or AdmissionOptions()
         self._ownership = ownership
         self._pools: dict[str, Admission] = {}
         self._specs: dict[str, PoolSpec] = {}
@@ -154,35 +154,35 @@
         for pool in filter(None, pools):
             self._deliver(pool.release(release))
 
-    async def report_progress(self, report: ProgressReport) -> None:
+    async def apply_progress_report(self, report: ProgressReport) -> None:
         """Applies an entry's report of its open streams."""
         if report.pool in self._pools:
-            self._pools[report.pool].report_progress(report)
+            self._pools[report.pool].apply_progress_report(report)
 
     async def check_digest(self, report: DigestReport) -> DigestReply:
         """Compares the digest of an entry's open streams with the pool's."""
         pool = self._pools.get(report.pool)
         return DigestReply(pool is not None and pool.check_digest(report))
 
-    def report_load(self, pool: str, report: LoadReport) -> None:
+    def apply_load_report(self, pool: str, report: LoadReport) -> None:
         """Applies an engine's load report."""
         if pool in self._pools:
-            self._pools[pool].report_load(report)
+            self._pools[pool].apply_load_report(report)
 
-    def tick(self) -> list[EntryChange]:
+    def tick(self) -> list[EntryMessage]:
         """Makes the decisions that depend on time.
 
         Returns:
             The priority changes to send to entries.
         """
-        changes = []
+        entry_messages = []
         for pool in self._pools.values():
             self._deliver(pool.decide())
-            changes += pool.take_priority_changes()
-        queued = sum(pool.queued for pool in self._pools.values())
-        self._metrics.gauge(metrics.QUEUED, queued)
-        self._metrics.count(metrics.YIELDS, len(changes))
-        return changes
+            entry_messages += pool.pop_priority_changes()
+        queue_length = sum(pool.queue_length for pool in self._pools.values())
+        self._metrics.gauge(metrics.QUEUED, queue_length)
+        self._metrics.count(metrics.YIELDS, len(entry_messages))
+        return entry_messages
 
     def _deliver(self, decisions: list[Decision]) -> None:
         for decision in decisions:
@@ -224,7 +224,7 @@
             random.Random(self._daemon.incarnation),
             self._daemon.metrics,
             Ownership(self._daemon.members, self._daemon.clock),
-            Options(placement=settings.placement),
+            AdmissionOptions(placement=settings.placement),
         )
 
     async def run(self) -> None:
@@ -236,7 +236,7 @@
         daemon.drain.open_count = lambda: self._broker_pools.waiting
         daemon.server.on(PermitRequest, self._handle_request)
         daemon.server.on(PermitRelease, self._broker_pools.release)
-        daemon.server.on(ProgressReport, self._broker_pools.report_progress)
+        daemon.server.on(ProgressReport, self._broker_pools.apply_progress_report)
         daemon.server.on(DigestReport, self._broker_pools.check_digest)
         daemon.serve_http(App(MAX_BODY_BYTES))
         daemon.add("tick", self._tick)
@@ -254,15 +254,15 @@
     async def _tick(self) -> None:
         while True:
             await self._daemon.clock.sleep(TICK_MS)
-            for change in self._broker_pools.tick():
-                await self._send_change(change)
+            for entry_message in self._broker_pools.tick():
+                await self._send_entry_message(entry_message)
 
-    async def _send_change(self, change: EntryChange) -> None:
+    async def _send_entry_message(self, entry_message: EntryMessage) -> None:
         for entry in self._daemon.members.serving(Role.ENTRY):
-            if entry.name != change.entry:
+            if entry.name != entry_message.entry:
                 continue
             try:
-                await self._daemon.links.send(entry.link, change.message)
+                await self._daemon.links.send(entry.link, entry_message.message)
             except LinkError:
                 # Without the change the engine itself selects the run that it
                 # preempts.
@@ -304,4 +304,4 @@
             step_ms=float(data["step_ms"]),
             preemptions=int(data["preemptions"]),
         )
-        self._broker_pools.report_load(pool, report)
+        self._broker_pools.apply_load_report(pool, report)
--- a/rhubarbwinch/programs/claimcomponents.py
+++ b/rhubarbwinch/programs/claimcomponents.py
@@ -3,7 +3,7 @@
 import secrets
 
 from rhubarbwinch.claims.claimretention import ClaimCleaner, ClaimFloor
-from rhubarbwinch.claims.claimowners import LinkOwners
+from rhubarbwinch.claims.claimowners import LinkClaimOwners
 from rhubarbwinch.claims.claimpages import ClaimPages
 from rhubarbwinch.claims.claimrouting import PageCall, RoutedPages
 from rhubarbwinch.claims.claims import Claims
@@ -43,7 +43,7 @@
         )
         self.claims = Claims(
             self._routed_pages,
-            LinkOwners(daemon.links, daemon.members),
+            LinkClaimOwners(daemon.links, daemon.members),
             ClaimFloor(store, clock),
             clock,
             secrets.SystemRandom(),
@@ -53,8 +53,8 @@
 
     def attach(self, daemon: Daemon) -> None:
         """Adds the tasks and the handlers of other members' messages."""
-        daemon.server.on(ClaimQuestion, self.claims.answer)
-        daemon.server.on(PageCall, self._routed_pages.answer)
+        daemon.server.on(ClaimQuestion, self.claims.reply)
+        daemon.server.on(PageCall, self._routed_pages.reply)
         daemon.add("claim-pages", self._pages.run)
         daemon.add("claims", self.claims.run)
         daemon.add("claim-cleaner", self._cleaner.run)
--- a/rhubarbwinch/programs/entry.py
+++ b/rhubarbwinch/programs/entry.py
@@ -6,7 +6,7 @@
 import orjson
 
 from rhubarbwinch.admission.permits import PermitClient
-from rhubarbwinch.admission.reports import Reporter
+from rhubarbwinch.admission.reports import StreamReporter
 from rhubarbwinch.callers import models
 from rhubarbwinch.callers.calls import parse_call
 from rhubarbwinch.callers.drainlimit import run_until_limit
@@ -101,7 +101,7 @@
             settings.name,
             settings.data_center,
         )
-        self._reporter = Reporter(
+        self._reporter = StreamReporter(
             settings.name,
             self._permits,
             daemon.members,
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -7,7 +7,7 @@
     ENTRY_TIMEOUT_MS,
     Admission,
     LoadReport,
-    Options,
+    AdmissionOptions,
 )
 from rhubarbwinch.links.messages import (
     PermitRelease,
@@ -65,7 +65,7 @@
                 capacity_tokens=self.capacity,
                 step_ms=self.step_ms,
             )
-            self.admission.report_load(report)
+            self.admission.apply_load_report(report)
 
     def advance(self, ms):
         """Advances the clock with load reports; returns all decisions."""
@@ -117,7 +117,7 @@
             report = LoadReport(
                 "e0", 0, 1, used_tokens=tokens, step_ms=float(tokens)
             )
-            pool.admission.report_load(report)
+            pool.admission.apply_load_report(report)
         pool.report_loads()
         count = sum(len(granted(pool.submit())) for _ in range(4))
         self.assertEqual(count, 2)
@@ -140,7 +140,7 @@
         self.assertEqual(len(started), 2)
         for request_id in started:
             pool.end(request_id, StreamEnd.CANCELLED)
-        self.assertEqual(pool.admission.queued, 0)
+        self.assertEqual(pool.admission.queue_length, 0)
 
     def test_a_request_over_the_token_limit_is_refused_immediately(self):
         pool = Pool(acme={"room": Room(tokens=200)})
@@ -200,7 +200,7 @@
     def test_an_endpoint_without_load_reports_gets_no_requests(self):
         pool = Pool()
         pool.clock.set(5000)
-        pool.admission.report_load(
+        pool.admission.apply_load_report(
             LoadReport("e1", 5000, capacity_tokens=10_000, step_ms=20.0)
         )
         decisions = [d for _ in range(6) for d in pool.submit()]
@@ -233,11 +233,11 @@
             for request_id, is_interactive in (("long", False), ("short", True))
         ]
         report = ProgressReport("entry-1", POOL, streams)
-        pool.admission.report_progress(report)
+        pool.admission.apply_progress_report(report)
         pool.advance(1000)
-        (change,) = pool.admission.take_priority_changes()
-        self.assertEqual(change.entry, "entry-1")
-        self.assertEqual(change.message.request_id, "long")
+        (entry_message,) = pool.admission.pop_priority_changes()
+        self.assertEqual(entry_message.entry, "entry-1")
+        self.assertEqual(entry_message.message.request_id, "long")
 
 
 class RefusalTest(unittest.TestCase):
@@ -254,12 +254,12 @@
         self.assertGreaterEqual(failure.retry_after_ms, 1000)
 
     def test_a_queued_request_is_refused_at_its_deadline(self):
-        pool = Pool(max_running=1, options=Options(refuses_early=False))
+        pool = Pool(max_running=1, options=AdmissionOptions(rejects_early=False))
         for _ in range(3):
             pool.submit(wait_ms=500)
         (failure,) = failures(pool.advance(600))
         self.assertIs(failure.reason, Reason.DEADLINE)
-        self.assertEqual(pool.admission.queued, 0)
+        self.assertEqual(pool.admission.queue_length, 0)
 
     def test_an_overdue_background_request_precedes_interactive_ones(self):
         pool = Pool(max_running=1)
@@ -281,7 +281,7 @@
             )
             for i in range(3)
         ]
-        pool.admission.report_progress(ProgressReport("entry-1", POOL, streams))
+        pool.admission.apply_progress_report(ProgressReport("entry-1", POOL, streams))
         self.assertEqual(granted(pool.submit()), [])
         self.assertEqual(granted(pool.end("old-0")), ["r1"])
 
@@ -290,10 +290,10 @@
         pool.submit()
         pool.submit(wait_ms=100_000)
         empty = ProgressReport("entry-1", POOL, [])
-        pool.admission.report_progress(empty)
+        pool.admission.apply_progress_report(empty)
         self.assertEqual(granted(pool.advance(100)), [])
         pool.advance(2500)
-        pool.admission.report_progress(empty)
+        pool.admission.apply_progress_report(empty)
         self.assertEqual(granted(pool.advance(100)), ["r2"])
 
     def test_a_late_report_does_not_restore_a_released_stream(self):
@@ -301,7 +301,7 @@
         pool.submit()
         pool.end("r1")
         stream = StreamProgress(builders.permit_request("r1"), "e0", 5)
-        pool.admission.report_progress(
+        pool.admission.apply_progress_report(
             ProgressReport("entry-1", POOL, [stream])
         )
         self.assertEqual(granted(pool.submit()), ["r2"])
@@ -320,12 +320,12 @@
 
     def test_each_policy_keeps_to_the_limit_of_running_requests(self):
         for name in ("round-robin", "least-outstanding", "least-load"):
-            pool = Pool(max_running=3, options=Options(placement=name))
+            pool = Pool(max_running=3, options=AdmissionOptions(placement=name))
             count = sum(len(granted(pool.submit())) for _ in range(9))
             self.assertEqual(count, 6, name)
 
     def test_reserving_the_maximum_never_overcommits(self):
-        options = Options(placement="reserve-maximum")
+        options = AdmissionOptions(placement="reserve-maximum")
         pool = Pool(capacity=1100, options=options)
         count = sum(len(granted(pool.submit())) for _ in range(9))
         self.assertEqual(count, 4)
--- a/tests/admission/test_digests.py
+++ b/tests/admission/test_digests.py
@@ -3,7 +3,7 @@
 import unittest
 
 from rhubarbwinch.admission.digests import (
-    GROWTH_TOKENS,
+    GROWTH_REPORT_TOKENS,
     DigestChecker,
     StreamReportBuilder,
     request_key,
@@ -48,13 +48,13 @@
             report = self.reporter.digest("p", [_stream("a", tokens)])
             return report.grown
 
-        self.assertEqual(grown(GROWTH_TOKENS - 1), [])
-        (growth,) = grown(GROWTH_TOKENS)
+        self.assertEqual(grown(GROWTH_REPORT_TOKENS - 1), [])
+        (growth,) = grown(GROWTH_REPORT_TOKENS)
         self.assertEqual(growth.key, request_key("a"))
-        self.assertEqual(growth.tokens, GROWTH_TOKENS)
-        self.assertEqual(grown(GROWTH_TOKENS + 1), [])
+        self.assertEqual(growth.tokens, GROWTH_REPORT_TOKENS)
+        self.assertEqual(grown(GROWTH_REPORT_TOKENS + 1), [])
 
     def test_a_full_report_includes_the_growth(self):
-        streams = [_stream("a", GROWTH_TOKENS)]
+        streams = [_stream("a", GROWTH_REPORT_TOKENS)]
         self.reporter.build_full_report("p", streams)
         self.assertEqual(self.reporter.digest("p", streams).grown, [])
--- a/tests/admission/test_limits.py
+++ b/tests/admission/test_limits.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from rhubarbwinch.admission.limits import RetryBudget, TokenBucket, backoff_ms
+from rhubarbwinch.admission.limits import RetryBudget, TokenBucket, retry_delay_ms
 from rhubarbwinch.shared.clock import ManualClock
 
 
@@ -40,7 +40,7 @@
     def test_the_bound_doubles_up_to_the_limit(self):
         rng = random.Random(1)
         for attempt, bound in ((1, 100), (2, 200), (5, 1000), (60, 1000)):
-            waits = [backoff_ms(attempt, 100, 1000, rng) for _ in range(500)]
+            waits = [retry_delay_ms(attempt, 100, 1000, rng) for _ in range(500)]
             self.assertLessEqual(max(waits), bound)
             self.assertGreater(max(waits), 0.9 * bound)
             self.assertLess(min(waits), 0.1 * bound)
--- a/tests/admission/test_outputlengths.py
+++ b/tests/admission/test_outputlengths.py
@@ -40,15 +40,15 @@
         curve = SurvivalCurve()
         for length in [20] * 90 + [2000] * 10:
             curve.add(length, is_complete=True)
-        self.assertLess(curve.outlook(0, 8192).mean_tokens, 400)
-        self.assertGreater(curve.outlook(100, 8192).mean_tokens, 1500)
+        self.assertLess(curve.forecast(0, 8192).mean_tokens, 400)
+        self.assertGreater(curve.forecast(100, 8192).mean_tokens, 1500)
 
     def test_no_output_is_expected_beyond_max_tokens(self):
         curve = SurvivalCurve()
         for _ in range(100):
             curve.add(5000, is_complete=True)
-        outlook = curve.outlook(0, 256)
-        for horizon, survival in zip(HORIZONS, outlook.survival, strict=True):
+        forecast = curve.forecast(0, 256)
+        for horizon, survival in zip(HORIZONS, forecast.survival, strict=True):
             if horizon > 2 * 256:
                 self.assertEqual(survival, 0)
 
@@ -70,15 +70,15 @@
         new = builders.permit_request(account="new", max_tokens=4096)
         for _ in range(MIN_OBSERVATIONS + 1):
             lengths.observe(old, 50, is_complete=True)
-        self.assertLess(lengths.outlook(new, 0).mean_tokens, 100)
+        self.assertLess(lengths.forecast(new, 0).mean_tokens, 100)
         for _ in range(MIN_OBSERVATIONS + 1):
             lengths.observe(new, 2000, is_complete=True)
-        self.assertGreater(lengths.outlook(new, 0).mean_tokens, 1500)
-        self.assertLess(lengths.outlook(old, 0).mean_tokens, 100)
+        self.assertGreater(lengths.forecast(new, 0).mean_tokens, 1500)
+        self.assertLess(lengths.forecast(old, 0).mean_tokens, 100)
 
     def test_without_observations_lengths_are_uniform(
         self,
     ):
         request = builders.permit_request(max_tokens=1000)
-        outlook = LearnedLengths().outlook(request, 0)
-        self.assertEqual(outlook.mean_tokens, 500)
+        forecast = LearnedLengths().forecast(request, 0)
+        self.assertEqual(forecast.mean_tokens, 500)
--- a/tests/admission/test_prefixes.py
+++ b/tests/admission/test_prefixes.py
@@ -6,7 +6,7 @@
     BLOCK_BYTES,
     MAX_BLOCKS,
     prefix_hashes,
-    prompt_bytes,
+    encode_prompt,
 )
 
 
@@ -33,6 +33,6 @@
 
     def test_only_prompts_and_messages_are_hashed(self):
         asked = {"prompt": "x", "max_tokens": 5}
-        self.assertEqual(prompt_bytes(asked), prompt_bytes({"prompt": "x"}))
+        self.assertEqual(encode_prompt(asked), encode_prompt({"prompt": "x"}))
         chat = {"messages": [{"role": "user", "content": "x"}]}
-        self.assertIn(b"content", prompt_bytes(chat))
+        self.assertIn(b"content", encode_prompt(chat))
--- a/tests/admission/test_streamindex.py
+++ b/tests/admission/test_streamindex.py
@@ -4,7 +4,7 @@
 import unittest
 
 from rhubarbwinch.admission.admission import REPORT_GRACE_MS, Admission
-from rhubarbwinch.admission.digests import GROWTH_TOKENS, StreamReportBuilder
+from rhubarbwinch.admission.digests import GROWTH_REPORT_TOKENS, StreamReportBuilder
 from rhubarbwinch.links.messages import StreamProgress
 from rhubarbwinch.records.records import check
 from rhubarbwinch.shared.clock import ManualClock
@@ -42,7 +42,7 @@
         self.assertFalse(self._wants_all(kept))
         self.assertTrue(self._wants_all(kept))
         announced = self.reporter.build_full_report("vintner.dc-a", [kept])
-        self.pool.report_progress(announced)
+        self.pool.apply_progress_report(announced)
         self.assertFalse(self._wants_all(kept))
 
     def test_a_new_owner_learns_all_streams(self):
@@ -50,7 +50,7 @@
         self._wants_all(stream)
         self.assertTrue(self._wants_all(stream))
         announced = self.reporter.build_full_report("vintner.dc-a", [stream])
-        self.pool.report_progress(announced)
+        self.pool.apply_progress_report(announced)
         self.assertFalse(self._wants_all(stream))
 
     def test_a_stream_that_moves_to_another_entry_counts_once(self):
@@ -59,7 +59,7 @@
         other = StreamReportBuilder("entry-2")
         taken = [StreamProgress(moved, stream.endpoint, 5)]
         announced = other.build_full_report("vintner.dc-a", taken)
-        self.pool.report_progress(announced)
+        self.pool.apply_progress_report(announced)
         report = other.digest("vintner.dc-a", taken)
         self.assertFalse(self.pool.check_digest(report))
         self.assertFalse(self._wants_all())
@@ -68,8 +68,8 @@
     def test_reported_growth_updates_the_stream(self):
         stream = self._grant("r1")
         grown = StreamProgress(
-            stream.request, stream.endpoint, 2 * GROWTH_TOKENS
+            stream.request, stream.endpoint, 2 * GROWTH_REPORT_TOKENS
         )
         self.assertFalse(self._wants_all(grown))
         known = self.pool.streams.get("r1")
-        self.assertEqual(known.tokens, 2 * GROWTH_TOKENS)
+        self.assertEqual(known.tokens, 2 * GROWTH_REPORT_TOKENS)
--- a/tests/callers/test_plain.py
+++ b/tests/callers/test_plain.py
@@ -176,17 +176,17 @@
         """
         async with World() as world:
             entry = world.entries[0]
-            world.desk.dies = True
-            ask_any = entry.permits.ask_any
+            world.counting_endpoint.dies = True
+            acquire_from_any = entry.permits.acquire_from_any
 
-            async def ask(request, pools, new_id):
+            async def acquire(request, pools, new_id):
                 if request.avoid:
                     fail_retry(world, entry)
-                return await ask_any(request, pools, new_id)
+                return await acquire_from_any(request, pools, new_id)
 
-            entry.permits.ask_any = ask
+            entry.permits.acquire_from_any = acquire
             response = await world.call(0, path="/services/booking/slots")
-            return response, len(world.desk.ran)
+            return response, len(world.counting_endpoint.ran)
 
     @asynchronous
     async def test_a_retry_without_a_permit_still_may_have_run(self):
@@ -200,7 +200,7 @@
     @asynchronous
     async def test_unsent_retries_keep_the_first_attempts_verdict(self):
         def go_away(world, _):
-            world.desk.refuses = 9
+            world.counting_endpoint.refuses = 9
 
         response, ran = await self._response_to_retry(go_away)
         self.assertEqual(ran, 1)
--- a/tests/callers/test_streams.py
+++ b/tests/callers/test_streams.py
@@ -38,10 +38,10 @@
     async def set_priority(self, address, generation, priority):
         self.record(f"engine gives {generation} priority {priority}")
 
-    async def give_back(self, permit, end, tokens):
+    async def release_permit(self, permit, end, tokens):
         self.record(f"permit released, {end}, {tokens} tokens")
 
-    def drop(self, permit):
+    def remove_permit(self, permit):
         self.record("permit handed over")
 
 
--- a/tests/claims/test_claimretention.py
+++ b/tests/claims/test_claimretention.py
@@ -47,5 +47,5 @@
             world.note(f"paused through the cleanup: {paused.text}")
             await world.clock.advance(MAX_FLOOR_AGE_MS)
             await call("a new key", 1, world.key(3))
-            world.note(f"endpoint ran {len(world.desk.ran)}")
+            world.note(f"endpoint ran {len(world.counting_endpoint.ran)}")
         self.assert_gold("claims-cleanup", "\n".join(world.lines) + "\n")
--- a/tests/claims/test_claimrouting.py
+++ b/tests/claims/test_claimrouting.py
@@ -21,14 +21,14 @@
         self.peer = None
         self.fault = ""
 
-    async def call(self, address, message, answer, timeout_ms):
+    async def call(self, address, message, reply, timeout_ms):
         if self.fault == "silent":
             raise LinkTimeout("no answer")
         data = codec.encode(message)
-        reply = await self.peer.answer(codec.decode(data, type(message)))
+        result = await self.peer.reply(codec.decode(data, type(message)))
         if self.fault == "answer lost":
             raise LinkTimeout("no answer")
-        return codec.decode(codec.encode(reply), answer)
+        return codec.decode(codec.encode(result), reply)
 
 
 class Members:
--- a/tests/claims/test_claims.py
+++ b/tests/claims/test_claims.py
@@ -12,7 +12,7 @@
     async def test_concurrent_calls_with_the_same_key_run_once(self):
         async with World() as world:
             key = world.key()
-            world.desk.delay_ms = 1_000
+            world.counting_endpoint.delay_ms = 1_000
             answers = [world.start(i, key) for i in (0, 1, 0, 1)]
             await world.settle(*answers)
             for answer in answers:
@@ -146,15 +146,15 @@
     ):
         async with World() as world:
             key = world.key()
-            world.desk.dies = True
+            world.counting_endpoint.dies = True
             world.note(f"dies: {await world.call(0, key)}")
-            world.desk.dies = False
+            world.counting_endpoint.dies = False
             world.note(f"again: {await world.call(1, key)}")
             await world.judge()
             world.note("# the connection is refused, once and always")
-            world.desk.refuses = 1
+            world.counting_endpoint.refuses = 1
             world.note(f"once: {await world.call(0, world.key(1))}")
-            world.desk.refuses = 3
+            world.counting_endpoint.refuses = 3
             world.note(f"always: {await world.call(0, world.key(2))}")
             await world.judge()
             world.note(f"again: {await world.call(1, world.key(2))}")
@@ -181,7 +181,7 @@
             }
             for name, key in calls.items():
                 world.note(f"{name}: {await world.call(0, key)}")
-            world.desk.body = {"long": "x" * 5000}
+            world.counting_endpoint.body = {"long": "x" * 5000}
             await world.call(0, world.key(3))
             world.note(f"long answer: {await world.call(0, world.key(3))}")
             await world.judge()
@@ -205,7 +205,7 @@
                     path = "/services/booking/" + ("book" if key else "slots")
                     response = await world.call(0, key, path=path)
                     world.note(
-                        f"{path[18:]} {response}; ran {len(world.desk.ran)}"
+                        f"{path[18:]} {response}; ran {len(world.counting_endpoint.ran)}"
                     )
                 entry.permits.failure = None
             others = {
@@ -216,15 +216,15 @@
             }
             for name, (path, key) in others.items():
                 response = await world.call(0, key, path=path)
-                world.note(f"{name}: {response}; ran {len(world.desk.ran)}")
-            world.desk.refuses = 3
+                world.note(f"{name}: {response}; ran {len(world.counting_endpoint.ran)}")
+            world.counting_endpoint.refuses = 3
             response = await world.call(0, None, path="/services/booking/slots")
-            world.note(f"no connection: {response}; ran {len(world.desk.ran)}")
+            world.note(f"no connection: {response}; ran {len(world.counting_endpoint.ran)}")
             world.store.faults.down = True
             response = await world.call(0, world.key(50))
-            world.note(f"store down: {response}; ran {len(world.desk.ran)}")
+            world.note(f"store down: {response}; ran {len(world.counting_endpoint.ran)}")
             world.store.faults.down = False
-            world.desk.dies = True
+            world.counting_endpoint.dies = True
             response = await world.call(0, world.key(60))
             world.note(f"broken after a byte: {response}; ran 1")
             world.note(f"permits held {entry.permits.held}")
--- a/tests/claims/test_quarantine.py
+++ b/tests/claims/test_quarantine.py
@@ -77,7 +77,7 @@
             raise EndpointError("connection refused", sent=False)
         return {}
 
-    async def give_back(self, permit, end, tokens=0):
+    async def release_permit(self, permit, end, tokens=0):
         pass
 
     def kill(self, name):
@@ -175,7 +175,7 @@
         await cluster.load()
         quarantine = cluster.members[0].quarantine
         cluster.kill("engine-0")
-        await quarantine.strike("bad", "a-0-t~engine-0")
+        await quarantine.record_strike("bad", "a-0-t~engine-0")
         await cluster.spread()
         cluster.poison_ms = 1_000
         answers = []
@@ -198,7 +198,7 @@
         cluster.note(f"again: {await cluster.send(1, 'bad', poison=True)}")
         cluster.store.faults.down = True
         quarantine = cluster.members[2].quarantine
-        await quarantine.strike("worse", "a-1-t~engine-1")
+        await quarantine.record_strike("worse", "a-1-t~engine-1")
         status = await cluster.send(2, "worse", poison=True)
         cluster.note(f"trial with the store down: {status}")
         cluster.store.faults.down = False
@@ -244,7 +244,7 @@
     async def test_a_harmless_request_repeated_during_its_trial_waits(self):
         cluster = Cluster()
         await cluster.load()
-        await cluster.members[0].quarantine.strike("good", "a-0-t~engine-0")
+        await cluster.members[0].quarantine.record_strike("good", "a-0-t~engine-0")
         await cluster.spread()
         cluster.trial_ms = 1_000
         answers = []
--- a/tests/claimworld.py
+++ b/tests/claimworld.py
@@ -13,7 +13,7 @@
 from rhubarbwinch.callers.plain import PlainCaller
 from rhubarbwinch.claims.audit import Period, list_calls
 from rhubarbwinch.claims.claimretention import ClaimFloor
-from rhubarbwinch.claims.claimowners import Standing
+from rhubarbwinch.claims.claimowners import OwnerStatus
 from rhubarbwinch.claims.claimpages import ClaimPages
 from rhubarbwinch.claims.claims import Claims
 from rhubarbwinch.endpoints.metering import PERIOD_MS
@@ -140,7 +140,7 @@
         self.failure = None
         self.held = 0
 
-    async def ask_any(self, request, pools, new_id):
+    async def acquire_from_any(self, request, pools, new_id):
         if self.failure is not None:
             return Err(self.failure)
         if not pools:
@@ -149,7 +149,7 @@
         grant = PermitGrant(new_id(), "desk", "127.0.0.1:1")
         return Ok(Permit(request, grant))
 
-    async def give_back(self, permit, end, tokens=0):
+    async def release_permit(self, permit, end, tokens=0):
         self.held -= 1
 
 
@@ -166,7 +166,7 @@
         self.pages = ClaimPages(store, world.clock, 1000)
         self.claims = Claims(
             self.pages,
-            Owners(world),
+            ClaimOwners(world),
             ClaimFloor(store, world.clock),
             world.clock,
             random.Random(incarnation),
@@ -175,7 +175,7 @@
         )
         self.caller = PlainCaller(
             self.permits,
-            GatedEndpoints(world.desk, self.gate, world.clock),
+            GatedEndpoints(world.counting_endpoint, self.gate, world.clock),
             self.claims,
             identity.IdMaker(incarnation, "secret"),
             name,
@@ -183,21 +183,21 @@
         )
 
 
-class Owners:
+class ClaimOwners:
     """Asks the other entries directly."""
 
     def __init__(self, world):
         self._world = world
 
-    async def ask(self, record):
+    async def get_status(self, record):
         for entry in self._world.entries:
             if entry.incarnation == record.incarnation and entry.listed:
                 if entry.gate.closed:
-                    return Standing.HELD
+                    return OwnerStatus.MAY_SEND
                 question = ClaimQuestion(record.token, record.incarnation)
-                answer = await entry.claims.answer(question)
-                return Standing.UNSENT if answer.unsent else Standing.HELD
-        return Standing.GONE
+                reply = await entry.claims.reply(question)
+                return OwnerStatus.UNSENT if reply.unsent else OwnerStatus.MAY_SEND
+        return OwnerStatus.NOT_A_MEMBER
 
 
 class Answer:
@@ -223,7 +223,7 @@
     def __init__(self, entries=2):
         self.clock = ManualClock()
         self.store = MemoryStore(self.clock)
-        self.desk = CountingEndpoint()
+        self.counting_endpoint = CountingEndpoint()
         self.entries = [
             Entry(self, f"entry-{i}", 100 + i) for i in range(entries)
         ]
@@ -319,7 +319,7 @@
         Raises:
             AssertionError: The audit contradicts the endpoint's runs.
         """
-        self.note(f"endpoint ran {len(self.desk.ran)}")
+        self.note(f"endpoint ran {len(self.counting_endpoint.ran)}")
         self.store.faults.down = False
         states = []
         for page in (await self.store.scan(keys.CLAIMS)).entries:
@@ -333,7 +333,7 @@
         self.note(
             f"audit lists {certain} that ran, {len(calls) - certain} unknown"
         )
-        if not certain <= len(self.desk.ran) <= len(calls):
+        if not certain <= len(self.counting_endpoint.ran) <= len(calls):
             raise AssertionError("the audit contradicts the endpoint's runs")
 
     def text(self):
--- a/tests/links/test_links.py
+++ b/tests/links/test_links.py
@@ -118,17 +118,17 @@
         async def session(server, links, tasks):
             permits = PermitClient(links, _members(server.address), SHORT_MS)
             late = builders.permit_request("late", wait_ms=0)
-            reply = await permits.ask(late)
+            reply = await permits.acquire_permit(late)
             lines.append(f"late: {reply.err_value.verdict}")
             with anyio.CancelScope() as scope:
                 scope.deadline = anyio.current_time() + SHORT_MS / 1000
-                await permits.ask(builders.permit_request("cancelled"))
+                await permits.acquire_permit(builders.permit_request("cancelled"))
             lines.append(f"cancelled: {scope.cancelled_caught}")
             for name in ("cancelled", "late", "good"):
                 server.open(name)
             await server.until(lambda: len(server.released) == 2)
             slow = PermitClient(links, _members(server.address), LONG_MS)
-            good = await slow.ask(builders.permit_request("good"))
+            good = await slow.acquire_permit(builders.permit_request("good"))
             lines.append(f"good: {good.ok_value.grant.endpoint}")
             lines.append(f"open permits: {len(permits.open_permits)}")
 
@@ -142,12 +142,12 @@
         async def session(server, links, tasks):
             permits = PermitClient(links, _members(server.address), LONG_MS)
             request = builders.permit_request("r1")
-            asking_task = asyncio.create_task(permits.ask(request))
+            acquiring_task = asyncio.create_task(permits.acquire_permit(request))
             deliver = links._deliver_reply
 
             def deliver_and_cancel(frames):
                 deliver(frames)
-                asking_task.cancel()
+                acquiring_task.cancel()
 
             links._deliver_reply = deliver_and_cancel
             server.open("r1")
--- a/tests/membership/test_leaving.py
+++ b/tests/membership/test_leaving.py
@@ -5,7 +5,7 @@
 import anyio
 
 from lab.memberset import MemberSet
-from rhubarbwinch.admission.admission import Options
+from rhubarbwinch.admission.admission import AdmissionOptions
 from rhubarbwinch.links.messages import PermitRelease, StreamEnd
 from rhubarbwinch.membership.members import Role
 from rhubarbwinch.membership.vmlist import Vm, VmListReader, VmState
@@ -64,7 +64,7 @@
             self.fleet.clock,
             random.Random(1),
             Metrics("", Role.BROKER),
-            options=Options(placement="least-outstanding"),
+            options=AdmissionOptions(placement="least-outstanding"),
         )
         node.follower.on_change(keeper.configure)
         node.leaving.on_change(
--- a/tests/membership/test_ownership.py
+++ b/tests/membership/test_ownership.py
@@ -6,7 +6,7 @@
 
 from lab.memberset import MemberSet
 from rhubarbwinch.admission.permits import PermitClient, pool_owner
-from rhubarbwinch.admission.reports import Reporter
+from rhubarbwinch.admission.reports import StreamReporter
 from rhubarbwinch.links.messages import (
     DigestReport,
     PermitRelease,
@@ -38,7 +38,7 @@
     node.follower.on_change(keeper.configure)
     node.links.on(PermitRequest, keeper.answer)
     node.links.on(PermitRelease, keeper.release)
-    node.links.on(ProgressReport, keeper.report_progress)
+    node.links.on(ProgressReport, keeper.apply_progress_report)
     node.links.on(DigestReport, keeper.check_digest)
 
     async def tick():
@@ -80,18 +80,18 @@
         self.lines = []
         self._number = 0
         slow = SlowSender(node.links, fleet.clock)
-        reporter = Reporter(
+        reporter = StreamReporter(
             "entry-0", self.permits, node.members, slow, fleet.clock
         )
         tasks.start_soon(reporter.run)
 
-    async def ask(self, label, avoid=""):
+    async def acquire_permit(self, label, avoid=""):
         """Requests a permit and records the result."""
         self._number += 1
         request = builders.permit_request(
             f"r{self._number}", pool=POOL, entry="entry-0", wait_ms=5000
         )
-        reply = await self.permits.ask(request, avoid)
+        reply = await self.permits.acquire_permit(request, avoid)
         result = "granted" if reply.is_ok() else reply.err_value.reason
         self.lines.append(f"{label}: {result}")
 
@@ -119,7 +119,7 @@
             await ctl.apply(fleet.store, [builders.model(), pool])
             await fleet.clock.advance(1000)
             for label in ("first", "second"):
-                tasks.start_soon(requester.ask, label)
+                tasks.start_soon(requester.acquire_permit, label)
                 await fleet.clock.advance(1000)
             requester.record_endpoints()
             owner = pool_owner(POOL, requester.members).name
@@ -138,13 +138,13 @@
                 pool_owner(POOL, fleet.nodes[successor].members).name == owner
             ):
                 await fleet.clock.advance(1)
-            tasks.start_soon(requester.ask, "third", owner)
+            tasks.start_soon(requester.acquire_permit, "third", owner)
             await fleet.clock.advance(2000)
             requester.record_endpoints()
             requester.lines.append("# the first ends")
             permit = requester.permits.open_permits[0]
             tasks.start_soon(
-                requester.permits.give_back, permit, StreamEnd.FINISHED
+                requester.permits.release_permit, permit, StreamEnd.FINISHED
             )
             await fleet.clock.advance(500)
             requester.record_endpoints()
