--- a/lab/control_traffic.py
+++ b/lab/control_traffic.py
@@ -16,10 +16,10 @@
 import attrs
 
 from rhubarbwinch.configuration.distribution import Distribution
-from rhubarbwinch.configuration.follower import Follower
+from rhubarbwinch.configuration.configreplica import ConfigReplica
 from rhubarbwinch.links.links import Links, LinkServer
 from rhubarbwinch.membership.gossip import Gossip
-from rhubarbwinch.membership.leaving import LeavingVms
+from rhubarbwinch.membership.leavingvms import LeavingVms
 from rhubarbwinch.membership.members import Member, Members, Role
 from rhubarbwinch.membership.registration import Registration
 from rhubarbwinch.shared import codec
@@ -106,15 +106,15 @@
         links, server, members, clock, rng, [], registration.holds_lease
     )
     distribution = Distribution(links, server, members, rng)
-    follower = Follower(store, clock, members, distribution)
-    gossip.on_newer(follower.notice)
+    config = ConfigReplica(store, clock, members, distribution)
+    gossip.on_newer_generation(config.observe_generation)
     leaving = LeavingVms(gossip, clock)
     async with anyio.create_task_group() as tasks:
         for run in (server.run, links.run, registration.run, leaving.run):
             tasks.start_soon(run)
         await anyio.sleep(0.2)
         tasks.start_soon(gossip.run)
-        tasks.start_soon(follower.run)
+        tasks.start_soon(config.run)
 
 
 @attrs.frozen
--- a/lab/memberset.py
+++ b/lab/memberset.py
@@ -10,12 +10,12 @@
 import anyio.abc
 
 from rhubarbwinch.configuration.distribution import Distribution
-from rhubarbwinch.configuration.follower import Follower
+from rhubarbwinch.configuration.configreplica import ConfigReplica
 from rhubarbwinch.configuration.publisher import Publisher
-from rhubarbwinch.configuration.publishing import Publishing
+from rhubarbwinch.configuration.publisherloop import PublisherLoop
 from rhubarbwinch.links.memlinks import MemoryNetwork
 from rhubarbwinch.membership.gossip import Gossip
-from rhubarbwinch.membership.leaving import LeavingVms
+from rhubarbwinch.membership.leavingvms import LeavingVms
 from rhubarbwinch.membership.members import Member, Members, Role
 from rhubarbwinch.membership.registration import Registration
 from rhubarbwinch.shared.clock import ManualClock
@@ -63,20 +63,20 @@
             self.registration.holds_lease,
         )
         if watches:
-            self.follower = Follower(store, clock)
+            self.config = ConfigReplica(store, clock)
         else:
             distribution = Distribution(links, links, self.members, rng)
-            self.follower = Follower(
+            self.config = ConfigReplica(
                 store, clock, self.members, distribution, peers
             )
-            self.gossip.on_newer(self.follower.notice)
-            self.follower.on_change(
+            self.gossip.on_newer_generation(self.config.observe_generation)
+            self.config.on_change(
                 lambda snapshot: self.gossip.set_generation(snapshot.generation)
             )
         self.leaving = LeavingVms(self.gossip, clock)
-        self.follower.on_change(self.leaving.configure)
-        self.publisher = Publisher(store, self.follower)
-        self.publishing = Publishing(self.publisher, store, self.members, clock)
+        self.config.on_change(self.leaving.configure)
+        self.publisher = Publisher(store, self.config)
+        self.publisher_loop = PublisherLoop(self.publisher, store, self.members, clock)
         self._scope: anyio.CancelScope | None = None
 
     async def run(self) -> None:
@@ -85,10 +85,10 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self.registration.run)
                 tasks.start_soon(self.gossip.run)
-                tasks.start_soon(self.follower.run)
+                tasks.start_soon(self.config.run)
                 tasks.start_soon(self.leaving.run)
                 if self.members.me.role is Role.CONTROL:
-                    tasks.start_soon(self.publishing.run)
+                    tasks.start_soon(self.publisher_loop.run)
 
     def stop(self) -> None:
         """Stops the components without notice to the other members."""
@@ -154,6 +154,6 @@
     def generations(self) -> list[int]:
         """Returns the active generation of each member, sorted by name."""
         return [
-            self.nodes[name].follower.head.generation
+            self.nodes[name].config.head.generation
             for name in sorted(self.nodes)
         ]
--- a/lab/spread.py
+++ b/lab/spread.py
@@ -93,7 +93,7 @@
             members,
             round(idle, 1),
             fleet.store.calls - calls - publisher_calls,
-            sum(node.follower.is_seed for node in fleet.nodes.values()),
+            sum(node.config.is_store_watcher for node in fleet.nodes.values()),
             half_ms,
             elapsed_ms,
             (_link_bytes(fleet) - octets) // members,
--- a/rhubarbwinch/claims/quarantine.py
+++ b/rhubarbwinch/claims/quarantine.py
@@ -39,11 +39,11 @@
 class Broadcaster(Protocol):
     """Broadcasts updates to all members, as gossip does."""
 
-    def share(self, kind: str, key: str, data: bytes) -> None:
+    def broadcast(self, kind: str, key: str, data: bytes) -> None:
         """Broadcasts an update to all other members."""
         ...
 
-    def on(
+    def on_update(
         self, kind: str, handler: Callable[[str, bytes], Awaitable[None]]
     ) -> None:
         """Sets the handler of received updates of a kind."""
@@ -109,7 +109,7 @@
         self._suspects: dict[str, Suspect] = {}
         self._unsaved_strikes: dict[str, str] = {}
         self._is_loaded = False
-        broadcaster.on(KIND, self._handle_update)
+        broadcaster.on_update(KIND, self._handle_update)
 
     async def run(self) -> None:
         """Loads the suspects from the store periodically, until cancelled."""
@@ -156,7 +156,7 @@
         events.ENDPOINT_STRIKE.log(fingerprint=fingerprint, run=run)
         suspect = Suspect(fingerprint, [run], at_ms=now)
         self._merge(suspect)
-        self._broadcaster.share(KIND, fingerprint, codec.encode(suspect))
+        self._broadcaster.broadcast(KIND, fingerprint, codec.encode(suspect))
         self._unsaved_strikes[run] = fingerprint
         try:
             await self._save_strike(fingerprint, run)
@@ -172,7 +172,7 @@
             return
         events.SUSPECT_CLEARED.log(fingerprint=fingerprint)
         cleared = Suspect(fingerprint)
-        self._broadcaster.share(KIND, fingerprint, codec.encode(cleared))
+        self._broadcaster.broadcast(KIND, fingerprint, codec.encode(cleared))
         key = keys.suspect(fingerprint)
         try:
             entry = await self._store.get(key)
--- a/rhubarbwinch/configuration/follower.py
+++ b/rhubarbwinch/configuration/configreplica.py
@@ -31,7 +31,7 @@
     address: str = ""
 
 
-class Follower:
+class ConfigReplica:
     """Holds the active snapshot and replaces it with newer ones.
 
     Args:
@@ -80,7 +80,7 @@
         return self._head
 
     @property
-    def is_seed(self) -> bool:
+    def is_store_watcher(self) -> bool:
         """Whether this process watches the store for its data centre."""
         if self._members is None:
             return True
@@ -98,7 +98,7 @@
         """Calls `listener` with each new snapshot."""
         self._listeners.append(listener)
 
-    def notice(self, generation: int, address: str) -> None:
+    def observe_generation(self, generation: int, address: str) -> None:
         """Records that a peer has a newer generation."""
         if generation > max(
             self._head.generation, self._available_update.generation
@@ -155,12 +155,12 @@
         while True:
             self._members_changed = anyio.Event()
             changed = self._members_changed
-            if not self.is_seed:
+            if not self.is_store_watcher:
                 await changed.wait()
                 continue
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._watch)
-                while self.is_seed:
+                while self.is_store_watcher:
                     await changed.wait()
                     self._members_changed = changed = anyio.Event()
                 tasks.cancel_scope.cancel()
--- a/rhubarbwinch/configuration/publisher.py
+++ b/rhubarbwinch/configuration/publisher.py
@@ -3,7 +3,7 @@
 import attrs
 import orjson
 
-from rhubarbwinch.configuration.follower import Follower
+from rhubarbwinch.configuration.configreplica import ConfigReplica
 from rhubarbwinch.records import accepted, records
 from rhubarbwinch.records.accepted import CHUNK_SLOTS, Head
 from rhubarbwinch.records.records import Record
@@ -65,13 +65,13 @@
 
     Args:
         store: The platform's store.
-        follower: The active configuration of this process; its chunks need
+        config: The active configuration of this process; its chunks need
             not be read from the store.
     """
 
-    def __init__(self, store: Store, follower: Follower) -> None:
+    def __init__(self, store: Store, config: ConfigReplica) -> None:
         self._store = store
-        self._follower = follower
+        self._config = config
         self._store_copy: _StoreCopy | None = None
         self._unused: set[str] = set()
 
@@ -91,9 +91,9 @@
         # head in between, the compare-and-swap below fails instead of
         # reverting that publisher's changes.
         head, head_revision = await accepted.read_head(self._store)
-        if head.generation < self._follower.head.generation:
+        if head.generation < self._config.head.generation:
             events.STORE_BEHIND.log(
-                store=head.generation, in_force=self._follower.head.generation
+                store=head.generation, in_force=self._config.head.generation
             )
             raise StoreUnavailable(
                 f"store has an older head: generation {head.generation}"
@@ -162,7 +162,7 @@
     async def _read_chunks(self, head: Head) -> dict[str, bytes]:
         found = {}
         for name in filter(None, head.chunks):
-            held = self._follower.chunk(name)
+            held = self._config.chunk(name)
             found[name] = held or await accepted.read_chunk(self._store, name)
         return found
 
--- a/rhubarbwinch/configuration/publishing.py
+++ b/rhubarbwinch/configuration/publisherloop.py
@@ -17,7 +17,7 @@
 GARBAGE_INTERVAL_MS = 600_000
 
 
-class Publishing:
+class PublisherLoop:
     """Runs the publisher while this control is the elected one.
 
     Rendezvous hashing over the members elects the control without a call to
--- a/rhubarbwinch/membership/gossip.py
+++ b/rhubarbwinch/membership/gossip.py
@@ -15,7 +15,7 @@
 from rhubarbwinch.membership import overlay
 from rhubarbwinch.membership.heartbeat import Heartbeat, ViewReply, ViewRequest
 from rhubarbwinch.membership.members import Health, Member, MemberNews, Members
-from rhubarbwinch.membership.rumours import Rumour, UpdateBuffer
+from rhubarbwinch.membership.updatebuffer import Rumour, UpdateBuffer
 from rhubarbwinch.shared import codec, events
 from rhubarbwinch.shared.bytebudget import ByteBudget
 from rhubarbwinch.shared.clock import Clock
@@ -108,7 +108,7 @@
         found = [self._members.get(name) for name in self._neighbours]
         return [member for member in found if member is not None]
 
-    def on(self, kind: str, handler: UpdateHandler) -> None:
+    def on_update(self, kind: str, handler: UpdateHandler) -> None:
         """Sets the function that handles updates of one kind.
 
         The handler is called once for each update from another member, in any
@@ -118,7 +118,7 @@
         """
         self._handlers[kind] = handler
 
-    def share(self, kind: str, key: str, data: bytes) -> None:
+    def broadcast(self, kind: str, key: str, data: bytes) -> None:
         """Broadcasts an update; it reaches most members within tens of ms.
 
         An update is kept for about a minute. Members that start later or are
@@ -138,7 +138,7 @@
         """Broadcasts this process's current member data."""
         self._queue_member_update(self._members.own_update)
 
-    def on_newer(self, handler: NewerGenerationHandler) -> None:
+    def on_newer_generation(self, handler: NewerGenerationHandler) -> None:
         """Sets the function called when a peer has a newer configuration."""
         self._on_newer_generation = handler
 
@@ -156,7 +156,7 @@
                 self._start_round(tasks)
                 await self._clock.sleep(ROUND_INTERVAL_MS)
 
-    async def announce_end(self) -> None:
+    async def announce_shutdown(self) -> None:
         """Announces to the neighbours that this process shuts down now."""
         self._is_shutting_down = True
         self._queue_member_update(MemberNews(self._members.me, Health.DEAD))
--- a/rhubarbwinch/membership/heartbeat.py
+++ b/rhubarbwinch/membership/heartbeat.py
@@ -3,7 +3,7 @@
 import attrs
 
 from rhubarbwinch.membership.members import MemberNews
-from rhubarbwinch.membership.rumours import Rumour
+from rhubarbwinch.membership.updatebuffer import Rumour
 
 
 @attrs.frozen
--- a/rhubarbwinch/membership/leaving.py
+++ b/rhubarbwinch/membership/leavingvms.py
@@ -39,7 +39,7 @@
         self._notice_expires_at: dict[str, int] = {}
         self._last_hosts: set[str] = set()
         self._listeners: list[Callable[[], None]] = []
-        gossip.on(UPDATE_KIND, self._handle_update)
+        gossip.on_update(UPDATE_KIND, self._handle_update)
 
     @property
     def hosts(self) -> set[str]:
@@ -50,7 +50,7 @@
         """Calls `listener` after each change."""
         self._listeners.append(listener)
 
-    def endpoints_of(self, spec: PoolSpec) -> set[str]:
+    def leaving_endpoints(self, spec: PoolSpec) -> set[str]:
         """Returns the names of a pool's endpoints that run on leaving VMs."""
         hosts = self.hosts
         return {
@@ -66,9 +66,9 @@
         }
         self._notify_if_changed()
 
-    def share(self, host: str, notice: Notice) -> None:
+    def broadcast(self, host: str, notice: Notice) -> None:
         """Broadcasts the state of a VM on the platform's list."""
-        self._gossip.share(UPDATE_KIND, host, notice.encode())
+        self._gossip.broadcast(UPDATE_KIND, host, notice.encode())
         self._apply_notice(host, notice)
 
     def expire(self) -> None:
--- a/rhubarbwinch/membership/ownership.py
+++ b/rhubarbwinch/membership/poolownership.py
@@ -11,7 +11,7 @@
 NEW_OWNER_WAIT_MS = 150
 
 
-class Ownership:
+class PoolOwnership:
     """Recomputes the owners of pools when the members change.
 
     Args:
@@ -31,7 +31,7 @@
         self._owners = {n: self._owners.get(n, "") for n in names}
         self._update_owners()
 
-    def wait_ms(self, pool: str) -> int:
+    def ms_until_ready(self, pool: str) -> int:
         """Returns how long decisions on a pool must still wait, in ms."""
         return max(
             0, self._decisions_allowed_at.get(pool, 0) - self._clock.now()
--- a/rhubarbwinch/membership/registration.py
+++ b/rhubarbwinch/membership/registration.py
@@ -53,7 +53,7 @@
                 tasks.cancel_scope.cancel()
             self._renewal_requested = anyio.Event()
 
-    def hurry(self) -> None:
+    def renew_now(self) -> None:
         """Renews the registration now, to write a change of state."""
         self._renewal_requested.set()
 
--- a/rhubarbwinch/membership/vmlist.py
+++ b/rhubarbwinch/membership/vmlist.py
@@ -8,7 +8,7 @@
 import httpx
 import orjson
 
-from rhubarbwinch.membership.leaving import NOTICE_REPEAT_MS, LeavingVms, Notice
+from rhubarbwinch.membership.leavingvms import NOTICE_REPEAT_MS, LeavingVms, Notice
 from rhubarbwinch.membership.members import Members, Role
 from rhubarbwinch.shared import events, rendezvous
 from rhubarbwinch.shared.clock import Clock
@@ -141,8 +141,8 @@
                 >= NOTICE_REPEAT_MS
             ):
                 self._broadcast_at[host] = now
-                self._leaving.share(host, Notice.LEAVING)
+                self._leaving.broadcast(host, Notice.LEAVING)
         for host in sorted(set(self._broadcast_at) - leaving):
             del self._broadcast_at[host]
             if host in live:
-                self._leaving.share(host, Notice.LIVE)
+                self._leaving.broadcast(host, Notice.LIVE)
--- a/rhubarbwinch/programs/broker.py
+++ b/rhubarbwinch/programs/broker.py
@@ -25,7 +25,7 @@
     ProgressReport,
 )
 from rhubarbwinch.membership.members import Role
-from rhubarbwinch.membership.ownership import Ownership
+from rhubarbwinch.membership.poolownership import PoolOwnership
 from rhubarbwinch.programs.config import BrokerSettings
 from rhubarbwinch.programs.daemon import Daemon
 from rhubarbwinch.programs.surroundings import Surroundings
@@ -71,7 +71,7 @@
         clock: Clock,
         rng: random.Random,
         counters: metrics.Metrics,
-        ownership: Ownership | None = None,
+        ownership: PoolOwnership | None = None,
         options: Options | None = None,
     ) -> None:
         self._clock = clock
@@ -128,8 +128,8 @@
         self._waiters[request.request_id] = waiter
         try:
             if self._ownership is not None:
-                wait_ms = self._ownership.wait_ms(request.pool)
-                await self._clock.sleep(wait_ms)
+                ms_until_ready = self._ownership.ms_until_ready(request.pool)
+                await self._clock.sleep(ms_until_ready)
             if waiter.reply is None:
                 self._deliver(pool.submit(request))
             await waiter.done.wait()
@@ -223,14 +223,14 @@
             self._daemon.clock,
             random.Random(self._daemon.incarnation),
             self._daemon.metrics,
-            Ownership(self._daemon.members, self._daemon.clock),
+            PoolOwnership(self._daemon.members, self._daemon.clock),
             Options(placement=settings.placement),
         )
 
     async def run(self) -> None:
         """Runs until the program is stopped."""
         daemon = self._daemon
-        daemon.follower.on_change(self._broker_pools.configure)
+        daemon.config.on_change(self._broker_pools.configure)
         daemon.leaving.on_change(self._mark_leaving)
         self._mark_leaving()
         daemon.drain.open_count = lambda: self._broker_pools.waiting
@@ -249,7 +249,7 @@
             return await self._broker_pools.answer(request)
 
     def _mark_leaving(self) -> None:
-        self._broker_pools.mark_leaving(self._daemon.leaving.endpoints_of)
+        self._broker_pools.mark_leaving(self._daemon.leaving.leaving_endpoints)
 
     async def _tick(self) -> None:
         while True:
@@ -271,7 +271,7 @@
     async def _poll_loads(self) -> None:
         while True:
             await self._daemon.clock.sleep(self._settings.load_poll_ms)
-            snapshot = self._daemon.follower.snapshot
+            snapshot = self._daemon.config.snapshot
             members = self._daemon.members
             async with anyio.create_task_group() as tasks:
                 for name, spec in snapshot.pools.items():
--- a/rhubarbwinch/programs/control.py
+++ b/rhubarbwinch/programs/control.py
@@ -3,7 +3,7 @@
 import anyio
 
 from rhubarbwinch.configuration.publisher import Publisher
-from rhubarbwinch.configuration.publishing import Publishing
+from rhubarbwinch.configuration.publisherloop import PublisherLoop
 from rhubarbwinch.http.httpapi import App
 from rhubarbwinch.membership.members import Role
 from rhubarbwinch.membership.vmlist import VM_LISTS, VmListReader
@@ -28,8 +28,8 @@
     def __init__(self, settings: ControlSettings) -> None:
         self._settings = settings
         self._daemon = daemon = Daemon(Role.CONTROL, settings)
-        publisher = Publisher(daemon.store, daemon.follower)
-        self._publishing = Publishing(
+        publisher = Publisher(daemon.store, daemon.config)
+        self._publisher_loop = PublisherLoop(
             publisher, daemon.store, daemon.members, daemon.clock
         )
         self._vm_list_reader = None
@@ -62,7 +62,7 @@
     async def run(self) -> None:
         """Runs until the program is stopped."""
         self._daemon.serve_http(App(MAX_BODY_BYTES))
-        self._daemon.add("publisher", self._publishing.run)
+        self._daemon.add("publisher", self._publisher_loop.run)
         if self._vm_list_reader is not None:
             self._daemon.add("vm-list", self._vm_list_reader.run)
         self._daemon.add("order-lease", self._renew_lease)
@@ -82,7 +82,7 @@
         period_ms = self._settings.order_lease_ms // RENEWALS_PER_LEASE
         try:
             while True:
-                snapshot = self._daemon.follower.snapshot
+                snapshot = self._daemon.config.snapshot
                 await self._orderer.keep(snapshot, self._control_names)
                 await self._daemon.clock.sleep(period_ms)
         finally:
@@ -91,6 +91,6 @@
 
     async def _send_orders(self) -> None:
         while True:
-            snapshot = self._daemon.follower.snapshot
+            snapshot = self._daemon.config.snapshot
             await self._orderer.converge(snapshot, len(self._control_names))
             await self._daemon.clock.sleep(ORDER_PERIOD_MS)
--- a/rhubarbwinch/programs/daemon.py
+++ b/rhubarbwinch/programs/daemon.py
@@ -8,11 +8,11 @@
 from hypercorn.config import Config
 
 from rhubarbwinch.configuration.distribution import Distribution
-from rhubarbwinch.configuration.follower import Follower
+from rhubarbwinch.configuration.configreplica import ConfigReplica
 from rhubarbwinch.http.httpapi import App
 from rhubarbwinch.http.httpserver import HttpServer
 from rhubarbwinch.membership.gossip import Gossip
-from rhubarbwinch.membership.leaving import LeavingVms
+from rhubarbwinch.membership.leavingvms import LeavingVms
 from rhubarbwinch.membership.members import Member, Members, MemberState, Role
 from rhubarbwinch.membership.registration import Registration
 from rhubarbwinch.programs.config import Settings
@@ -84,21 +84,21 @@
             settings.peers,
             self.registration.holds_lease,
         )
-        self.follower = Follower(
+        self.config = ConfigReplica(
             self.store,
             self.clock,
             self.members,
             Distribution(self._gossip_links, self.server, self.members, rng),
             settings.peers,
         )
-        self.gossip.on_newer(self.follower.notice)
-        self.follower.on_change(
+        self.gossip.on_newer_generation(self.config.observe_generation)
+        self.config.on_change(
             lambda snapshot: self.gossip.set_generation(snapshot.generation)
         )
         self.leaving = LeavingVms(self.gossip, self.clock)
-        self.follower.on_change(self.leaving.configure)
+        self.config.on_change(self.leaving.configure)
         self.leaving.on_change(self._update_state)
-        self.follower.on_change(
+        self.config.on_change(
             lambda snapshot: self.metrics.gauge(
                 metrics.GENERATION, snapshot.generation
             )
@@ -115,19 +115,19 @@
 
     def serve_http(self, app: App, tls: TlsFiles | None = None) -> None:
         """Adds the HTTP interface with the probes; call it before `run`."""
-        Probes(self.follower, self.drain).add_to(app)
+        Probes(self.config, self.drain).add_to(app)
         if self._is_embedded:
             return
-        config = Config()
-        config.bind = [self.settings.http]
-        config.accesslog = None
-        config.errorlog = None
-        config.h11_max_incomplete_size = MAX_HEADER_BYTES
-        config.keep_alive_timeout = 75
+        server_config = Config()
+        server_config.bind = [self.settings.http]
+        server_config.accesslog = None
+        server_config.errorlog = None
+        server_config.h11_max_incomplete_size = MAX_HEADER_BYTES
+        server_config.keep_alive_timeout = 75
         if tls is not None:
-            tls.apply_to(config)
+            tls.apply_to(server_config)
 
-        server = HttpServer(app, config)
+        server = HttpServer(app, server_config)
         self._http_closed = anyio.Event()
 
         async def run() -> None:
@@ -148,7 +148,7 @@
         self.add("gossip", self.gossip.run)
         self.add("leaving", self.leaving.run)
         self.add("registration", self.registration.run)
-        self.add("follower", self.follower.run)
+        self.add("follower", self.config.run)
         try:
             async with anyio.create_task_group() as tasks:
                 if not self._is_embedded:
@@ -204,7 +204,7 @@
             self.drain.limit.set()
             await self.clock.sleep(FINAL_EVENTS_WAIT_MS)
         self._shutdown.set()
-        await self.gossip.announce_end()
+        await self.gossip.announce_shutdown()
         with anyio.move_on_after(CLOSE_TIMEOUT_S):
             await self._http_closed.wait()
 
@@ -221,4 +221,4 @@
             return
         self.members.set_state(state)
         self.gossip.announce()
-        self.registration.hurry()
+        self.registration.renew_now()
--- a/rhubarbwinch/programs/entry.py
+++ b/rhubarbwinch/programs/entry.py
@@ -173,7 +173,7 @@
                 self._other_entries()
             )
             raise Refused(not_run(Reason.DRAINING, detail, RETRY_AFTER_MS))
-        snapshot = self._daemon.follower.snapshot
+        snapshot = self._daemon.config.snapshot
         account = self._keys.account_of(request.api_key, snapshot)
         if account is None:
             raise Refused(not_run(Reason.UNAUTHENTICATED, "unknown API key"))
@@ -201,7 +201,7 @@
         self, request: Request, responder: Responder
     ) -> None:
         account = self._authenticate(request)
-        snapshot = self._daemon.follower.snapshot
+        snapshot = self._daemon.config.snapshot
         self._open_count += 1
         try:
             last_event_id = request.headers.get("last-event-id")
@@ -232,7 +232,7 @@
 
     async def _forward(self, request: Request, responder: Responder) -> None:
         account = self._authenticate(request)
-        snapshot = self._daemon.follower.snapshot
+        snapshot = self._daemon.config.snapshot
         self._open_count += 1
         try:
             await self._plain_services.serve(
@@ -245,7 +245,7 @@
         self, request: Request, responder: Responder
     ) -> None:
         """Lists the entries, in an order that depends on the account."""
-        snapshot = self._daemon.follower.snapshot
+        snapshot = self._daemon.config.snapshot
         account = self._keys.account_of(request.api_key, snapshot) or ""
         entries = {m.name: m for m in self._daemon.members.serving(Role.ENTRY)}
         order = rendezvous.ranking(account, entries)
@@ -265,5 +265,5 @@
     ) -> None:
         """Lists the account's generation services in OpenAI's format."""
         account = self._authenticate(request)
-        snapshot = self._daemon.follower.snapshot
+        snapshot = self._daemon.config.snapshot
         await responder.json(models.model_list(account, snapshot))
--- a/rhubarbwinch/programs/probes.py
+++ b/rhubarbwinch/programs/probes.py
@@ -6,7 +6,7 @@
 import attrs
 import orjson
 
-from rhubarbwinch.configuration.follower import Follower
+from rhubarbwinch.configuration.configreplica import ConfigReplica
 from rhubarbwinch.http.httpapi import App, Request, Responder
 
 
@@ -30,12 +30,12 @@
     """`GET /healthz` and `GET /readyz`.
 
     Args:
-        follower: A program without a configuration is not ready.
+        config: A program without a configuration is not ready.
         drain: A program that is draining is not ready.
     """
 
-    def __init__(self, follower: Follower, drain: DrainState) -> None:
-        self._follower = follower
+    def __init__(self, config: ConfigReplica, drain: DrainState) -> None:
+        self._config = config
         self._drain = drain
 
     def add_to(self, app: App) -> None:
@@ -47,7 +47,7 @@
         await responder.json(b'{"alive":true}')
 
     async def _readyz(self, _: Request, responder: Responder) -> None:
-        generation = self._follower.snapshot.generation
+        generation = self._config.snapshot.generation
         ready = generation > 0 and not self._drain.started
         data = {"ready": ready, "generation": generation}
         await responder.json(orjson.dumps(data), 200 if ready else 503)
--- a/tests/claims/test_quarantine.py
+++ b/tests/claims/test_quarantine.py
@@ -28,10 +28,10 @@
         self.handler = None
         self.quarantine = Quarantine(cluster.store, self, cluster.clock, 0)
 
-    def on(self, kind, handler):
+    def on_update(self, kind, handler):
         self.handler = handler
 
-    def share(self, kind, key, data):
+    def broadcast(self, kind, key, data):
         self._cluster.updates.append((self, key, data))
 
 
--- a/tests/configuration/test_distribution.py
+++ b/tests/configuration/test_distribution.py
@@ -62,7 +62,7 @@
             self.drops += snapshot.generation < highest
             highest = max(highest, snapshot.generation)
 
-        node.follower.on_change(see)
+        node.config.on_change(see)
 
     def add_line(self, line):
         self.lines.append(line)
@@ -96,7 +96,7 @@
         self.add_line(f"{ms} ms later: {self.generations()}")
 
     def generation(self, name):
-        return self.fleet.nodes[name].follower.head.generation
+        return self.fleet.nodes[name].config.head.generation
 
     def generations(self):
         distribution = [
@@ -105,7 +105,7 @@
         return " ".join(map(str, distribution))
 
     def weight(self, name="entry-0", account="acme"):
-        snapshot = self.fleet.nodes[name].follower.snapshot
+        snapshot = self.fleet.nodes[name].config.snapshot
         distribution = snapshot.accounts.get(account)
         return distribution.weight if distribution else None
 
@@ -258,7 +258,7 @@
                 except StoreError as error:
                     scenario.add_line(f"lost: {error}")
             await scenario.wait_for_generation(4)
-            names = sorted(nodes["entry-0"].follower.snapshot.accounts)
+            names = sorted(nodes["entry-0"].config.snapshot.accounts)
             scenario.add_line(f"accounts {' '.join(names)}")
 
         await self._run("config-race", "Races", play_scenario)
@@ -318,7 +318,7 @@
                 name
                 for name, node in scenario.fleet.nodes.items()
                 if node.members.me.role is Role.CONTROL
-                and node.publishing.is_elected
+                and node.publisher_loop.is_elected
             ]
             scenario.fleet.kill(chosen[0])
             scenario.add("entry-new")
@@ -346,7 +346,7 @@
             two = Record("account", "two", 2, {"room": {"requests": 8}})
             await scenario.apply(one, two)
             await scenario.wait_for_generation(1)
-            snapshot = scenario.fleet.nodes["entry-0"].follower.snapshot
+            snapshot = scenario.fleet.nodes["entry-0"].config.snapshot
             for name in ("one", "two"):
                 room = snapshot.accounts[name].room.requests
                 scenario.add_line(f"account {name} may have requests: {room}")
@@ -364,13 +364,13 @@
             scenario.add_line("# the old control publishes another change")
             await scenario.apply(builders.account("later"))
             await scenario.wait_for_generation(3)
-            follower = scenario.fleet.nodes["entry-0"].follower
-            chunk = follower.chunk(
-                follower.head.chunks[accepted.slot_of_key("account/future")]
+            config = scenario.fleet.nodes["entry-0"].config
+            chunk = config.chunk(
+                config.head.chunks[accepted.slot_of_key("account/future")]
             )
             kept = [r.raw for r in accepted.unpack_chunk(chunk)]
             scenario.add_line(f"bytes unchanged: {newer in kept}")
-            is_used = "future" in follower.snapshot.accounts
+            is_used = "future" in config.snapshot.accounts
             scenario.add_line(f"an old entry uses it: {is_used}")
 
         await self._run("config-schemas", "Schemas 1, 2 and 3", play_scenario)
--- a/tests/configuration/test_publisher.py
+++ b/tests/configuration/test_publisher.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from rhubarbwinch.configuration.follower import Follower
+from rhubarbwinch.configuration.configreplica import ConfigReplica
 from rhubarbwinch.configuration.publisher import Publisher
 from rhubarbwinch.programs import ctl
 from rhubarbwinch.records import accepted
@@ -23,7 +23,7 @@
         self.store = MemoryStore(ManualClock())
 
     def _publisher(self):
-        return Publisher(self.store, Follower(self.store, ManualClock()))
+        return Publisher(self.store, ConfigReplica(self.store, ManualClock()))
 
     async def _apply(self, *items):
         """Applies records; returns the changes that a watch would yield."""
@@ -66,9 +66,9 @@
         entry = await self.store.get(keys.record("account", "a"))
         await self.store.delete(entry.key, entry.revision)
         await self._publisher().publish_all()
-        follower = Follower(self.store, ManualClock())
-        await follower.read_store()
-        self.assertEqual(set(follower.snapshot.accounts), {"c"})
+        config = ConfigReplica(self.store, ManualClock())
+        await config.read_store()
+        self.assertEqual(set(config.snapshot.accounts), {"c"})
 
     @asynchronous
     async def test_a_paused_publisher_can_not_use_deleted_chunks(
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -7,7 +7,7 @@
 from lab.memberset import MemberSet
 from rhubarbwinch.membership import overlay
 from rhubarbwinch.membership.members import MemberState, Role
-from rhubarbwinch.membership.rumours import Rumour, UpdateBuffer
+from rhubarbwinch.membership.updatebuffer import Rumour, UpdateBuffer
 from tests.helpers import GoldTestCase, asynchronous
 
 
@@ -80,7 +80,7 @@
             fleet.nodes["broker-1"].gossip.announce()
             await recorder.wait(1000)
             recorder.tasks.start_soon(
-                fleet.nodes["broker-1"].gossip.announce_end
+                fleet.nodes["broker-1"].gossip.announce_shutdown
             )
             await fleet.clock.advance(20)
             fleet.kill("broker-1")
@@ -132,13 +132,13 @@
             await fleet.clock.advance(3000)
             received = []
             for name, node in fleet.nodes.items():
-                node.gossip.on("strike", _make_collector(received, name))
+                node.gossip.on_update("strike", _make_collector(received, name))
             origin = fleet.nodes["broker-0"].gossip
-            origin.share("strike", "f1", b"1")
+            origin.broadcast("strike", "f1", b"1")
             await fleet.clock.advance(100)
             quick = len(received)
             fleet.network.cut.add("broker-7")
-            origin.share("strike", "f2", b"2")
+            origin.broadcast("strike", "f2", b"2")
             await fleet.clock.advance(2000)
             fleet.network.cut.discard("broker-7")
             await fleet.clock.advance(3000)
@@ -152,7 +152,7 @@
     def test_a_too_long_update_is_refused(self):
         fleet = MemberSet(None)
         with self.assertRaises(ValueError):
-            _lone_gossip(fleet).share("strike", "f", bytes(513))
+            _lone_gossip(fleet).broadcast("strike", "f", bytes(513))
 
     def test_the_updates_in_a_message_stay_within_the_byte_limit(self):
         updates = UpdateBuffer()
--- a/tests/membership/test_leaving.py
+++ b/tests/membership/test_leavingvms.py
@@ -66,9 +66,9 @@
             Metrics("", Role.BROKER),
             options=Options(placement="least-outstanding"),
         )
-        node.follower.on_change(keeper.configure)
+        node.config.on_change(keeper.configure)
         node.leaving.on_change(
-            lambda: keeper.mark_leaving(node.leaving.endpoints_of)
+            lambda: keeper.mark_leaving(node.leaving.leaving_endpoints)
         )
         self.tasks.start_soon(self._request_permits, name, keeper)
 
@@ -113,7 +113,7 @@
     return [builders.model(), builders.pool("vintner", endpoints)]
 
 
-class LeavingTest(GoldTestCase):
+class LeavingVmsTest(GoldTestCase):
     """Endpoints on leaving VMs."""
 
     @asynchronous
--- a/tests/membership/test_ownership.py
+++ b/tests/membership/test_poolownership.py
@@ -15,7 +15,7 @@
     StreamEnd,
 )
 from rhubarbwinch.membership.members import Role
-from rhubarbwinch.membership.ownership import Ownership
+from rhubarbwinch.membership.poolownership import PoolOwnership
 from rhubarbwinch.programs import ctl
 from rhubarbwinch.programs.broker import PoolKeeper
 from rhubarbwinch.shared.metrics import Metrics
@@ -33,9 +33,9 @@
         fleet.clock,
         random.Random(1),
         Metrics("", Role.BROKER),
-        Ownership(node.members, fleet.clock),
+        PoolOwnership(node.members, fleet.clock),
     )
-    node.follower.on_change(keeper.configure)
+    node.config.on_change(keeper.configure)
     node.links.on(PermitRequest, keeper.answer)
     node.links.on(PermitRelease, keeper.release)
     node.links.on(ProgressReport, keeper.report_progress)
