--- a/lab/bench_loads.py
+++ b/lab/bench_loads.py
@@ -14,7 +14,7 @@
 import orjson
 
 from lab.processes import Processes, free_address, wait_until
-from rhubarbwinch.endpoints.endpoints import EndpointClient
+from rhubarbwinch.endpoints.endpointclient import EndpointClient
 
 SILENCE_MS = 1000
 READERS = 8
--- a/lab/seeded/endpoints.py
+++ b/lab/seeded/endpoints.py
@@ -10,7 +10,7 @@
 import orjson
 
 from lab.seeded.log import Journal, Run
-from rhubarbwinch.endpoints.endpoints import EndpointClient
+from rhubarbwinch.endpoints.endpointclient import EndpointClient
 from rhubarbwinch.endpoints.relay import EventStream
 from rhubarbwinch.http.sse import DONE, StreamEvent
 from rhubarbwinch.shared.clock import Clock
--- a/rhubarbwinch/callers/generate.py
+++ b/rhubarbwinch/callers/generate.py
@@ -11,8 +11,8 @@
 from rhubarbwinch.callers.calls import GenerationCall, send_json_response
 from rhubarbwinch.callers.runguard import NoGuard, RunGuard
 from rhubarbwinch.callers.streams import OpenStream, OpenStreams
-from rhubarbwinch.endpoints.endpoints import EndpointClient
-from rhubarbwinch.endpoints.relay import Position, Relay
+from rhubarbwinch.endpoints.endpointclient import EndpointClient
+from rhubarbwinch.endpoints.relay import StreamPosition, Relay
 from rhubarbwinch.endpoints.retries import Backoff, RetryBudget
 from rhubarbwinch.http.httpapi import Refused, Responder
 from rhubarbwinch.http.sse import join
@@ -91,7 +91,7 @@
         guard = guard or NoGuard()
         avoid: list[str] = []
         earlier_error: EndpointError | None = None
-        self._budget.add_request(call.account)
+        self._budget.record_request(call.account)
         while True:
             try:
                 permit = await self._acquire_permit(call, snapshot, avoid)
@@ -114,14 +114,14 @@
             events.REQUEST_RETRIED.log(
                 endpoint=avoid[-1], error=str(earlier_error)
             )
-            await self._clock.sleep(self._backoff.wait_ms(len(avoid)))
+            await self._clock.sleep(self._backoff.delay_ms(len(avoid)))
 
     def _claim_retry(
         self, call: GenerationCall, attempts: int, responder: Responder
     ) -> bool:
         if responder.started or attempts >= MAX_ATTEMPTS:
             return False
-        if self._budget.take_retry(call.account):
+        if self._budget.acquire_retry(call.account):
             return True
         events.RETRY_BUDGET_SPENT.log(account=call.account)
         return False
@@ -148,7 +148,7 @@
         """
         generation = after.generation
         self.check_owner(account, generation)
-        position = Position(generation, after.index + 1)
+        position = StreamPosition(generation, after.index + 1)
         permit = permit or self._reconstruct_permit(
             account, generation, snapshot
         )
@@ -237,7 +237,7 @@
     ) -> None:
         grant = permit.grant
         generation = identity.generation_id(grant.request_id, grant.endpoint)
-        position = Position(generation)
+        position = StreamPosition(generation)
         relay = Relay(
             position,
             lambda _: self._endpoints.start(
--- a/rhubarbwinch/callers/guarded.py
+++ b/rhubarbwinch/callers/guarded.py
@@ -7,7 +7,7 @@
 from rhubarbwinch.claims.claims import Claims
 from rhubarbwinch.claims.quarantine import Quarantine
 from rhubarbwinch.claims.repeatable import replay
-from rhubarbwinch.endpoints.endpoints import EndpointClient
+from rhubarbwinch.endpoints.endpointclient import EndpointClient
 from rhubarbwinch.http.httpapi import Responder
 from rhubarbwinch.records.accepted import Snapshot
 
--- a/rhubarbwinch/callers/plain.py
+++ b/rhubarbwinch/callers/plain.py
@@ -11,7 +11,7 @@
 from rhubarbwinch.claims.claimkeys import ClaimKey
 from rhubarbwinch.claims.claims import Claim, Claims, make_outcome
 from rhubarbwinch.claims.repeatable import claim_key, replay
-from rhubarbwinch.endpoints.endpoints import EndpointClient
+from rhubarbwinch.endpoints.endpointclient import EndpointClient
 from rhubarbwinch.http.httpapi import Refused, Request, Responder
 from rhubarbwinch.links.messages import PermitRequest, StreamEnd
 from rhubarbwinch.records.accepted import Snapshot
--- a/rhubarbwinch/callers/runguard.py
+++ b/rhubarbwinch/callers/runguard.py
@@ -12,7 +12,7 @@
 from rhubarbwinch.claims.claimpages import Outcome
 from rhubarbwinch.claims.claims import Claim, Claims, make_outcome
 from rhubarbwinch.claims.quarantine import Quarantine, Suspect
-from rhubarbwinch.endpoints.endpoints import EndpointClient
+from rhubarbwinch.endpoints.endpointclient import EndpointClient
 from rhubarbwinch.http.httpapi import Refused
 from rhubarbwinch.links.messages import StreamEnd
 from rhubarbwinch.shared import identity
--- a/rhubarbwinch/callers/streams.py
+++ b/rhubarbwinch/callers/streams.py
@@ -10,9 +10,9 @@
 import attrs
 
 from rhubarbwinch.admission.permits import Permit, PermitClient
-from rhubarbwinch.endpoints.endpoints import EndpointClient
+from rhubarbwinch.endpoints.endpointclient import EndpointClient
 from rhubarbwinch.endpoints.metering import Meter
-from rhubarbwinch.endpoints.relay import Position
+from rhubarbwinch.endpoints.relay import StreamPosition
 from rhubarbwinch.links.messages import (
     PriorityChange,
     StreamEnd,
@@ -38,7 +38,7 @@
     """
 
     permit: Permit
-    position: Position
+    position: StreamPosition
     ends_at_ms: int | None = None
 
 
@@ -84,7 +84,7 @@
         """The number of generations whose caller has disconnected."""
         return sum(s.ends_at_ms is not None for s in self._streams.values())
 
-    def add(self, permit: Permit, position: Position) -> OpenStream:
+    def add(self, permit: Permit, position: StreamPosition) -> OpenStream:
         """Adds a generation that this entry holds from now on."""
         stream = OpenStream(permit, position)
         self._streams[position.generation] = stream
@@ -148,7 +148,7 @@
         A generation of which the caller received no event is ended at once.
         """
         position = stream.position
-        if position.passed == 0:
+        if position.relayed == 0:
             # Without an event's id the caller can't resume the stream.
             await self.close(stream, StreamEnd.CANCELLED)
             return
--- a/rhubarbwinch/claims/audit.py
+++ b/rhubarbwinch/claims/audit.py
@@ -13,11 +13,11 @@
 from rhubarbwinch.claims import claimkeys
 from rhubarbwinch.claims.claimpages import ClaimRecord, ClaimState, Page
 from rhubarbwinch.endpoints.metering import (
-    PERIOD_MS,
+    METER_PERIOD_MS,
     GenerationMark,
     MeterCount,
     MeterDocument,
-    origin_of,
+    parse_generation_id,
 )
 from rhubarbwinch.shared import codec
 from rhubarbwinch.shared.exceptions import SettingError
@@ -93,7 +93,7 @@
         if value.tzinfo is None:
             value = value.replace(tzinfo=datetime.UTC)
         ms = int(value.timestamp() * 1000)
-        if ms % PERIOD_MS:
+        if ms % METER_PERIOD_MS:
             raise SettingError(name, text, "a whole hour")
         times.append(ms)
     if times[1] <= times[0]:
@@ -120,8 +120,8 @@
 
 async def list_tokens(store: Store, period: Period) -> list[PaidTokens]:
     """Returns the period's tokens, summed by account and service."""
-    first = period.start_ms // PERIOD_MS
-    after = period.end_ms // PERIOD_MS
+    first = period.start_ms // METER_PERIOD_MS
+    after = period.end_ms // METER_PERIOD_MS
     documents: dict[int, list[MeterDocument]] = {}
     for number in range(first - MARGIN_PERIODS, after + MARGIN_PERIODS):
         listing = await store.scan(keys.meter_period(number))
@@ -191,10 +191,10 @@
             )
             for mark in document.marks:
                 marks.setdefault(mark.generation, []).append((number, mark))
-                if origin_of(mark.generation)[0] == document.incarnation:
+                if parse_generation_id(mark.generation)[0] == document.incarnation:
                     marked_at_origin.add(mark.generation)
     for generation, period_marks in marks.items():
-        origin, counter = origin_of(generation)
+        origin, counter = parse_generation_id(generation)
         ended_at_origin = (
             generation not in marked_at_origin
             and counter <= last_numbers.get(origin, 0)
--- a/rhubarbwinch/endpoints/metering.py
+++ b/rhubarbwinch/endpoints/metering.py
@@ -10,14 +10,14 @@
 import anyio
 import attrs
 
-from rhubarbwinch.endpoints.relay import Position
+from rhubarbwinch.endpoints.relay import StreamPosition
 from rhubarbwinch.shared import codec, events
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import StoreError, StoreUncertain
 from rhubarbwinch.stores import keys
 from rhubarbwinch.stores.store import Store, delete_prefix
 
-PERIOD_MS = 3_600_000
+METER_PERIOD_MS = 3_600_000
 MAX_INTERRUPTED_STREAMS = 5_000
 MAX_CLEANED_PERIODS = 48
 FINAL_FLUSH_TIMEOUT_S = 1.0
@@ -81,7 +81,7 @@
 class _OpenStream:
     """A stream that is being relayed."""
 
-    position: Position
+    position: StreamPosition
     account: str
     service: str
 
@@ -95,7 +95,7 @@
         )
 
 
-def origin_of(generation: str) -> tuple[str, int]:
+def parse_generation_id(generation: str) -> tuple[str, int]:
     """Returns the incarnation and number in a generation id."""
     incarnation, number, _ = generation.split("-", 2)
     return incarnation, int(number, 16)
@@ -125,7 +125,7 @@
         self._entry = entry
         self._incarnation = incarnation
         self._flush_ms = flush_ms
-        self._period = clock.wall() // PERIOD_MS
+        self._period = clock.wall() // METER_PERIOD_MS
         self._last_number = 0
         self._counts: dict[tuple[str, str], MeterCount] = {}
         self._open: dict[str, _OpenStream] = {}
@@ -133,10 +133,10 @@
         self._last_written = self._encode_document(include_open=False)
         self._revision: int | None = None
 
-    def start(self, position: Position, account: str, service: str) -> None:
+    def start(self, position: StreamPosition, account: str, service: str) -> None:
         """Starts counting a stream; its position is read at each write."""
         generation = position.generation
-        origin, number = origin_of(generation)
+        origin, number = parse_generation_id(generation)
         if origin == f"{self._incarnation:x}":
             self._last_number = max(self._last_number, number)
         self._interrupted.pop(generation, None)
@@ -153,7 +153,7 @@
         if stream is None:
             return
         mark = stream.mark()
-        started_here = origin_of(generation)[0] == f"{self._incarnation:x}"
+        started_here = parse_generation_id(generation)[0] == f"{self._incarnation:x}"
         if (finished and started_here) or len(
             self._interrupted
         ) >= MAX_INTERRUPTED_STREAMS:
@@ -173,7 +173,7 @@
 
     async def flush(self) -> None:
         """Writes the totals; after a store error the next call writes them."""
-        now = self._clock.wall() // PERIOD_MS
+        now = self._clock.wall() // METER_PERIOD_MS
         try:
             if now > self._period:
                 # The open streams are removed from the old period before they
@@ -244,7 +244,7 @@
     async def run(self) -> None:
         """Deletes expired counters once per period until cancelled."""
         while True:
-            await self._clock.sleep(PERIOD_MS)
+            await self._clock.sleep(METER_PERIOD_MS)
             try:
                 await self.step()
             except StoreError as error:
@@ -252,6 +252,6 @@
 
     async def step(self) -> None:
         """Deletes the periods that ended before the retention time."""
-        end = (self._clock.wall() - self._retention_ms) // PERIOD_MS
+        end = (self._clock.wall() - self._retention_ms) // METER_PERIOD_MS
         for period in range(end - MAX_CLEANED_PERIODS, end):
             await delete_prefix(self._store, keys.meter_period(period))
--- a/rhubarbwinch/endpoints/relay.py
+++ b/rhubarbwinch/endpoints/relay.py
@@ -26,13 +26,13 @@
 
 
 @attrs.define
-class Position:
+class StreamPosition:
     """How far a stream has been relayed.
 
     Attributes:
         generation: The generation's id; events of others are refused.
         next_index: The index of the next event.
-        passed: The number of events relayed by this entry, without those
+        relayed: The number of events relayed by this entry, without those
             relayed by another entry.
         finished: Whether the last token has been received.
         resumes: How often the stream was opened again.
@@ -41,7 +41,7 @@
 
     generation: str
     next_index: int = 0
-    passed: int = 0
+    relayed: int = 0
     finished: bool = False
     resumes: int = 0
     duplicates: int = 0
@@ -53,7 +53,7 @@
         A stream that another entry began is opened one event early: that
         event shows whether the caller already has the last token.
         """
-        return self.next_index if self.passed else max(0, self.next_index - 1)
+        return self.next_index if self.relayed else max(0, self.next_index - 1)
 
     @property
     def next_first_line(self) -> bytes:
@@ -74,7 +74,7 @@
 
     def __init__(
         self,
-        position: Position,
+        position: StreamPosition,
         start: StreamOpener,
         resume: StreamOpener,
         clock: Clock,
@@ -90,7 +90,7 @@
         self._failures = 0
 
     @property
-    def position(self) -> Position:
+    def position(self) -> StreamPosition:
         """How far the stream has been relayed."""
         return self._position
 
@@ -168,10 +168,10 @@
             error=str(error),
         )
         if self._failures > 1:
-            await self._clock.sleep(self._backoff.wait_ms(self._failures - 1))
+            await self._clock.sleep(self._backoff.delay_ms(self._failures - 1))
 
 
-def _is_next(position: Position, event: StreamEvent) -> bool:
+def _is_next(position: StreamPosition, event: StreamEvent) -> bool:
     """Returns whether an event is the next one; False if it is to be dropped.
 
     Raises:
@@ -181,7 +181,7 @@
     """
     if event.raw.startswith(position.next_first_line):
         position.next_index += 1
-        position.passed += 1
+        position.relayed += 1
         if event.is_last_token:
             position.finished = True
         return True
@@ -192,7 +192,7 @@
     return _check_other_event(position, event)
 
 
-def _check_other_event(position: Position, event: StreamEvent) -> bool:
+def _check_other_event(position: StreamPosition, event: StreamEvent) -> bool:
     """Does the work of `_is_next` for an event with another first line."""
     if event.is_comment:
         return False
@@ -207,7 +207,7 @@
         # The id is the expected one in another spelling, such as without the
         # space.
         position.next_index += 1
-        position.passed += 1
+        position.relayed += 1
         position.finished = position.finished or event.is_last_token
         return True
     position.duplicates += 1
--- a/rhubarbwinch/endpoints/retries.py
+++ b/rhubarbwinch/endpoints/retries.py
@@ -20,7 +20,7 @@
     first_ms: int = 50
     max_ms: int = 2000
 
-    def wait_ms(self, failures: int) -> int:
+    def delay_ms(self, failures: int) -> int:
         """Returns the delay in ms after `failures` failures, at least 1."""
         longest = min(self.max_ms, self.first_ms * 2 ** (failures - 1))
         return self.rng.randint(longest // 2, longest)
@@ -29,16 +29,16 @@
 class RetryBudget(Protocol):
     """Limits the retries of each client account."""
 
-    def add_request(self, account: str) -> None:
+    def record_request(self, account: str) -> None:
         """Counts a first attempt, which adds to the budget."""
         ...
 
-    def take_retry(self, account: str) -> bool:
+    def acquire_retry(self, account: str) -> bool:
         """Takes one retry from the budget; returns False if it is empty."""
         ...
 
 
-class RatioBudget:
+class RatioRetryBudget:
     """A retry budget that grows with the requests of an account.
 
     Args:
@@ -51,12 +51,12 @@
         self._burst = burst
         self._saved: dict[str, float] = {}
 
-    def add_request(self, account: str) -> None:
+    def record_request(self, account: str) -> None:
         """Counts a first attempt, which adds to the budget."""
         saved = self._saved.get(account, self._burst) + self._ratio
         self._saved[account] = min(self._burst, saved)
 
-    def take_retry(self, account: str) -> bool:
+    def acquire_retry(self, account: str) -> bool:
         """Takes one retry from the budget; returns False if it is empty."""
         saved = self._saved.get(account, self._burst)
         if saved < 1:
--- a/rhubarbwinch/orders/placementplan.py
+++ b/rhubarbwinch/orders/desiredstate.py
@@ -29,7 +29,7 @@
 
 
 @attrs.frozen
-class EndpointState:
+class LoadedState:
     """The models and adapters that an endpoint has loaded, and its role.
 
     Attributes:
@@ -55,7 +55,7 @@
 
 
 def orders_to_reach(
-    desired: EndpointState, actual: EndpointState
+    desired: LoadedState, actual: LoadedState
 ) -> list[Order]:
     """Returns the orders that lead from the actual to the desired state.
 
--- a/rhubarbwinch/orders/orders.py
+++ b/rhubarbwinch/orders/reconciler.py
@@ -12,8 +12,8 @@
 import orjson
 
 from rhubarbwinch.orders.fencing import Fencing, HoldState
-from rhubarbwinch.orders.placementplan import (
-    EndpointState,
+from rhubarbwinch.orders.desiredstate import (
+    LoadedState,
     Order,
     OrderKind,
     desired_loads,
@@ -30,7 +30,7 @@
 class OrderClient(Protocol):
     """Sends orders to endpoints of one type; every call has a timeout."""
 
-    async def read_state(self, address: str) -> EndpointState:
+    async def read_state(self, address: str) -> LoadedState:
         """Returns an endpoint's actual state.
 
         Raises:
@@ -92,12 +92,12 @@
         self._flight_s = flight_ms / 1000
         self._client = httpx.AsyncClient(transport=transport)
 
-    async def read_state(self, address: str) -> EndpointState:
+    async def read_state(self, address: str) -> LoadedState:
         """Returns an endpoint's actual state."""
         response = await self._request("GET", f"http://{address}/state", b"")
         try:
             data = orjson.loads(response.content)
-            return EndpointState(frozenset(data["loaded"]), str(data["role"]))
+            return LoadedState(frozenset(data["loaded"]), str(data["role"]))
         except (orjson.JSONDecodeError, KeyError, TypeError) as error:
             raise EndpointError(f"{address}: {error!r}", sent=True) from error
 
@@ -124,7 +124,7 @@
         return response
 
 
-class LoadPacer:
+class LoadRateLimiter:
     """Limits the rate of load orders, since each reads from the weight store.
 
     Args:
@@ -151,14 +151,14 @@
         return True
 
 
-class Orderer:
+class Reconciler:
     """Keeps the endpoints of the held pools in their desired state.
 
     Args:
         name: This member's name.
         fencing: Holds the pools and issues fencing numbers.
         client: Sends orders to endpoints.
-        pacer: Limits the rate of load orders.
+        rate_limiter: Limits the rate of load orders.
         guard: Creates the context around the lease check and the send to an
             endpoint that ignores fencing numbers.
     """
@@ -168,16 +168,16 @@
         name: str,
         fencing: Fencing,
         client: OrderClient,
-        pacer: LoadPacer,
+        rate_limiter: LoadRateLimiter,
         guard: PauseGuard = _no_guard,
     ) -> None:
         self._name = name
         self._fencing = fencing
         self._client = client
-        self._pacer = pacer
+        self._rate_limiter = rate_limiter
         self._guard = guard
 
-    async def keep(self, snapshot: Snapshot, controls: list[str]) -> None:
+    async def renew_and_acquire(self, snapshot: Snapshot, controls: list[str]) -> None:
         """Renews the lease and acquires this member's pools.
 
         While the store is unavailable no pool is acquired, and the held pools
@@ -193,7 +193,7 @@
         except StoreError as error:
             events.STORE_DOWN.log(error=str(error))
 
-    async def converge(self, snapshot: Snapshot, control_count: int) -> None:
+    async def reconcile(self, snapshot: Snapshot, control_count: int) -> None:
         """Sends the orders that the held pools need and the limits allow.
 
         Args:
@@ -208,7 +208,7 @@
             actual_states = await self._read_states(spec.endpoints)
             for endpoint in spec.endpoints:
                 if endpoint.name in actual_states:
-                    desired = EndpointState(loads, endpoint.role)
+                    desired = LoadedState(loads, endpoint.role)
                     orders = orders_to_reach(
                         desired, actual_states[endpoint.name]
                     )
@@ -231,9 +231,9 @@
 
     async def _read_states(
         self, endpoints: list[EndpointSpec]
-    ) -> dict[str, EndpointState]:
+    ) -> dict[str, LoadedState]:
         """Returns the states by endpoint name, without failed endpoints."""
-        actual_states: dict[str, EndpointState] = {}
+        actual_states: dict[str, LoadedState] = {}
 
         async def read(endpoint: EndpointSpec) -> None:
             try:
@@ -272,7 +272,7 @@
         control_count: int,
     ) -> bool:
         is_load = order.kind is OrderKind.LOAD
-        if is_load and not self._pacer.try_acquire(control_count):
+        if is_load and not self._rate_limiter.try_acquire(control_count):
             return False
         ms_left = self._fencing.ms_left
         needs_guard = not endpoint.checks_fencing and ms_left
--- a/rhubarbwinch/programs/broker.py
+++ b/rhubarbwinch/programs/broker.py
@@ -14,7 +14,7 @@
     Options,
 )
 from rhubarbwinch.admission.permits import pool_owner
-from rhubarbwinch.endpoints.endpoints import EndpointClient
+from rhubarbwinch.endpoints.endpointclient import EndpointClient
 from rhubarbwinch.http.httpapi import App
 from rhubarbwinch.links.messages import (
     DigestReply,
--- a/rhubarbwinch/programs/control.py
+++ b/rhubarbwinch/programs/control.py
@@ -8,7 +8,7 @@
 from rhubarbwinch.membership.members import Role
 from rhubarbwinch.membership.vmlist import VM_LISTS, VmListReader
 from rhubarbwinch.orders.fencing import Fencing
-from rhubarbwinch.orders.orders import ENGINE_ADAPTERS, LoadPacer, Orderer
+from rhubarbwinch.orders.reconciler import ENGINE_ADAPTERS, LoadRateLimiter, Reconciler
 from rhubarbwinch.orders.pauseguard import end_if_paused
 from rhubarbwinch.programs.config import ControlSettings
 from rhubarbwinch.programs.daemon import Daemon
@@ -51,11 +51,11 @@
             settings.order_lease_ms,
             settings.order_flight_ms,
         )
-        self._orderer = Orderer(
+        self._reconciler = Reconciler(
             settings.name,
             self._fencing,
             self._engine_client,
-            LoadPacer(self._daemon.clock, settings.loads_per_minute),
+            LoadRateLimiter(self._daemon.clock, settings.loads_per_minute),
             end_if_paused,
         )
 
@@ -83,7 +83,7 @@
         try:
             while True:
                 snapshot = self._daemon.config.snapshot
-                await self._orderer.keep(snapshot, self._control_names)
+                await self._reconciler.renew_and_acquire(snapshot, self._control_names)
                 await self._daemon.clock.sleep(period_ms)
         finally:
             with anyio.CancelScope(shield=True), anyio.move_on_after(1):
@@ -92,5 +92,5 @@
     async def _send_orders(self) -> None:
         while True:
             snapshot = self._daemon.config.snapshot
-            await self._orderer.converge(snapshot, len(self._control_names))
+            await self._reconciler.reconcile(snapshot, len(self._control_names))
             await self._daemon.clock.sleep(ORDER_PERIOD_MS)
--- a/rhubarbwinch/programs/entry.py
+++ b/rhubarbwinch/programs/entry.py
@@ -15,8 +15,8 @@
 from rhubarbwinch.callers.plain import PREFIX, PlainCaller
 from rhubarbwinch.callers.streams import OpenStreams
 from rhubarbwinch.callers.takeover import Takeover
-from rhubarbwinch.endpoints.endpoints import EndpointClient
-from rhubarbwinch.endpoints.retries import RatioBudget
+from rhubarbwinch.endpoints.endpointclient import EndpointClient
+from rhubarbwinch.endpoints.retries import RatioRetryBudget
 from rhubarbwinch.http.httpapi import App, Handler, Refused, Request, Responder
 from rhubarbwinch.links.messages import PriorityChange, StreamTake
 from rhubarbwinch.membership.members import Role
@@ -81,7 +81,7 @@
             ids,
             daemon.clock,
             daemon.metrics,
-            RatioBudget(),
+            RatioRetryBudget(),
             random.Random(daemon.incarnation),
             settings.name,
             settings.data_center,
--- a/tests/callers/test_streams.py
+++ b/tests/callers/test_streams.py
@@ -10,7 +10,7 @@
 from rhubarbwinch.admission.permits import Permit
 from rhubarbwinch.callers.streams import OpenStreams
 from rhubarbwinch.callers.takeover import Takeover
-from rhubarbwinch.endpoints.relay import Position
+from rhubarbwinch.endpoints.relay import StreamPosition
 from rhubarbwinch.links.messages import PermitGrant, PriorityChange, StreamEnd
 from rhubarbwinch.membership.members import Member, MemberNews, Members, Role
 from rhubarbwinch.shared.clock import ManualClock
@@ -69,11 +69,11 @@
             name, Role.ENTRY, "dc-a", "r", incarnation, "127.0.0.1:1", ""
         )
 
-    def open(self, passed=5):
-        """Opens a stream that has relayed `passed` tokens to its caller."""
+    def open(self, relayed=5):
+        """Opens a stream that has relayed `relayed` tokens to its caller."""
         grant = PermitGrant("1-1-tag", "engine-0", "127.0.0.1:2")
         permit = Permit(builders.permit_request("1-1-tag"), grant)
-        position = Position(GENERATION, next_index=passed, passed=passed)
+        position = StreamPosition(GENERATION, next_index=relayed, relayed=relayed)
         return self.streams.add(permit, position)
 
     def takeover(self, other, answers=True):
@@ -156,7 +156,7 @@
         first.recorder.record("still kept")
 
     async def _disconnect_early(self, clock, first, second):
-        await first.streams.keep_for_resume(first.open(passed=0))
+        await first.streams.keep_for_resume(first.open(relayed=0))
         first.recorder.record("without a wait")
 
     async def _resume_here(self, clock, first, second):
@@ -164,7 +164,7 @@
         await first.streams.keep_for_resume(old)
         takeover = first.takeover(second)
         await takeover.acquire_permit(GENERATION, _snapshot())
-        again = first.open(passed=9)
+        again = first.open(relayed=9)
         await clock.advance(2 * GRACE_MS)
         await first.streams.close(old, StreamEnd.CANCELLED)
         first.recorder.record("the resumed stream ends")
--- a/tests/claims/test_audit.py
+++ b/tests/claims/test_audit.py
@@ -3,8 +3,8 @@
 import attrs
 
 from rhubarbwinch.claims import audit
-from rhubarbwinch.endpoints.metering import PERIOD_MS, Meter
-from rhubarbwinch.endpoints.relay import Position
+from rhubarbwinch.endpoints.metering import METER_PERIOD_MS, Meter
+from rhubarbwinch.endpoints.relay import StreamPosition
 from rhubarbwinch.shared.clock import ManualClock
 from rhubarbwinch.shared.exceptions import SettingError
 from rhubarbwinch.stores.memstore import MemoryStore
@@ -32,21 +32,21 @@
     def stream(self, entry, number, tokens, account="acme"):
         """Starts a stream at an entry and relays tokens."""
         generation = f"{0xA0 + entry:x}-{number:x}-tag~engine-0"
-        position = Position(generation, tokens)
+        position = StreamPosition(generation, tokens)
         self.meters[entry].start(position, account, "chat")
         return position
 
     def resume(self, entry, position, tokens):
         """Resumes a stream at another entry."""
-        resumed = Position(position.generation, tokens)
+        resumed = StreamPosition(position.generation, tokens)
         self.meters[entry].start(resumed, "acme", "chat")
         return resumed
 
     async def show(self, title, hours=1, first=0):
         """Appends a line with the totals that the audit lists."""
-        start = 1_700_000_000_000 // PERIOD_MS * PERIOD_MS
-        start += first * PERIOD_MS
-        period = audit.Period(start, start + hours * PERIOD_MS)
+        start = 1_700_000_000_000 // METER_PERIOD_MS * METER_PERIOD_MS
+        start += first * METER_PERIOD_MS
+        period = audit.Period(start, start + hours * METER_PERIOD_MS)
         rows = await audit.list_tokens(self.store, period)
         found = [f"{r.account} {r.generations}/{r.tokens}" for r in rows]
         self.lines.append(f"{title}: {', '.join(found) or 'nothing'}")
@@ -100,7 +100,7 @@
         ledger.stream(0, 5, 6)
         await first.flush()
         await ledger.show("entry-0 died at 6, written")
-        lost = ledger.resume(1, Position("a0-5-tag~engine-0"), 30)
+        lost = ledger.resume(1, StreamPosition("a0-5-tag~engine-0"), 30)
         second.end(lost.generation, finished=True)
         await second.flush()
         await ledger.show("resumed elsewhere to 30")
@@ -111,7 +111,7 @@
         ledger.stream(1, 1, 40)
         await second.flush()
         await ledger.show("open at 40")
-        await ledger.clock.advance(PERIOD_MS)
+        await ledger.clock.advance(METER_PERIOD_MS)
         ledger.stream(1, 1, 44)
         await second.flush()
         second.end("a1-1-tag~engine-0", finished=True)
@@ -123,7 +123,7 @@
 
     def test_a_period_must_be_whole_hours(self):
         found = audit.parse_period("2026-12-03T14", "2026-12-03T16:00+00:00")
-        self.assertEqual(found.end_ms - found.start_ms, 2 * PERIOD_MS)
+        self.assertEqual(found.end_ms - found.start_ms, 2 * METER_PERIOD_MS)
         for end in ("2026-12-03T14", "2026-12-03T14:30", "soon"):
             with self.assertRaises(SettingError):
                 audit.parse_period("2026-12-03T14", end)
--- a/tests/claimworld.py
+++ b/tests/claimworld.py
@@ -16,7 +16,7 @@
 from rhubarbwinch.claims.claimowners import Standing
 from rhubarbwinch.claims.claimpages import ClaimPages
 from rhubarbwinch.claims.claims import Claims
-from rhubarbwinch.endpoints.metering import PERIOD_MS
+from rhubarbwinch.endpoints.metering import METER_PERIOD_MS
 from rhubarbwinch.http.httpapi import Refused, Request, Responder
 from rhubarbwinch.links.messages import ClaimQuestion, PermitGrant
 from rhubarbwinch.records.accepted import make_snapshot
@@ -325,7 +325,7 @@
         for page in (await self.store.scan(keys.CLAIMS)).entries:
             states += await claim_states(page)
         self.note(f"store has {', '.join(sorted(states)) or 'no claim'}")
-        hour = PERIOD_MS
+        hour = METER_PERIOD_MS
         start = self.clock.wall() // hour * hour
         period = Period(start - 25 * hour, start + 2 * hour)
         calls = await list_calls(self.store, period)
--- a/tests/endpoints/test_endpoints.py
+++ b/tests/endpoints/test_endpointclient.py
@@ -5,7 +5,7 @@
 import anyio
 import httpx
 
-from rhubarbwinch.endpoints.endpoints import EndpointClient
+from rhubarbwinch.endpoints.endpointclient import EndpointClient
 
 SILENCE_MS = 1_000
 
--- a/tests/endpoints/test_relay.py
+++ b/tests/endpoints/test_relay.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from rhubarbwinch.endpoints.relay import Position, Relay
+from rhubarbwinch.endpoints.relay import StreamPosition, Relay
 from rhubarbwinch.endpoints.retries import Backoff
 from rhubarbwinch.http.sse import Splitter, join
 from rhubarbwinch.shared.clock import ManualClock
@@ -166,7 +166,7 @@
 async def _play(first, openings):
     """Runs a relay and returns a text record of its events."""
     engine = ScriptedEngine(*openings)
-    position = Position(GENERATION, first)
+    position = StreamPosition(GENERATION, first)
     clock = ManualClock()
     start = engine.resume if first else engine.start
     backoff = Backoff(random.Random(1))
--- a/tests/orders/test_orders.py
+++ b/tests/orders/test_reconciler.py
@@ -4,8 +4,8 @@
 
 from lab.standins.orders import OrderBoard
 from rhubarbwinch.orders.fencing import Fencing, HoldState
-from rhubarbwinch.orders.orders import LoadPacer, Orderer
-from rhubarbwinch.orders.placementplan import EndpointState
+from rhubarbwinch.orders.reconciler import LoadRateLimiter, Reconciler
+from rhubarbwinch.orders.desiredstate import LoadedState
 from rhubarbwinch.records import accepted
 from rhubarbwinch.shared import rendezvous
 from rhubarbwinch.shared.clock import ManualClock
@@ -36,7 +36,7 @@
 
     async def read_state(self, address):
         state = self.boards[address].state()
-        return EndpointState(frozenset(state["loaded"]), state["role"])
+        return LoadedState(frozenset(state["loaded"]), state["role"])
 
     async def send(self, address, order, fence):
         if address in self.before_arrival:
@@ -68,17 +68,17 @@
             "127.0.0.1:2": OrderBoard(checks_fencing=False),
         }
         self.engines = {}
-        self.orderers = {}
+        self.reconcilers = {}
         self.fencings = {}
         for number, name in enumerate(("a", "b"), 1):
             fencing = Fencing(
                 self.store, self.clock, name, number, LEASE_MS, FLIGHT_MS
             )
             engines = FakeOrderClient(self.boards, self.lines)
-            pacer = LoadPacer(self.clock, 1_000_000)
+            rate_limiter = LoadRateLimiter(self.clock, 1_000_000)
             self.fencings[name] = fencing
             self.engines[name] = engines
-            self.orderers[name] = Orderer(name, fencing, engines, pacer)
+            self.reconcilers[name] = Reconciler(name, fencing, engines, rate_limiter)
         self.version = "1"
 
     def snapshot(self):
@@ -99,8 +99,8 @@
         title = f"# {self.clock.now()} ms: {name}"
         self.lines.append(title)
         snapshot = self.snapshot()
-        await self.orderers[name].keep(snapshot, controls or [name])
-        await self.orderers[name].converge(snapshot, control_count=1)
+        await self.reconcilers[name].renew_and_acquire(snapshot, controls or [name])
+        await self.reconcilers[name].reconcile(snapshot, control_count=1)
         if self.lines[-1] == title:
             # A round without orders is left out of the record.
             self.lines.pop()
@@ -121,7 +121,7 @@
         return found
 
 
-class OrdersTest(GoldTestCase):
+class ReconcilerTest(GoldTestCase):
     """Two controls and two types of engines, compared with gold files."""
 
     @asynchronous
@@ -264,12 +264,12 @@
 
     def test_loads_are_spaced_by_the_rate_and_shared_among_controls(self):
         clock = ManualClock()
-        pacer = LoadPacer(clock, loads_per_minute=60)
-        self.assertTrue(pacer.try_acquire(control_count=2))
+        rate_limiter = LoadRateLimiter(clock, loads_per_minute=60)
+        self.assertTrue(rate_limiter.try_acquire(control_count=2))
         clock.set(1999)
-        self.assertFalse(pacer.try_acquire(control_count=2))
+        self.assertFalse(rate_limiter.try_acquire(control_count=2))
         clock.set(2000)
-        self.assertTrue(pacer.try_acquire(control_count=2))
+        self.assertTrue(rate_limiter.try_acquire(control_count=2))
 
 
 def _text(scenario):
