--- a/lab/bench_claims.py
+++ b/lab/bench_claims.py
@@ -26,7 +26,7 @@
 from rhubarbwinch.shared import codec
 from rhubarbwinch.shared.clock import SystemClock
 from rhubarbwinch.stores.memstore import MemoryStore
-from rhubarbwinch.stores.store import Entry, Swap
+from rhubarbwinch.stores.store import KeyValue, SwapResult
 
 T = TypeVar("T")
 
@@ -45,14 +45,14 @@
         super().__init__(clock)
         self._delay_s = delay_ms / 1000
 
-    async def get(self, key: str) -> Entry | None:
+    async def get(self, key: str) -> KeyValue | None:
         """Returns the entry of `key`, or None."""
         await anyio.sleep(self._delay_s)
         return await super().get(key)
 
     async def swap(
         self, key: str, expected: int, value: bytes, lease: int = 0
-    ) -> Swap:
+    ) -> SwapResult:
         """Writes `value` if the key's revision is `expected`."""
         await anyio.sleep(self._delay_s / 2)
         swap = await super().swap(key, expected, value, lease)
--- a/lab/bench_config.py
+++ b/lab/bench_config.py
@@ -13,8 +13,8 @@
 import attrs
 import orjson
 
-from rhubarbwinch.records import accepted
-from rhubarbwinch.records.accepted import Snapshot
+from rhubarbwinch.records import acceptedconfig
+from rhubarbwinch.records.acceptedconfig import ConfigSnapshot
 from rhubarbwinch.records.records import Record
 
 SIZES = (1_000, 4_000, 9_400)
@@ -52,20 +52,20 @@
     return Record("account", f"account-{number}", 2, spec)
 
 
-def build(chunks: list[bytes]) -> Snapshot:
+def build(chunks: list[bytes]) -> ConfigSnapshot:
     """Returns the snapshot of a configuration's chunks."""
-    items = [r for c in chunks for r in accepted.unpack_chunk(c)]
-    return accepted.make_snapshot(1, items)
+    items = [r for c in chunks for r in acceptedconfig.unpack_chunk(c)]
+    return acceptedconfig.make_snapshot(1, items)
 
 
 def measure(count: int) -> Cost:
     """Returns the cost of a configuration of `count` accounts."""
-    chunks = accepted.pack_chunks(account(n) for n in range(count))
+    chunks = acceptedconfig.pack_chunks(account(n) for n in range(count))
     began = time.process_time()
     snapshot = build(chunks)
     built = time.process_time()
-    changed = accepted.unpack_chunk(chunks[0])
-    accepted.revise(snapshot, 2, changed, changed)
+    changed = acceptedconfig.unpack_chunk(chunks[0])
+    acceptedconfig.revise_snapshot(snapshot, 2, changed, changed)
     revised = time.process_time()
     tracemalloc.start()
     traced_snapshot = build(chunks)
--- a/lab/seeded/run.py
+++ b/lab/seeded/run.py
@@ -120,7 +120,7 @@
 @FAULTS.register("store-down")
 async def _take_store_down(world: World) -> None:
     world.store.faults.down = True
-    world.store.wake_watches()
+    world.store.notify_watches()
     await world.clock.sleep(world.rng.randint(200, 4000))
     world.store.faults.down = False
 
--- a/lab/seeded/world.py
+++ b/lab/seeded/world.py
@@ -15,16 +15,16 @@
 from rhubarbwinch.programs.config import BrokerSettings, EntrySettings
 from rhubarbwinch.programs.entry import Entry
 from rhubarbwinch.programs.surroundings import Surroundings
-from rhubarbwinch.records import accepted
-from rhubarbwinch.records.accepted import Head
+from rhubarbwinch.records import acceptedconfig
+from rhubarbwinch.records.acceptedconfig import Head
 from rhubarbwinch.records.apikeys import hash_key
 from rhubarbwinch.records.records import Record
 from rhubarbwinch.shared.clock import ManualClock
 from rhubarbwinch.shared.exceptions import StoreUnavailable
 from rhubarbwinch.stores import keys
 from rhubarbwinch.stores.memstore import MemoryStore
-from rhubarbwinch.stores.store import Change, Listing, Swap
-from rhubarbwinch.stores.store import Entry as StoreEntry
+from rhubarbwinch.stores.store import Change, Listing, SwapResult
+from rhubarbwinch.stores.store import KeyValue as StoreEntry
 
 API_KEY = "acme.secret"
 ENGINES = {f"10.0.1.{i}:80": f"engine-{i}" for i in range(1, 4)}
@@ -90,12 +90,12 @@
 
     async def swap(
         self, key: str, expected: int, value: bytes, lease: int = 0
-    ) -> Swap:
+    ) -> SwapResult:
         """Writes `value` if the key's revision is `expected`."""
         self._check_not_killed()
         return await self._store.swap(key, expected, value, lease)
 
-    async def delete(self, key: str, expected: int) -> Swap:
+    async def delete(self, key: str, expected: int) -> SwapResult:
         """Deletes the key if its revision is `expected`."""
         self._check_not_killed()
         return await self._store.delete(key, expected)
@@ -105,10 +105,10 @@
         self._check_not_killed()
         return await self._store.grant_lease(ttl_ms)
 
-    async def keep_lease(self, lease: int) -> int:
+    async def renew_lease(self, lease: int) -> int:
         """Renews a lease and returns the time left."""
         self._check_not_killed()
-        return await self._store.keep_lease(lease)
+        return await self._store.renew_lease(lease)
 
     async def revoke_lease(self, lease: int) -> None:
         """Revokes a lease."""
@@ -203,8 +203,8 @@
 
     async def publish(self) -> None:
         """Writes the accepted configuration to the store."""
-        chunks = accepted.pack_chunks(configuration_records())
-        names = [await accepted.write_chunk(self.store, c) for c in chunks]
+        chunks = acceptedconfig.pack_chunks(configuration_records())
+        names = [await acceptedconfig.write_chunk(self.store, c) for c in chunks]
         head = Head(1, names)
         await self.store.swap(keys.ACCEPTED_HEAD, 0, head.to_bytes())
 
--- a/lab/spread.py
+++ b/lab/spread.py
@@ -12,8 +12,8 @@
 import attrs
 
 from lab.memberset import MemberSet
-from rhubarbwinch.records import accepted
-from rhubarbwinch.records.accepted import Head
+from rhubarbwinch.records import acceptedconfig
+from rhubarbwinch.records.acceptedconfig import Head
 from rhubarbwinch.records.records import Record
 from rhubarbwinch.stores import keys
 from rhubarbwinch.stores.memstore import MemoryStore
@@ -56,11 +56,11 @@
 
 async def _publish(store: MemoryStore, generation: int) -> None:
     record = Record("account", "acme", 2, {"weight": float(generation)})
-    chunks = accepted.pack_chunks([record])
+    chunks = acceptedconfig.pack_chunks([record])
     for chunk in filter(None, chunks):
-        await accepted.write_chunk(store, chunk)
-    head = Head(generation, [accepted.digest(chunk) for chunk in chunks])
-    _, revision = await accepted.read_head(store)
+        await acceptedconfig.write_chunk(store, chunk)
+    head = Head(generation, [acceptedconfig.chunk_digest(chunk) for chunk in chunks])
+    _, revision = await acceptedconfig.read_head(store)
     await store.swap(keys.ACCEPTED_HEAD, revision, head.to_bytes())
 
 
--- a/lab/standins/kvstore.py
+++ b/lab/standins/kvstore.py
@@ -15,7 +15,7 @@
 from rhubarbwinch.shared.clock import SystemClock
 from rhubarbwinch.shared.exceptions import StoreError, StoreUncertain
 from rhubarbwinch.stores.memstore import MemoryStore
-from rhubarbwinch.stores.store import Entry
+from rhubarbwinch.stores.store import KeyValue
 
 JSON = dict[str, Any]
 
@@ -28,7 +28,7 @@
     return base64.b64encode(data).decode()
 
 
-def _format_entry(entry: Entry) -> JSON:
+def _format_entry(entry: KeyValue) -> JSON:
     return {
         "key": _encode_base64(entry.key.encode()),
         "value": _encode_base64(entry.value),
@@ -113,8 +113,8 @@
         except StoreError as error:
             await responder.json(orjson.dumps({"error": str(error)}), 503)
             return
-        response: JSON = {"header": self._header(), "succeeded": swap.won}
-        if not swap.won:
+        response: JSON = {"header": self._header(), "succeeded": swap.succeeded}
+        if not swap.succeeded:
             kvs = [_format_entry(swap.current)] if swap.current else []
             response["responses"] = [{"response_range": {"kvs": kvs}}]
         await responder.json(orjson.dumps(response))
@@ -132,7 +132,7 @@
     async def _renew(self, request: Request, responder: Responder) -> None:
         body = await self._receive(request)
         try:
-            remaining_ms = await self._store.keep_lease(int(body["ID"]))
+            remaining_ms = await self._store.renew_lease(int(body["ID"]))
         except StoreError as error:
             await responder.json(orjson.dumps({"error": str(error)}), 503)
             return
@@ -193,7 +193,7 @@
         faults.down = body.get("down", faults.down)
         faults.lose_answers = body.get("lose_answers", faults.lose_answers)
         self._delay_ms = body.get("delay_ms", self._delay_ms)
-        self._store.wake_watches()
+        self._store.notify_watches()
         await responder.json(b"{}")
 
     async def _show_counts(self, _: Request, responder: Responder) -> None:
--- a/lab/standins/platformstore.py
+++ b/lab/standins/platformstore.py
@@ -15,7 +15,7 @@
 from rhubarbwinch.shared.clock import Clock, SystemClock
 from rhubarbwinch.shared.exceptions import StoreUncertain
 from rhubarbwinch.stores.memstore import MemoryStore
-from rhubarbwinch.stores.store import Change, Entry, Swap
+from rhubarbwinch.stores.store import Change, KeyValue, SwapResult
 
 JSON = dict[str, Any]
 
@@ -40,7 +40,7 @@
     page: int = 500
 
 
-def _format_entry(entry: Entry) -> JSON:
+def _format_entry(entry: KeyValue) -> JSON:
     return {
         "key": entry.key,
         "value": base64.b64encode(entry.value).decode(),
@@ -125,7 +125,7 @@
             lease = await self.memory.grant_lease(body["ttl_ms"])
             return 200, {"lease": lease, "ttl_ms": body["ttl_ms"]}
         if name == "kv-keep":
-            remaining_ms = await self.memory.keep_lease(int(rest))
+            remaining_ms = await self.memory.renew_lease(int(rest))
             return (
                 (200, {"ttl_ms": remaining_ms}) if remaining_ms else (404, {})
             )
@@ -177,8 +177,8 @@
             raise StoreUncertain("the response is lost")
         return self._format_swap(key, swap)
 
-    def _format_swap(self, key: str, swap: Swap) -> tuple[int, JSON]:
-        if swap.won:
+    def _format_swap(self, key: str, swap: SwapResult) -> tuple[int, JSON]:
+        if swap.succeeded:
             return 200, {"revision": swap.revision}
         current = _format_entry(swap.current) if swap.current else {"key": key}
         return 412, {"items": [{"revision": 0} | current]}
--- a/rhubarbwinch/callers/calls.py
+++ b/rhubarbwinch/callers/calls.py
@@ -16,7 +16,7 @@
 from rhubarbwinch.claims.repeatable import claim_key
 from rhubarbwinch.endpoints.relay import Relay
 from rhubarbwinch.http.httpapi import Refused, Request, Responder
-from rhubarbwinch.records.accepted import Snapshot
+from rhubarbwinch.records.acceptedconfig import ConfigSnapshot
 from rhubarbwinch.records.records import ServiceSpec
 from rhubarbwinch.shared.verdict import Reason, not_run
 
@@ -60,7 +60,7 @@
 
 
 def parse_call(
-    account: str, request: Request, snapshot: Snapshot
+    account: str, request: Request, snapshot: ConfigSnapshot
 ) -> GenerationCall:
     """Parses and validates a generation request.
 
--- a/rhubarbwinch/callers/generate.py
+++ b/rhubarbwinch/callers/generate.py
@@ -17,7 +17,7 @@
 from rhubarbwinch.http.httpapi import Refused, Responder
 from rhubarbwinch.http.sse import join
 from rhubarbwinch.links.messages import PermitGrant, PermitRequest, StreamEnd
-from rhubarbwinch.records.accepted import Snapshot
+from rhubarbwinch.records.acceptedconfig import ConfigSnapshot
 from rhubarbwinch.shared import events, identity, metrics
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import EndpointError
@@ -73,7 +73,7 @@
     async def serve(
         self,
         call: GenerationCall,
-        snapshot: Snapshot,
+        snapshot: ConfigSnapshot,
         responder: Responder,
         guard: RunGuard | None = None,
     ) -> None:
@@ -130,7 +130,7 @@
         self,
         account: str,
         after: identity.EventId,
-        snapshot: Snapshot,
+        snapshot: ConfigSnapshot,
         responder: Responder,
         permit: Permit | None,
     ) -> None:
@@ -177,7 +177,7 @@
             raise Refused(not_run(Reason.FORBIDDEN, "not your stream"))
 
     def _reconstruct_permit(
-        self, account: str, generation: str, snapshot: Snapshot
+        self, account: str, generation: str, snapshot: ConfigSnapshot
     ) -> Permit:
         """Returns a permit for a stream whose former holder did not reply.
 
@@ -204,7 +204,7 @@
         )
 
     async def _acquire_permit(
-        self, call: GenerationCall, snapshot: Snapshot, avoid: list[str]
+        self, call: GenerationCall, snapshot: ConfigSnapshot, avoid: list[str]
     ) -> Permit:
         request = PermitRequest(
             request_id="",
@@ -223,7 +223,7 @@
         )
         reply = await self._permits.ask_any(
             request,
-            snapshot.pools_near(
+            snapshot.pools_local_first(
                 call.service.target, self._data_center, call.fingerprint
             ),
             partial(self._ids.request_id, call.account),
--- a/rhubarbwinch/callers/guarded.py
+++ b/rhubarbwinch/callers/guarded.py
@@ -9,7 +9,7 @@
 from rhubarbwinch.claims.repeatable import replay
 from rhubarbwinch.endpoints.endpointclient import EndpointClient
 from rhubarbwinch.http.httpapi import Responder
-from rhubarbwinch.records.accepted import Snapshot
+from rhubarbwinch.records.acceptedconfig import ConfigSnapshot
 
 
 class GuardedGenerationRunner:
@@ -38,7 +38,7 @@
         self._endpoints = endpoints
 
     async def serve(
-        self, call: GenerationCall, snapshot: Snapshot, responder: Responder
+        self, call: GenerationCall, snapshot: ConfigSnapshot, responder: Responder
     ) -> None:
         """Serves a call, from its recorded outcome if there is one.
 
--- a/rhubarbwinch/callers/models.py
+++ b/rhubarbwinch/callers/models.py
@@ -2,12 +2,12 @@
 
 import orjson
 
-from rhubarbwinch.records.accepted import Snapshot
+from rhubarbwinch.records.acceptedconfig import ConfigSnapshot
 
 OWNER = "rhubarbwinch"
 
 
-def model_list(account: str, snapshot: Snapshot) -> bytes:
+def model_list(account: str, snapshot: ConfigSnapshot) -> bytes:
     """Returns an account's generation services as OpenAI's model list."""
     models = [
         {"id": name, "object": "model", "created": 0, "owned_by": OWNER}
--- a/rhubarbwinch/callers/plain.py
+++ b/rhubarbwinch/callers/plain.py
@@ -14,7 +14,7 @@
 from rhubarbwinch.endpoints.endpointclient import EndpointClient
 from rhubarbwinch.http.httpapi import Refused, Request, Responder
 from rhubarbwinch.links.messages import PermitRequest, StreamEnd
-from rhubarbwinch.records.accepted import Snapshot
+from rhubarbwinch.records.acceptedconfig import ConfigSnapshot
 from rhubarbwinch.records.records import ServiceSpec
 from rhubarbwinch.shared import events, identity
 from rhubarbwinch.shared.exceptions import EndpointError
@@ -52,7 +52,7 @@
     key: ClaimKey | None
 
 
-def parse_call(account: str, request: Request, snapshot: Snapshot) -> PlainCall:
+def parse_call(account: str, request: Request, snapshot: ConfigSnapshot) -> PlainCall:
     """Parses and validates a request for `/services/<service>/<path>`.
 
     Raises:
@@ -101,7 +101,7 @@
         self,
         account: str,
         request: Request,
-        snapshot: Snapshot,
+        snapshot: ConfigSnapshot,
         responder: Responder,
     ) -> None:
         """Serves a request for `/services/<service>/<path>`.
@@ -117,7 +117,7 @@
         await _send_response(response, responder)
 
     async def _run_repeatable(
-        self, call: PlainCall, snapshot: Snapshot
+        self, call: PlainCall, snapshot: ConfigSnapshot
     ) -> httpx.Response:
         """Sends a call and retries it at other endpoints.
 
@@ -147,7 +147,7 @@
         self,
         call: PlainCall,
         key: ClaimKey,
-        snapshot: Snapshot,
+        snapshot: ConfigSnapshot,
         responder: Responder,
     ) -> None:
         """Replays the recorded outcome of a call, or claims and runs it."""
@@ -186,7 +186,7 @@
                     await self._permits.give_back(permit, StreamEnd.UNUSED)
 
     async def _run_claimed(
-        self, claim: Claim, permit: Permit, call: PlainCall, snapshot: Snapshot
+        self, claim: Claim, permit: Permit, call: PlainCall, snapshot: ConfigSnapshot
     ) -> httpx.Response:
         """Sends a claimed call; retries it only if no byte was sent."""
         avoid: list[str] = []
@@ -232,7 +232,7 @@
         return response
 
     async def _acquire_permit(
-        self, call: PlainCall, snapshot: Snapshot, avoid: list[str]
+        self, call: PlainCall, snapshot: ConfigSnapshot, avoid: list[str]
     ) -> Permit:
         request = PermitRequest(
             request_id="",
@@ -247,7 +247,7 @@
         )
         reply = await self._permits.ask_any(
             request,
-            snapshot.pools_near(
+            snapshot.pools_local_first(
                 call.service.target, self._data_center, call.account
             ),
             partial(self._ids.request_id, call.account),
--- a/rhubarbwinch/callers/takeover.py
+++ b/rhubarbwinch/callers/takeover.py
@@ -7,7 +7,7 @@
 from rhubarbwinch.links.linktypes import Caller
 from rhubarbwinch.links.messages import PermitGrant, StreamTake, StreamTaken
 from rhubarbwinch.membership.members import Member, Members, Role
-from rhubarbwinch.records.accepted import Snapshot
+from rhubarbwinch.records.acceptedconfig import ConfigSnapshot
 from rhubarbwinch.shared import identity
 from rhubarbwinch.shared.exceptions import CodecError, LinkError
 
@@ -35,7 +35,7 @@
         self._timeout_ms = timeout_ms
 
     async def acquire_permit(
-        self, generation: str, snapshot: Snapshot
+        self, generation: str, snapshot: ConfigSnapshot
     ) -> Permit | None:
         """Returns a stream's permit, or None if its holder does not reply.
 
@@ -70,7 +70,7 @@
         return None
 
     def _make_permit(
-        self, reply: StreamTaken, snapshot: Snapshot
+        self, reply: StreamTaken, snapshot: ConfigSnapshot
     ) -> Permit | None:
         if reply.request is None:
             return None
--- a/rhubarbwinch/claims/claimpages.py
+++ b/rhubarbwinch/claims/claimpages.py
@@ -24,7 +24,7 @@
     StoreUnavailable,
     StoreUncertain,
 )
-from rhubarbwinch.stores.store import Entry, Store, Swap
+from rhubarbwinch.stores.store import KeyValue, Store, SwapResult
 
 # A page above this size accepts no new claims. The rest, up to the store's
 # value limit, is reserved for the outcomes of the claims in the page.
@@ -276,7 +276,7 @@
                 version = await self._fetch_after_lost_reply(page)
                 is_fresh = True
                 continue
-            if swap.won:
+            if swap.succeeded:
                 self.counters.changes += len(batch)
                 version = _PageVersion(updated, swap.revision, len(data))
                 self._finish_batch(page, version, batch)
@@ -288,7 +288,7 @@
             await self._wait_for_rate()
         raise StoreUncertain(f"{page}: lost {MAX_ATTEMPTS} races")
 
-    async def _swap(self, page: str, expected: int, data: bytes) -> Swap:
+    async def _swap(self, page: str, expected: int, data: bytes) -> SwapResult:
         self.counters.writes += 1
         return await self._store.swap(page, expected, data)
 
@@ -319,7 +319,7 @@
             pending.finish(Ok(version.page.claims.get(pending.name)))
 
 
-def _decode_page(entry: Entry | None) -> _PageVersion:
+def _decode_page(entry: KeyValue | None) -> _PageVersion:
     if entry is None:
         return _PageVersion(Page(), 0, 0)
     page = codec.decode(entry.value, Page)
--- a/rhubarbwinch/claims/quarantine.py
+++ b/rhubarbwinch/claims/quarantine.py
@@ -273,7 +273,7 @@
         data = codec.encode(EndpointLock(run, now))
         expected = entry.revision if entry else 0
         try:
-            return (await self._store.swap(key, expected, data)).won
+            return (await self._store.swap(key, expected, data)).succeeded
         except StoreUncertain:
             found = await self._store.get(key)
             return found is not None and found.value == data
@@ -345,7 +345,7 @@
                 # The next attempt reads the record again and finds the change
                 # already made, or applies it again.
                 continue
-            if swap.won:
+            if swap.succeeded:
                 return updated
         raise StoreUncertain(f"{key}: lost {MAX_CONFLICTS} races")
 
--- a/rhubarbwinch/configuration/configreplica.py
+++ b/rhubarbwinch/configuration/configreplica.py
@@ -10,8 +10,8 @@
     Distribution,
 )
 from rhubarbwinch.membership.members import Members
-from rhubarbwinch.records import accepted
-from rhubarbwinch.records.accepted import Head, Snapshot
+from rhubarbwinch.records import acceptedconfig
+from rhubarbwinch.records.acceptedconfig import Head, ConfigSnapshot
 from rhubarbwinch.records.records import Record
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.clock import Clock
@@ -57,10 +57,10 @@
         self._members = members
         self._peers = peers
         self._addresses = addresses or []
-        self._snapshot = Snapshot()
+        self._snapshot = ConfigSnapshot()
         self._chunks: dict[str, bytes] = {}
         self._head = Head()
-        self._listeners: list[Callable[[Snapshot], None]] = []
+        self._listeners: list[Callable[[ConfigSnapshot], None]] = []
         self._available_update = _AvailableUpdate()
         self._newer_generation_seen = anyio.Event()
         self._members_changed = anyio.Event()
@@ -70,7 +70,7 @@
             peers.set_source(lambda: self._head, self.chunk)
 
     @property
-    def snapshot(self) -> Snapshot:
+    def snapshot(self) -> ConfigSnapshot:
         """The active configuration."""
         return self._snapshot
 
@@ -94,7 +94,7 @@
         """Returns a chunk of the active head; empty for any other chunk."""
         return self._chunks.get(name, b"")
 
-    def on_change(self, listener: Callable[[Snapshot], None]) -> None:
+    def on_change(self, listener: Callable[[ConfigSnapshot], None]) -> None:
         """Calls `listener` with each new snapshot."""
         self._listeners.append(listener)
 
@@ -115,7 +115,7 @@
 
     async def read_store(self) -> int:
         """Reads the store's head and applies it; returns its revision."""
-        head, revision = await accepted.read_head(self._store)
+        head, revision = await acceptedconfig.read_head(self._store)
         await self.update(head)
         return revision
 
@@ -188,7 +188,7 @@
                 async for change in changes:
                     if change.entry is not None:
                         await self.update(
-                            accepted.parse_head(change.entry.value)
+                            acceptedconfig.parse_head(change.entry.value)
                         )
             except (StoreError, CodecError):
                 await self._clock.sleep(RETRY_DELAY_MS)
@@ -223,7 +223,7 @@
             chunk = await self._peers.chunk(name, peer_address)
             if chunk is not None:
                 return chunk
-        return await accepted.read_chunk(self._store, name)
+        return await acceptedconfig.read_chunk(self._store, name)
 
     def _activate(self, head: Head, chunks: dict[str, bytes]) -> None:
         # Only changed chunks are parsed: parsing a whole configuration would
@@ -231,7 +231,7 @@
         # tokens.
         removed = _records_not_in(self._chunks, chunks)
         added = _records_not_in(chunks, self._chunks)
-        self._snapshot = accepted.revise(
+        self._snapshot = acceptedconfig.revise_snapshot(
             self._snapshot, head.generation, removed, added
         )
         self._head, self._chunks = head, chunks
@@ -253,5 +253,5 @@
         record
         for name, chunk in chunks.items()
         if name not in others
-        for record in accepted.unpack_chunk(chunk)
+        for record in acceptedconfig.unpack_chunk(chunk)
     ]
--- a/rhubarbwinch/configuration/distribution.py
+++ b/rhubarbwinch/configuration/distribution.py
@@ -13,8 +13,8 @@
 
 from rhubarbwinch.links.linktypes import Caller, Listener
 from rhubarbwinch.membership.members import Members
-from rhubarbwinch.records import accepted
-from rhubarbwinch.records.accepted import Head
+from rhubarbwinch.records import acceptedconfig
+from rhubarbwinch.records.acceptedconfig import Head
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.exceptions import CodecError, LinkError
 
@@ -124,7 +124,7 @@
             except (LinkError, CodecError) as error:
                 events.PEER_SILENT.log(peer=address, error=str(error))
                 continue
-            if accepted.digest(reply.chunk) == name:
+            if acceptedconfig.chunk_digest(reply.chunk) == name:
                 return reply.chunk
         return None
 
--- a/rhubarbwinch/configuration/publisher.py
+++ b/rhubarbwinch/configuration/publisher.py
@@ -4,8 +4,8 @@
 import orjson
 
 from rhubarbwinch.configuration.configreplica import ConfigReplica
-from rhubarbwinch.records import accepted, records
-from rhubarbwinch.records.accepted import CHUNK_SLOTS, Head
+from rhubarbwinch.records import acceptedconfig, records
+from rhubarbwinch.records.acceptedconfig import CHUNK_SLOTS, Head
 from rhubarbwinch.records.records import Record
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.exceptions import (
@@ -14,7 +14,7 @@
     StoreUncertain,
 )
 from rhubarbwinch.stores import keys
-from rhubarbwinch.stores.store import Change, Entry, Store
+from rhubarbwinch.stores.store import Change, KeyValue, Store
 
 
 @attrs.frozen
@@ -51,8 +51,8 @@
 
     head: Head
     head_revision: int
-    records: dict[str, Entry]
-    statuses: dict[str, Entry]
+    records: dict[str, KeyValue]
+    statuses: dict[str, KeyValue]
     chunks: dict[str, bytes]
     revision: int
 
@@ -90,7 +90,7 @@
         # The head is read before the records: if another publisher moves the
         # head in between, the compare-and-swap below fails instead of
         # reverting that publisher's changes.
-        head, head_revision = await accepted.read_head(self._store)
+        head, head_revision = await acceptedconfig.read_head(self._store)
         if head.generation < self._config.head.generation:
             events.STORE_BEHIND.log(
                 store=head.generation, in_force=self._config.head.generation
@@ -132,7 +132,7 @@
                 store_copy.records.pop(name, None)
             else:
                 store_copy.records[name] = change.entry
-        slots = {accepted.slot_of_key(name) for name in names}
+        slots = {acceptedconfig.slot_of_key(name) for name in names}
         return await self._publish(store_copy, names, slots)
 
     async def collect_garbage(self) -> int:
@@ -163,7 +163,7 @@
         found = {}
         for name in filter(None, head.chunks):
             held = self._config.chunk(name)
-            found[name] = held or await accepted.read_chunk(self._store, name)
+            found[name] = held or await acceptedconfig.read_chunk(self._store, name)
         return found
 
     async def _publish(
@@ -179,7 +179,7 @@
         # slots.
         slot_records: dict[int, list[Record]] = {slot: [] for slot in slots}
         for name in store_copy.records:
-            slot = accepted.slot_of_key(name)
+            slot = acceptedconfig.slot_of_key(name)
             if slot not in slots:
                 continue
             valid_record = results[name].record if name in results else None
@@ -198,14 +198,14 @@
         chunks = list(store_copy.head.chunks)
         packed = {}
         for slot, items in slot_records.items():
-            chunk = accepted.pack_chunk(items)
-            chunks[slot] = accepted.digest(chunk)
+            chunk = acceptedconfig.pack_chunk(items)
+            chunks[slot] = acceptedconfig.chunk_digest(chunk)
             packed[chunks[slot]] = chunk
         if chunks == store_copy.head.chunks:
             return store_copy.head
         for name, chunk in packed.items():
             if name and name not in store_copy.chunks:
-                await accepted.write_chunk(self._store, chunk)
+                await acceptedconfig.write_chunk(self._store, chunk)
         head = Head(store_copy.head.generation + 1, chunks)
         await self._move_head(store_copy, head)
         known = store_copy.chunks | packed
@@ -224,7 +224,7 @@
             swap = await self._store.swap(
                 keys.ACCEPTED_HEAD, store_copy.head_revision, value
             )
-            revision = swap.revision if swap.won else 0
+            revision = swap.revision if swap.succeeded else 0
         except StoreUncertain:
             # The current value shows whether the write took effect.
             entry = await self._store.get(keys.ACCEPTED_HEAD)
@@ -251,8 +251,8 @@
             return
         expected = current.revision if current else 0
         swap = await self._store.swap(key, expected, value)
-        if swap.won:
-            store_copy.statuses[name] = Entry(key, value, swap.revision)
+        if swap.succeeded:
+            store_copy.statuses[name] = KeyValue(key, value, swap.revision)
         elif swap.current is not None:
             store_copy.statuses[name] = swap.current
 
@@ -274,7 +274,7 @@
     is_final: bool = True
 
 
-def _check_record(entry: Entry | None, name: str) -> _Verdict:
+def _check_record(entry: KeyValue | None, name: str) -> _Verdict:
     """Checks a record.
 
     A record of a newer schema is neither accepted nor rejected: its active
@@ -301,6 +301,6 @@
     for slot in slots:
         name = store_copy.head.chunks[slot]
         chunk = store_copy.chunks.get(name, b"") if name else b""
-        for record in accepted.unpack_chunk(chunk):
+        for record in acceptedconfig.unpack_chunk(chunk):
             found[record.key] = record
     return found
--- a/rhubarbwinch/endpoints/metering.py
+++ b/rhubarbwinch/endpoints/metering.py
@@ -221,7 +221,7 @@
             entry = await self._store.get(key)
             self._revision = entry.revision if entry else 0
         swap = await self._store.swap(key, self._revision, data)
-        if not swap.won:
+        if not swap.succeeded:
             raise StoreUncertain(f"{key}: an earlier write took effect late")
         self._revision = swap.revision
         self._last_written = data
--- a/rhubarbwinch/gateway/feed.py
+++ b/rhubarbwinch/gateway/feed.py
@@ -27,7 +27,7 @@
     StoreCompacted,
     StoreError,
 )
-from rhubarbwinch.stores.store import Change, ChangeBatch, Entry, PollingStore
+from rhubarbwinch.stores.store import Change, ChangeBatch, KeyValue, PollingStore
 
 # The store ends a watch call without events after this time. Its response
 # confirms that nothing was missed, so this bounds how late a lost connection is
@@ -393,5 +393,5 @@
 def _from_shared(shared: SharedChange) -> Change:
     if shared.value is None:
         return Change(shared.key, shared.revision, None)
-    entry = Entry(shared.key, shared.value, shared.revision)
+    entry = KeyValue(shared.key, shared.value, shared.revision)
     return Change(shared.key, shared.revision, entry)
--- a/rhubarbwinch/gateway/registration.py
+++ b/rhubarbwinch/gateway/registration.py
@@ -56,14 +56,14 @@
             events.REGISTRATION_FAILED.log(error=str(error))
 
     async def _renew(self) -> None:
-        if self._lease and await self._store.keep_lease(self._lease):
+        if self._lease and await self._store.renew_lease(self._lease):
             return
         self._lease = await self._store.grant_lease(LEASE_MS)
         entry = await self._store.get(self._key)
         expected = entry.revision if entry is not None else 0
         value = codec.encode(self._address)
         swap = await self._store.swap(self._key, expected, value, self._lease)
-        if not swap.won:
+        if not swap.succeeded:
             # The lease of the previous start has just expired and changed the
             # key. The next iteration writes the key again.
             self._lease = 0
--- a/rhubarbwinch/gateway/replica.py
+++ b/rhubarbwinch/gateway/replica.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from rhubarbwinch.stores.store import Change, ChangeBatch, Entry, Listing
+from rhubarbwinch.stores.store import Change, ChangeBatch, KeyValue, Listing
 
 # Tombstones are kept for the most recently deleted keys, at most this many.
 MAX_TOMBSTONES = 2_000
@@ -18,7 +18,7 @@
     """A key's newest state; without an entry the cell is a tombstone."""
 
     revision: int
-    entry: Entry | None
+    entry: KeyValue | None
 
 
 class Replica:
@@ -33,12 +33,12 @@
         self.revision = 0
         self._cells: dict[str, _Cell] = {}
 
-    def get(self, key: str) -> Entry | None:
+    def get(self, key: str) -> KeyValue | None:
         """Returns the newest known entry of a key, or None."""
         cell = self._cells.get(key)
         return cell.entry if cell is not None else None
 
-    def entries(self) -> list[Entry]:
+    def entries(self) -> list[KeyValue]:
         """Returns all entries."""
         return [c.entry for c in self._cells.values() if c.entry is not None]
 
--- a/rhubarbwinch/membership/leavingvms.py
+++ b/rhubarbwinch/membership/leavingvms.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from rhubarbwinch.membership.gossip import Gossip
-from rhubarbwinch.records.accepted import Snapshot
+from rhubarbwinch.records.acceptedconfig import ConfigSnapshot
 from rhubarbwinch.records.records import PoolSpec
 from rhubarbwinch.shared import events, misc
 from rhubarbwinch.shared.clock import Clock
@@ -59,7 +59,7 @@
             if misc.split_address(endpoint.address)[0] in hosts
         }
 
-    def configure(self, snapshot: Snapshot) -> None:
+    def configure(self, snapshot: ConfigSnapshot) -> None:
         """Applies the VM records of a new snapshot."""
         self._hosts_from_records = {
             h for h, vm in snapshot.vms.items() if vm.leaving
--- a/rhubarbwinch/membership/registration.py
+++ b/rhubarbwinch/membership/registration.py
@@ -95,7 +95,7 @@
         scope.cancel()
 
     async def _register(self) -> None:
-        if not self._lease or not await self._store.keep_lease(self._lease):
+        if not self._lease or not await self._store.renew_lease(self._lease):
             self._lease = await self._store.grant_lease(self._lease_ms)
             self._written_member = None
         me = self._members.me
@@ -106,7 +106,7 @@
         expected = current.revision if current else 0
         value = codec.encode(me)
         swap = await self._store.swap(key, expected, value, self._lease)
-        self._written_member = me if swap.won else None
+        self._written_member = me if swap.succeeded else None
 
     def _is_scan_due(self) -> bool:
         if self._scanned_at is None:
--- a/rhubarbwinch/orders/desiredstate.py
+++ b/rhubarbwinch/orders/desiredstate.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from rhubarbwinch.records.accepted import Snapshot
+from rhubarbwinch.records.acceptedconfig import ConfigSnapshot
 
 
 class OrderKind(enum.StrEnum):
@@ -41,7 +41,7 @@
     role: str = "mixed"
 
 
-def desired_loads(snapshot: Snapshot, target: str) -> frozenset[str]:
+def desired_loads(snapshot: ConfigSnapshot, target: str) -> frozenset[str]:
     """Returns what a model's endpoints must have loaded for its services."""
     subjects = set()
     for service in snapshot.services.values():
--- a/rhubarbwinch/orders/fencing.py
+++ b/rhubarbwinch/orders/fencing.py
@@ -164,7 +164,7 @@
         """
         started_at = self._clock.now()
         if self._lease and started_at < self._lease_valid_until:
-            left = await self._store.keep_lease(self._lease)
+            left = await self._store.renew_lease(self._lease)
             if left:
                 self._lease_valid_until = started_at + min(left, self._lease_ms)
                 return
@@ -188,7 +188,7 @@
         current = await self._store.get(key)
         if current is None:
             swap = await self._store.swap(key, 0, own_value, self._lease)
-            if not swap.won:
+            if not swap.succeeded:
                 return False
         elif current.value != own_value:
             return False
@@ -236,7 +236,7 @@
         )
         expected = current.revision if current else 0
         swap = await self._store.swap(key, expected, codec.encode(new))
-        if not swap.won:
+        if not swap.succeeded:
             return False
         ready_at = self._clock.now()
         if old is not None and not old.released:
--- a/rhubarbwinch/orders/reconciler.py
+++ b/rhubarbwinch/orders/reconciler.py
@@ -19,7 +19,7 @@
     desired_loads,
     orders_to_reach,
 )
-from rhubarbwinch.records.accepted import Snapshot
+from rhubarbwinch.records.acceptedconfig import ConfigSnapshot
 from rhubarbwinch.records.records import EndpointSpec
 from rhubarbwinch.shared import events, rendezvous
 from rhubarbwinch.shared.clock import Clock
@@ -177,7 +177,7 @@
         self._rate_limiter = rate_limiter
         self._guard = guard
 
-    async def renew_and_acquire(self, snapshot: Snapshot, controls: list[str]) -> None:
+    async def renew_and_acquire(self, snapshot: ConfigSnapshot, controls: list[str]) -> None:
         """Renews the lease and acquires this member's pools.
 
         While the store is unavailable no pool is acquired, and the held pools
@@ -193,7 +193,7 @@
         except StoreError as error:
             events.STORE_DOWN.log(error=str(error))
 
-    async def reconcile(self, snapshot: Snapshot, control_count: int) -> None:
+    async def reconcile(self, snapshot: ConfigSnapshot, control_count: int) -> None:
         """Sends the orders that the held pools need and the limits allow.
 
         Args:
@@ -215,7 +215,7 @@
                     await self._send_all(pool, endpoint, orders, control_count)
 
     async def _acquire_pools(
-        self, snapshot: Snapshot, controls: list[str]
+        self, snapshot: ConfigSnapshot, controls: list[str]
     ) -> None:
         """Acquires the pools that rendezvous hashing assigns to this member.
 
--- a/rhubarbwinch/platform/kvstore.py
+++ b/rhubarbwinch/platform/kvstore.py
@@ -18,9 +18,9 @@
 from rhubarbwinch.stores.store import (
     Change,
     ChangeBatch,
-    Entry,
+    KeyValue,
     Listing,
-    Swap,
+    SwapResult,
 )
 
 JSON = dict[str, Any]
@@ -37,14 +37,14 @@
 )
 
 
-def _decode_entry(item: JSON) -> Entry:
+def _decode_entry(item: JSON) -> KeyValue:
     """Decodes an item.
 
     Raises:
         ValueError: The value is not base64.
     """
     value = base64.b64decode(item["value"], validate=True)
-    return Entry(item["key"], value, int(item["revision"]))
+    return KeyValue(item["key"], value, int(item["revision"]))
 
 
 def _decode_change(event: JSON) -> Change:
@@ -70,7 +70,7 @@
             transport=Transport(TransportOptions(dead_peer_ms=ACK_TIMEOUT_MS)),
         )
 
-    async def get(self, key: str) -> Entry | None:
+    async def get(self, key: str) -> KeyValue | None:
         """Returns the entry of `key`, or None."""
         response = await self._send("GET", "/kv-key", params={"key": key})
         if response.status_code == httpx.codes.NOT_FOUND:
@@ -83,7 +83,7 @@
         The pages are read at different revisions. The listing gets the revision
         of the first page, so a watch from there misses no change.
         """
-        entries: list[Entry] = []
+        entries: list[KeyValue] = []
         revision = 0
         params = {"prefix": prefix}
         while True:
@@ -97,7 +97,7 @@
 
     async def swap(
         self, key: str, expected: int, value: bytes, lease: int = 0
-    ) -> Swap:
+    ) -> SwapResult:
         """Writes `value` if the key's revision is `expected` (0: absent)."""
         write = {
             "key": key,
@@ -106,7 +106,7 @@
         }
         return await self._transact(key, expected, [write], [])
 
-    async def delete(self, key: str, expected: int) -> Swap:
+    async def delete(self, key: str, expected: int) -> SwapResult:
         """Deletes the key if its revision is `expected`."""
         return await self._transact(key, expected, [], [key])
 
@@ -116,7 +116,7 @@
         response = await self._send("POST", "/kv-lease", content=body)
         return _parse(response, lambda reply: int(reply["lease"]))
 
-    async def keep_lease(self, lease: int) -> int:
+    async def renew_lease(self, lease: int) -> int:
         """Renews a lease; returns its remaining milliseconds, 0 if expired."""
         response = await self._send("POST", f"/kv-keep/{lease}", content={})
         if response.status_code == httpx.codes.NOT_FOUND:
@@ -176,7 +176,7 @@
 
     async def _transact(
         self, key: str, expected: int, writes: list[JSON], deletes: list[str]
-    ) -> Swap:
+    ) -> SwapResult:
         body = {
             "expected_rev": [{"key": key, "revision": expected}],
             "writes": writes,
@@ -187,11 +187,11 @@
         )
         reply = _parse(response, dict, accepted_status=_PRECONDITION_FAILED)
         if response.status_code == httpx.codes.OK:
-            return Swap(True, int(reply["revision"]))
+            return SwapResult(True, int(reply["revision"]))
         # An absent key has the revision 0.
         rows = [row for row in reply.get("items", []) if row.get("revision")]
         current = _decode_entry(rows[0]) if rows else None
-        return Swap(False, current.revision if current else 0, current)
+        return SwapResult(False, current.revision if current else 0, current)
 
     async def _send(
         self,
@@ -252,7 +252,7 @@
         raise StoreError(f"{path}: malformed response: {error!r}") from error
 
 
-def _decode_entries(items: list[JSON]) -> list[Entry]:
+def _decode_entries(items: list[JSON]) -> list[KeyValue]:
     """Returns the entries of items; skips those without key or revision."""
     changes = [_decode_change_or_none(item) for item in items]
     return [c.entry for c in changes if c is not None and c.entry is not None]
@@ -273,5 +273,5 @@
         if not isinstance(revision, int):
             return None
         return Change(
-            event["key"], revision, Entry(event["key"], b"", revision)
+            event["key"], revision, KeyValue(event["key"], b"", revision)
         )
--- a/rhubarbwinch/programs/broker.py
+++ b/rhubarbwinch/programs/broker.py
@@ -29,7 +29,7 @@
 from rhubarbwinch.programs.config import BrokerSettings
 from rhubarbwinch.programs.daemon import Daemon
 from rhubarbwinch.programs.surroundings import Surroundings
-from rhubarbwinch.records.accepted import Snapshot
+from rhubarbwinch.records.acceptedconfig import ConfigSnapshot
 from rhubarbwinch.records.records import PoolSpec
 from rhubarbwinch.shared import metrics, tracing
 from rhubarbwinch.shared.clock import Clock
@@ -95,7 +95,7 @@
         for name, pool in self._pools.items():
             pool.set_leaving(find(self._specs[name]))
 
-    def configure(self, snapshot: Snapshot) -> None:
+    def configure(self, snapshot: ConfigSnapshot) -> None:
         """Applies the pools of a new configuration.
 
         Requests that wait for a removed pool are refused.
--- a/rhubarbwinch/programs/ctl.py
+++ b/rhubarbwinch/programs/ctl.py
@@ -107,11 +107,11 @@
         if current is None or current.value != value:
             raise
         return
-    if not swap.won:
+    if not swap.succeeded:
         raise ConflictError(record.key, swap.revision)
 
 
-async def add_key(store: Store, account: str) -> ApiKey:
+async def add_api_key(store: Store, account: str) -> ApiKey:
     """Creates an API key and adds its hash to an account's record.
 
     Raises:
@@ -123,9 +123,9 @@
     if current is None:
         raise RecordError(f"account/{account}", "name", account, "an account")
     api_key = secretkeys.make_api_key(account)
-    record = secretkeys.add_key(records.parse(current.value), api_key.hashed)
+    record = secretkeys.add_api_key(records.parse(current.value), api_key.key_hash)
     swap = await store.swap(key, current.revision, record.to_bytes())
-    if not swap.won:
+    if not swap.succeeded:
         raise ConflictError(record.key, swap.revision)
     return api_key
 
--- a/rhubarbwinch/programs/ctlcommands.py
+++ b/rhubarbwinch/programs/ctlcommands.py
@@ -207,7 +207,7 @@
                 api_key = secretkeys.make_api_key(account)
                 ctl.print_rows([_api_key_row(api_key)], command.output)
             case AddKey(account):
-                api_key = await ctl.add_key(store, account)
+                api_key = await ctl.add_api_key(store, account)
                 ctl.print_rows([_api_key_row(api_key)], command.output)
             case Apply(files):
                 items = await ctl.apply(store, ctl.read_records(files))
@@ -269,8 +269,8 @@
     return {
         "account": api_key.account,
         "api_key": api_key.secret,
-        "salt": api_key.hashed.salt,
-        "digest": api_key.hashed.digest,
+        "salt": api_key.key_hash.salt,
+        "digest": api_key.key_hash.digest,
     }
 
 
--- a/rhubarbwinch/programs/entry.py
+++ b/rhubarbwinch/programs/entry.py
@@ -24,7 +24,7 @@
 from rhubarbwinch.programs.config import EntrySettings
 from rhubarbwinch.programs.daemon import Daemon
 from rhubarbwinch.programs.surroundings import Surroundings
-from rhubarbwinch.records.apikeys import KeyChecker
+from rhubarbwinch.records.apikeys import ApiKeyChecker
 from rhubarbwinch.shared import events, identity, metrics, rendezvous, tracing
 from rhubarbwinch.shared.verdict import Reason, not_run
 
@@ -49,7 +49,7 @@
     ) -> None:
         daemon = Daemon(Role.ENTRY, settings, dependencies)
         self._daemon = daemon
-        self._keys = KeyChecker()
+        self._api_keys = ApiKeyChecker()
         self._endpoints = endpoints or EndpointClient(
             settings.endpoint_silence_ms
         )
@@ -174,7 +174,7 @@
             )
             raise Refused(not_run(Reason.DRAINING, detail, RETRY_AFTER_MS))
         snapshot = self._daemon.config.snapshot
-        account = self._keys.account_of(request.api_key, snapshot)
+        account = self._api_keys.find_account(request.api_key, snapshot)
         if account is None:
             raise Refused(not_run(Reason.UNAUTHENTICATED, "unknown API key"))
         self._daemon.metrics.count(metrics.REQUESTS)
@@ -246,7 +246,7 @@
     ) -> None:
         """Lists the entries, in an order that depends on the account."""
         snapshot = self._daemon.config.snapshot
-        account = self._keys.account_of(request.api_key, snapshot) or ""
+        account = self._api_keys.find_account(request.api_key, snapshot) or ""
         entries = {m.name: m for m in self._daemon.members.serving(Role.ENTRY)}
         order = rendezvous.ranking(account, entries)
         listed = [
--- a/rhubarbwinch/programs/fleetstatus.py
+++ b/rhubarbwinch/programs/fleetstatus.py
@@ -7,8 +7,8 @@
 
 from rhubarbwinch.membership.members import Member, MemberState, Role
 from rhubarbwinch.programs import ctl
-from rhubarbwinch.records import accepted, records
-from rhubarbwinch.records.accepted import Snapshot
+from rhubarbwinch.records import acceptedconfig, records
+from rhubarbwinch.records.acceptedconfig import ConfigSnapshot
 from rhubarbwinch.records.records import Record
 from rhubarbwinch.shared import codec, events, rendezvous
 from rhubarbwinch.shared.exceptions import RecordError
@@ -85,18 +85,18 @@
     leaving_vms: list[str]
 
 
-async def read_snapshot(store: Store) -> Snapshot:
+async def read_snapshot(store: Store) -> ConfigSnapshot:
     """Returns the accepted configuration.
 
     Raises:
         StoreError: The store failed.
     """
-    head, _ = await accepted.read_head(store)
+    head, _ = await acceptedconfig.read_head(store)
     items: list[Record] = []
     for name in filter(None, head.chunks):
-        chunk = await accepted.read_chunk(store, name)
-        items += accepted.unpack_chunk(chunk)
-    return accepted.make_snapshot(head.generation, items)
+        chunk = await acceptedconfig.read_chunk(store, name)
+        items += acceptedconfig.unpack_chunk(chunk)
+    return acceptedconfig.make_snapshot(head.generation, items)
 
 
 async def read_status(store: Store) -> FleetStatus:
@@ -158,7 +158,7 @@
 
 
 def _pool_statuses(
-    snapshot: Snapshot, members: list[Member], leaving: list[str]
+    snapshot: ConfigSnapshot, members: list[Member], leaving: list[str]
 ) -> list[PoolStatus]:
     brokers = [
         m.name
--- a/rhubarbwinch/records/accepted.py
+++ b/rhubarbwinch/records/acceptedconfig.py
@@ -98,7 +98,7 @@
     return [pack_chunk(slot) for slot in slots]
 
 
-def digest(chunk: bytes) -> str:
+def chunk_digest(chunk: bytes) -> str:
     """Returns the digest that names a chunk; empty for an empty chunk."""
     return hashlib.sha256(chunk).hexdigest()[:32] if chunk else ""
 
@@ -122,7 +122,7 @@
 
 
 @attrs.frozen
-class Snapshot:
+class ConfigSnapshot:
     """A generation of the configuration, checked and indexed by name."""
 
     generation: int = 0
@@ -137,7 +137,7 @@
         """Returns the names of a target's pools, sorted."""
         return sorted(n for n, p in self.pools.items() if p.target == target)
 
-    def pools_near(
+    def pools_local_first(
         self, target: str, data_center: str, request: str
     ) -> list[str]:
         """Returns the names of a target's pools, those in `data_center` first.
@@ -154,17 +154,17 @@
         )
 
 
-def make_snapshot(generation: int, items: Iterable[Record]) -> Snapshot:
+def make_snapshot(generation: int, items: Iterable[Record]) -> ConfigSnapshot:
     """Builds a snapshot; records of a newer schema are kept but not indexed."""
-    return revise(Snapshot(), generation, (), items)
+    return revise_snapshot(ConfigSnapshot(), generation, (), items)
 
 
-def revise(
-    old: Snapshot,
+def revise_snapshot(
+    old: ConfigSnapshot,
     generation: int,
     removed: Iterable[Record],
     added: Iterable[Record],
-) -> Snapshot:
+) -> ConfigSnapshot:
     """Builds a snapshot from an older one, which is not modified.
 
     Only the added records are checked. So apart from copying the indexes, the
@@ -176,7 +176,7 @@
         removed: Records of `old` to remove.
         added: Records to add after the removals.
     """
-    snapshot = Snapshot(
+    snapshot = ConfigSnapshot(
         generation,
         dict(old.records),
         dict(old.models),
@@ -224,14 +224,14 @@
     entry = await store.get(keys.chunk(name))
     if entry is None:
         raise StoreUnavailable(f"chunk {name} is missing")
-    if digest(entry.value) != name:
+    if chunk_digest(entry.value) != name:
         raise CodecError(f"chunk {name} does not match its digest")
     return entry.value
 
 
 async def write_chunk(store: Store, chunk: bytes) -> str:
     """Writes a chunk to the store unless it exists; returns its name."""
-    name = digest(chunk)
+    name = chunk_digest(chunk)
     if name:
         await store.swap(keys.chunk(name), 0, chunk)
     return name
--- a/rhubarbwinch/records/apikeys.py
+++ b/rhubarbwinch/records/apikeys.py
@@ -3,7 +3,7 @@
 import hashlib
 import hmac
 
-from rhubarbwinch.records.accepted import Snapshot
+from rhubarbwinch.records.acceptedconfig import ConfigSnapshot
 from rhubarbwinch.records.records import KeyHash
 
 
@@ -12,19 +12,19 @@
     return hashlib.sha256(f"{salt}:{key}".encode()).hexdigest()
 
 
-def matches(key: str, stored: KeyHash) -> bool:
+def matches_hash(key: str, stored: KeyHash) -> bool:
     """Returns whether a key has the stored hash; compares in constant time."""
     return hmac.compare_digest(hash_key(key, stored.salt), stored.digest)
 
 
-class KeyChecker:
+class ApiKeyChecker:
     """Finds the account of an API key of the form `account.secret`."""
 
     def __init__(self) -> None:
         self._generation = -1
         self._known: dict[str, str] = {}
 
-    def account_of(self, key: str, snapshot: Snapshot) -> str | None:
+    def find_account(self, key: str, snapshot: ConfigSnapshot) -> str | None:
         """Returns the account's name, or None if the key is invalid."""
         if snapshot.generation != self._generation:
             self._known.clear()
@@ -33,7 +33,7 @@
             return self._known[key]
         name, _, _ = key.rpartition(".")
         spec = snapshot.accounts.get(name)
-        if spec is None or not any(matches(key, item) for item in spec.keys):
+        if spec is None or not any(matches_hash(key, item) for item in spec.keys):
             return None
         self._known[key] = name
         return name
--- a/rhubarbwinch/records/secretkeys.py
+++ b/rhubarbwinch/records/secretkeys.py
@@ -21,12 +21,12 @@
     Attributes:
         account: The client account.
         secret: The whole key, as callers send it.
-        hashed: The salted hash for the account's record.
+        key_hash: The salted hash for the account's record.
     """
 
     account: str
     secret: str = attrs.field(repr=False)
-    hashed: KeyHash
+    key_hash: KeyHash
 
 
 def make_link_keys() -> LinkKeys:
@@ -42,7 +42,7 @@
     return ApiKey(account, key, KeyHash(salt, hash_key(key, salt)))
 
 
-def add_key(record: Record, hashed: KeyHash) -> Record:
+def add_api_key(record: Record, key_hash: KeyHash) -> Record:
     """Returns an account's record with one more key, in the current schema.
 
     Raises:
@@ -51,5 +51,5 @@
     if record.is_newer:
         raise RecordError(record.key, "schema", record.schema, "a known one")
     current = upgrade(record)
-    keys = [*current.spec.get("keys", []), attrs.asdict(hashed)]
+    keys = [*current.spec.get("keys", []), attrs.asdict(key_hash)]
     return attrs.evolve(current, spec=current.spec | {"keys": keys})
--- a/rhubarbwinch/stores/etcdstore.py
+++ b/rhubarbwinch/stores/etcdstore.py
@@ -8,7 +8,7 @@
 import orjson
 
 from rhubarbwinch.shared.exceptions import StoreUnavailable, StoreUncertain
-from rhubarbwinch.stores.store import STORES, Change, Entry, Listing, Swap
+from rhubarbwinch.stores.store import STORES, Change, KeyValue, Listing, SwapResult
 
 JSON = dict[str, Any]
 
@@ -32,8 +32,8 @@
     return _b64(bytes(data))
 
 
-def _parse_entry(kv: JSON) -> Entry:
-    return Entry(
+def _parse_entry(kv: JSON) -> KeyValue:
+    return KeyValue(
         base64.b64decode(kv["key"]).decode(),
         base64.b64decode(kv.get("value", "")),
         int(kv["mod_revision"]),
@@ -64,7 +64,7 @@
             base_url=f"http://{address}", timeout=self._timeout_s
         )
 
-    async def get(self, key: str) -> Entry | None:
+    async def get(self, key: str) -> KeyValue | None:
         """Returns the entry of `key`, or None."""
         response = await self._read("/v3/kv/range", {"key": _encode_key(key)})
         kvs = response.get("kvs", [])
@@ -84,7 +84,7 @@
 
     async def swap(
         self, key: str, expected: int, value: bytes, lease: int = 0
-    ) -> Swap:
+    ) -> SwapResult:
         """Writes `value` if the key's revision is `expected` (0: no key)."""
         put = {
             "key": _encode_key(key),
@@ -93,7 +93,7 @@
         }
         return await self._txn(key, expected, {"request_put": put})
 
-    async def delete(self, key: str, expected: int) -> Swap:
+    async def delete(self, key: str, expected: int) -> SwapResult:
         """Deletes the key if its revision is `expected`."""
         delete = {"request_delete_range": {"key": _encode_key(key)}}
         return await self._txn(key, expected, delete)
@@ -107,7 +107,7 @@
         response = await self._write("/v3/lease/grant", body)
         return int(response["ID"])
 
-    async def keep_lease(self, lease: int) -> int:
+    async def renew_lease(self, lease: int) -> int:
         """Renews a lease; returns its remaining ms, or 0 if it has ended."""
         response = await self._read("/v3/lease/keepalive", {"ID": str(lease)})
         return int(response["result"].get("TTL", 0)) * 1000
@@ -151,7 +151,7 @@
             raise StoreUnavailable("the store cancelled the watch")
         return result.get("events", [])
 
-    async def _txn(self, key: str, expected: int, success: JSON) -> Swap:
+    async def _txn(self, key: str, expected: int, success: JSON) -> SwapResult:
         compare = {
             "key": _encode_key(key),
             "target": "MOD",
@@ -166,10 +166,10 @@
         response = await self._write("/v3/kv/txn", body)
         revision = int(response["header"]["revision"])
         if response.get("succeeded"):
-            return Swap(True, revision)
+            return SwapResult(True, revision)
         found = response["responses"][0]["response_range"].get("kvs", [])
         current = _parse_entry(found[0]) if found else None
-        return Swap(False, current.revision if current else 0, current)
+        return SwapResult(False, current.revision if current else 0, current)
 
     async def _read(self, path: str, body: JSON) -> JSON:
         try:
--- a/rhubarbwinch/stores/memstore.py
+++ b/rhubarbwinch/stores/memstore.py
@@ -8,7 +8,7 @@
 
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import StoreUnavailable, StoreUncertain
-from rhubarbwinch.stores.store import Change, Entry, Listing, Swap
+from rhubarbwinch.stores.store import Change, KeyValue, Listing, SwapResult
 
 
 @attrs.define
@@ -46,7 +46,7 @@
         self.calls = 0
         self._clock = clock
         self._revision = 0
-        self._entries: dict[str, Entry] = {}
+        self._entries: dict[str, KeyValue] = {}
         self._leases: dict[int, _Lease] = {}
         self._lease_ids = itertools.count(1)
         self._history: list[Change] = []
@@ -62,7 +62,7 @@
         """Every change so far, in order."""
         return list(self._history)
 
-    async def get(self, key: str) -> Entry | None:
+    async def get(self, key: str) -> KeyValue | None:
         """Returns the entry of `key`, or None."""
         self._start_call()
         return self._entries.get(key)
@@ -79,16 +79,16 @@
 
     async def swap(
         self, key: str, expected: int, value: bytes, lease: int = 0
-    ) -> Swap:
+    ) -> SwapResult:
         """Writes `value` if the key's revision is `expected` (0: no key)."""
         self._start_call()
         current = self._entries.get(key)
         if (current.revision if current else 0) != expected:
-            return Swap(False, current.revision if current else 0, current)
+            return SwapResult(False, current.revision if current else 0, current)
         if lease and lease not in self._leases:
             raise StoreUnavailable(f"lease {lease} does not exist")
         self._revision += 1
-        entry = Entry(key, value, self._revision)
+        entry = KeyValue(key, value, self._revision)
         self._entries[key] = entry
         for other in self._leases.values():
             other.keys.discard(key)
@@ -96,17 +96,17 @@
             self._leases[lease].keys.add(key)
         self._append_change(Change(key, self._revision, entry))
         self._finish_write()
-        return Swap(True, self._revision)
+        return SwapResult(True, self._revision)
 
-    async def delete(self, key: str, expected: int) -> Swap:
+    async def delete(self, key: str, expected: int) -> SwapResult:
         """Deletes the key if its revision is `expected`."""
         self._start_call()
         current = self._entries.get(key)
         if current is None or current.revision != expected:
-            return Swap(False, current.revision if current else 0, current)
+            return SwapResult(False, current.revision if current else 0, current)
         self._remove(key)
         self._finish_write()
-        return Swap(True, self._revision)
+        return SwapResult(True, self._revision)
 
     async def grant_lease(self, ttl_ms: int) -> int:
         """Returns the id of a new lease."""
@@ -116,7 +116,7 @@
         self._finish_write()
         return lease
 
-    async def keep_lease(self, lease: int) -> int:
+    async def renew_lease(self, lease: int) -> int:
         """Renews a lease; returns its remaining ms, or 0 if it has ended."""
         self._start_call()
         if lease not in self._leases:
@@ -156,7 +156,7 @@
         ]:
             self._end_lease(lease)
 
-    def wake_watches(self) -> None:
+    def notify_watches(self) -> None:
         """Wakes the watches, so that they check for faults."""
         self._changed.set()
         self._changed = anyio.Event()
@@ -174,7 +174,7 @@
 
     def _append_change(self, change: Change) -> None:
         self._history.append(change)
-        self.wake_watches()
+        self.notify_watches()
 
     def _remove(self, key: str) -> None:
         self._revision += 1
--- a/rhubarbwinch/stores/store.py
+++ b/rhubarbwinch/stores/store.py
@@ -9,7 +9,7 @@
 
 
 @attrs.frozen
-class Entry:
+class KeyValue:
     """A key with its value.
 
     Attributes:
@@ -27,25 +27,25 @@
 class Listing:
     """The entries under a prefix at one revision of the store."""
 
-    entries: list[Entry]
+    entries: list[KeyValue]
     revision: int
 
 
 @attrs.frozen
-class Swap:
+class SwapResult:
     """The result of a compare-and-swap.
 
     Attributes:
-        won: Whether the value was written.
+        succeeded: Whether the value was written.
         revision: The new revision if the value was written, else that of the
             current value.
         current: If nothing was written, the current value; None if the key is
             absent.
     """
 
-    won: bool
+    succeeded: bool
     revision: int
-    current: Entry | None = None
+    current: KeyValue | None = None
 
 
 @attrs.frozen
@@ -54,7 +54,7 @@
 
     key: str
     revision: int
-    entry: Entry | None
+    entry: KeyValue | None
 
 
 @attrs.frozen
@@ -79,7 +79,7 @@
     written, and `StoreUncertain` if a write may have taken effect.
     """
 
-    async def get(self, key: str) -> Entry | None:
+    async def get(self, key: str) -> KeyValue | None:
         """Returns the entry of `key`, or None."""
         ...
 
@@ -89,11 +89,11 @@
 
     async def swap(
         self, key: str, expected: int, value: bytes, lease: int = 0
-    ) -> Swap:
+    ) -> SwapResult:
         """Writes `value` if the key's revision is `expected` (0: no key)."""
         ...
 
-    async def delete(self, key: str, expected: int) -> Swap:
+    async def delete(self, key: str, expected: int) -> SwapResult:
         """Deletes the key if its revision is `expected`."""
         ...
 
@@ -101,7 +101,7 @@
         """Returns the id of a new lease."""
         ...
 
-    async def keep_lease(self, lease: int) -> int:
+    async def renew_lease(self, lease: int) -> int:
         """Renews a lease; returns its remaining ms, or 0 if it has ended."""
         ...
 
--- a/rhubarbwinch/stores/tracedstore.py
+++ b/rhubarbwinch/stores/tracedstore.py
@@ -3,7 +3,7 @@
 from collections.abc import AsyncIterator
 
 from rhubarbwinch.shared import tracing
-from rhubarbwinch.stores.store import Change, Entry, Listing, Store, Swap
+from rhubarbwinch.stores.store import Change, KeyValue, Listing, Store, SwapResult
 
 
 class TracedStore:
@@ -18,7 +18,7 @@
     def __init__(self, store: Store) -> None:
         self._store = store
 
-    async def get(self, key: str) -> Entry | None:
+    async def get(self, key: str) -> KeyValue | None:
         """Returns the entry of `key`, or None."""
         if not tracing.is_recording():
             return await self._store.get(key)
@@ -34,16 +34,16 @@
 
     async def swap(
         self, key: str, expected: int, value: bytes, lease: int = 0
-    ) -> Swap:
+    ) -> SwapResult:
         """Writes `value` if the key's revision is `expected` (0: no key)."""
         if not tracing.is_recording():
             return await self._store.swap(key, expected, value, lease)
         with tracing.span("store", call="swap", key=key) as begun:
             swap = await self._store.swap(key, expected, value, lease)
-            begun.set_attribute("won", swap.won)
+            begun.set_attribute("won", swap.succeeded)
             return swap
 
-    async def delete(self, key: str, expected: int) -> Swap:
+    async def delete(self, key: str, expected: int) -> SwapResult:
         """Deletes the key if its revision is `expected`."""
         if not tracing.is_recording():
             return await self._store.delete(key, expected)
@@ -54,9 +54,9 @@
         """Returns the id of a new lease."""
         return await self._store.grant_lease(ttl_ms)
 
-    async def keep_lease(self, lease: int) -> int:
+    async def renew_lease(self, lease: int) -> int:
         """Renews a lease; returns its remaining ms, or 0 if it has ended."""
-        return await self._store.keep_lease(lease)
+        return await self._store.renew_lease(lease)
 
     async def revoke_lease(self, lease: int) -> None:
         """Ends a lease; the keys under it are deleted."""
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -3,7 +3,7 @@
 import orjson
 
 from rhubarbwinch.links.messages import PermitRequest
-from rhubarbwinch.records.accepted import make_snapshot
+from rhubarbwinch.records.acceptedconfig import make_snapshot
 from rhubarbwinch.records.apikeys import hash_key
 from rhubarbwinch.records.records import Record
 
--- a/tests/claimworld.py
+++ b/tests/claimworld.py
@@ -19,7 +19,7 @@
 from rhubarbwinch.endpoints.metering import METER_PERIOD_MS
 from rhubarbwinch.http.httpapi import Refused, Request, Responder
 from rhubarbwinch.links.messages import ClaimQuestion, PermitGrant
-from rhubarbwinch.records.accepted import make_snapshot
+from rhubarbwinch.records.acceptedconfig import make_snapshot
 from rhubarbwinch.shared import identity
 from rhubarbwinch.shared.clock import ManualClock
 from rhubarbwinch.shared.exceptions import (
--- a/tests/configuration/test_distribution.py
+++ b/tests/configuration/test_distribution.py
@@ -11,7 +11,7 @@
 from rhubarbwinch.configuration.distribution import Distribution
 from rhubarbwinch.membership.members import Role
 from rhubarbwinch.programs import ctl
-from rhubarbwinch.records import accepted, records
+from rhubarbwinch.records import acceptedconfig, records
 from rhubarbwinch.records.records import Record
 from rhubarbwinch.shared.exceptions import (
     ConflictError,
@@ -134,7 +134,7 @@
             await scenario.wait_for_generation(1)
             scenario.add_line("# the store is down before an apply")
             faults.down = True
-            scenario.store.wake_watches()
+            scenario.store.notify_watches()
             await scenario.apply(builders.account(weight=2.0))
             await scenario.wait(10_000)
             scenario.add_line(
@@ -151,7 +151,7 @@
             )
             await scenario.apply(builders.account(weight=3.0))
             faults.down = True
-            scenario.store.wake_watches()
+            scenario.store.notify_watches()
             await scenario.wait(10_000)
             faults.down = False
             await scenario.wait_for_generation(3)
@@ -162,7 +162,7 @@
             while "4" not in scenario.generations():
                 await scenario.fleet.clock.advance(1)
             faults.down = True
-            scenario.store.wake_watches()
+            scenario.store.notify_watches()
             await scenario.wait_for_generation(4)
             scenario.add_line(f"weight {scenario.weight('entry-new')}")
 
@@ -200,7 +200,7 @@
             scenario.add_line("# every read of the head returns generation 1")
             scenario.store.stale = old
             scenario.store.faults.down = True
-            scenario.store.wake_watches()
+            scenario.store.notify_watches()
             await scenario.fleet.clock.advance(1000)
             scenario.store.faults.down = False
             await scenario.apply(builders.account(weight=3.0))
@@ -216,7 +216,7 @@
                 keys.ACCEPTED_HEAD, now.revision, old.value
             )
             scenario.store.faults.down = True
-            scenario.store.wake_watches()
+            scenario.store.notify_watches()
             await scenario.fleet.clock.advance(1000)
             scenario.store.faults.down = False
             await scenario.apply(builders.account(weight=4.0))
@@ -366,9 +366,9 @@
             await scenario.wait_for_generation(3)
             config = scenario.fleet.nodes["entry-0"].config
             chunk = config.chunk(
-                config.head.chunks[accepted.slot_of_key("account/future")]
+                config.head.chunks[acceptedconfig.slot_of_key("account/future")]
             )
-            kept = [r.raw for r in accepted.unpack_chunk(chunk)]
+            kept = [r.raw for r in acceptedconfig.unpack_chunk(chunk)]
             scenario.add_line(f"bytes unchanged: {newer in kept}")
             is_used = "future" in config.snapshot.accounts
             scenario.add_line(f"an old entry uses it: {is_used}")
--- a/tests/configuration/test_publisher.py
+++ b/tests/configuration/test_publisher.py
@@ -7,7 +7,7 @@
 from rhubarbwinch.configuration.configreplica import ConfigReplica
 from rhubarbwinch.configuration.publisher import Publisher
 from rhubarbwinch.programs import ctl
-from rhubarbwinch.records import accepted
+from rhubarbwinch.records import acceptedconfig
 from rhubarbwinch.shared.clock import ManualClock
 from rhubarbwinch.shared.exceptions import StoreError
 from rhubarbwinch.stores import keys
@@ -60,7 +60,7 @@
         # The two records must be in different slots.
         await self._apply(builders.account("a"), builders.account("c"))
         self.assertNotEqual(
-            accepted.slot_of_key("account/a"), accepted.slot_of_key("account/c")
+            acceptedconfig.slot_of_key("account/a"), acceptedconfig.slot_of_key("account/c")
         )
         await self._publisher().publish_all()
         entry = await self.store.get(keys.record("account", "a"))
@@ -78,7 +78,7 @@
         await self._apply(builders.account(weight=1.0))
         await running.publish_all()
         await paused.publish_all()
-        write = accepted.write_chunk
+        write = acceptedconfig.write_chunk
         stopped, resume_event = anyio.Event(), anyio.Event()
 
         async def pause(store, chunk):
@@ -96,15 +96,15 @@
                 failed.append(True)
 
         async with anyio.create_task_group() as tasks:
-            accepted.write_chunk = pause
+            acceptedconfig.write_chunk = pause
             try:
                 tasks.start_soon(publish)
                 await stopped.wait()
             finally:
-                accepted.write_chunk = write
+                acceptedconfig.write_chunk = write
             self.assertEqual(await running.collect_garbage(), 0)
             self.assertEqual(await running.collect_garbage(), 1)
             resume_event.set()
         self.assertEqual(failed, [True])
-        head, _ = await accepted.read_head(self.store)
+        head, _ = await acceptedconfig.read_head(self.store)
         self.assertEqual(await self._chunks(), set(filter(None, head.chunks)))
--- a/tests/faultystore.py
+++ b/tests/faultystore.py
@@ -34,7 +34,7 @@
         if lost == "before":
             raise StoreUncertain("the request was lost")
         swap = await super().swap(key, expected, value, lease)
-        if swap.won:
+        if swap.succeeded:
             self.heads.append(value)
         if lost == "after":
             raise StoreUncertain("the answer was lost")
--- a/tests/gatewaybuilders.py
+++ b/tests/gatewaybuilders.py
@@ -16,7 +16,7 @@
     Target,
 )
 from rhubarbwinch.gateway.wire import CallHead
-from rhubarbwinch.stores.store import Change, Entry
+from rhubarbwinch.stores.store import Change, KeyValue
 
 ENGINE = EngineSpec(
     slots=24,
@@ -107,7 +107,7 @@
 
 def put(key, revision, value=b"v"):
     """Returns the change that writes a key."""
-    return Change(key, revision, Entry(key, value, revision))
+    return Change(key, revision, KeyValue(key, value, revision))
 
 
 def gone(key, revision):
--- a/tests/membership/test_leavingvms.py
+++ b/tests/membership/test_leavingvms.py
@@ -142,7 +142,7 @@
                 "the VM is missing from the list", "engine-0"
             )
             store.faults.down = True
-            store.wake_watches()
+            store.notify_watches()
             readers = [
                 name
                 for name, node in deployment.fleet.nodes.items()
--- a/tests/orders/test_reconciler.py
+++ b/tests/orders/test_reconciler.py
@@ -6,7 +6,7 @@
 from rhubarbwinch.orders.fencing import Fencing, HoldState
 from rhubarbwinch.orders.reconciler import LoadRateLimiter, Reconciler
 from rhubarbwinch.orders.desiredstate import LoadedState
-from rhubarbwinch.records import accepted
+from rhubarbwinch.records import acceptedconfig
 from rhubarbwinch.shared import rendezvous
 from rhubarbwinch.shared.clock import ManualClock
 from rhubarbwinch.shared.exceptions import EndpointError
@@ -92,7 +92,7 @@
             builders.pool("vintner", endpoints),
             builders.generate_service(version=self.version),
         ]
-        return accepted.make_snapshot(1, items)
+        return acceptedconfig.make_snapshot(1, items)
 
     async def run_round(self, name, controls=None):
         """Runs one round of a control, by default as the pool's owner."""
--- a/tests/platform/test_kvstore.py
+++ b/tests/platform/test_kvstore.py
@@ -40,12 +40,12 @@
         async with platform() as (_, store):
             self.assertIsNone(await store.get("a"))
             first = await store.swap("a", 0, b"\x00\xff")
-            self.assertTrue(first.won)
+            self.assertTrue(first.succeeded)
             lost = await store.swap("a", 0, b"2")
-            self.assertFalse(lost.won)
+            self.assertFalse(lost.succeeded)
             self.assertEqual(lost.current.value, b"\x00\xff")
             self.assertEqual((await store.get("a")).revision, first.revision)
-            self.assertTrue((await store.delete("a", first.revision)).won)
+            self.assertTrue((await store.delete("a", first.revision)).succeeded)
             self.assertIsNone(await store.get("a"))
 
     @asynchronous
@@ -80,10 +80,10 @@
         async with platform() as (_server, store):
             lease = await store.grant_lease(5_000)
             await store.swap("a", 0, b"1", lease)
-            self.assertEqual(await store.keep_lease(lease), 5_000)
+            self.assertEqual(await store.renew_lease(lease), 5_000)
             await store.revoke_lease(lease)
             self.assertIsNone(await store.get("a"))
-            self.assertEqual(await store.keep_lease(lease), 0)
+            self.assertEqual(await store.renew_lease(lease), 0)
 
     @asynchronous
     async def test_a_refused_write_is_reported_as_not_done(self):
--- a/tests/programs/test_broker.py
+++ b/tests/programs/test_broker.py
@@ -7,7 +7,7 @@
 
 from rhubarbwinch.membership.members import Role
 from rhubarbwinch.programs.broker import PoolKeeper
-from rhubarbwinch.records import accepted
+from rhubarbwinch.records import acceptedconfig
 from rhubarbwinch.shared.clock import ManualClock
 from rhubarbwinch.shared.metrics import Metrics
 from rhubarbwinch.shared.verdict import Reason, Verdict
@@ -29,7 +29,7 @@
         self.replies = {}
 
     def _configure(self, generation, *items):
-        self.keeper.configure(accepted.make_snapshot(generation, items))
+        self.keeper.configure(acceptedconfig.make_snapshot(generation, items))
 
     async def _ask(self, request_id):
         request = builders.permit_request(request_id, wait_ms=60_000)
--- a/tests/programs/test_ctl.py
+++ b/tests/programs/test_ctl.py
@@ -14,7 +14,7 @@
 from rhubarbwinch.programs import ctl, ctlcommands
 from rhubarbwinch.programs.ctl import Output
 from rhubarbwinch.records import secretkeys
-from rhubarbwinch.records.apikeys import matches
+from rhubarbwinch.records.apikeys import matches_hash
 from rhubarbwinch.records.records import Record, check
 from rhubarbwinch.shared.clock import ManualClock
 from rhubarbwinch.shared.exceptions import ConflictError, RecordError
@@ -71,19 +71,19 @@
     async def test_a_new_key_is_added_as_a_hash_only(self):
         spec = {"key_salt": "00", "key_hash": "ff", "services": ["chat"]}
         await ctl.apply(self.store, [Record("account", "acme", 1, spec)])
-        made = await ctl.add_key(self.store, "acme")
+        made = await ctl.add_api_key(self.store, "acme")
         entry = await self.store.get(keys.record("account", "acme"))
         self.assertNotIn(made.secret.encode(), entry.value)
         self.assertNotIn(made.secret, repr(made))
         (record,) = await ctl.list_records(self.store)
         old, new = check(record).keys
         self.assertEqual(old.digest, "ff")
-        self.assertTrue(matches(made.secret, new))
+        self.assertTrue(matches_hash(made.secret, new))
 
     @asynchronous
     async def test_no_key_is_added_to_an_unknown_account(self):
         with self.assertRaises(RecordError):
-            await ctl.add_key(self.store, "nobody")
+            await ctl.add_api_key(self.store, "nobody")
 
     def test_link_keys_differ_each_time(self):
         first, second = (secretkeys.make_link_keys() for _ in range(2))
