--- a/lab/bench_gateways.py
+++ b/lab/bench_gateways.py
@@ -15,7 +15,7 @@
 import attrs
 
 from lab.soak.run import make_callers
-from lab.soak.world import World
+from lab.soak.deployment import World
 
 # All gateways start together and share the cores, so the wait grows with their
 # number. SETTLE_S is added for the start of the last one.
--- a/lab/bench_logging.py
+++ b/lab/bench_logging.py
@@ -16,7 +16,7 @@
 import attrs
 
 from lab.soak.run import make_callers
-from lab.soak.world import World
+from lab.soak.deployment import World
 
 SETTLE_S = 2.0
 CALLERS = 32
--- a/lab/seeded/callers.py
+++ b/lab/seeded/callers.py
@@ -6,8 +6,8 @@
 import anyio
 import orjson
 
-from lab.seeded.log import Attempt, End, RequestKind
-from lab.seeded.world import API_KEY, Program, World, completion_body
+from lab.seeded.records import Attempt, End, RequestKind
+from lab.seeded.deployment import API_KEY, Program, World, completion_body
 from rhubarbwinch.http.sse import DONE, Splitter
 from rhubarbwinch.programs.entry import Entry
 
--- a/lab/seeded/check.py
+++ b/lab/seeded/check.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from lab.seeded.log import Attempt, End, Journal, RequestKind, Run
+from lab.seeded.records import Attempt, End, Journal, RequestKind, Run
 from rhubarbwinch.http.sse import DONE
 
 
--- a/lab/seeded/world.py
+++ b/lab/seeded/deployment.py
@@ -10,7 +10,7 @@
 
 from lab.seeded.endpoints import EndpointSet, SeededEndpoints
 from lab.seeded.links import SeededNetwork
-from lab.seeded.log import Journal
+from lab.seeded.records import Journal
 from rhubarbwinch.programs.broker import Broker
 from rhubarbwinch.programs.config import BrokerSettings, EntrySettings
 from rhubarbwinch.programs.entry import Entry
--- a/lab/seeded/endpoints.py
+++ b/lab/seeded/endpoints.py
@@ -9,7 +9,7 @@
 import httpx
 import orjson
 
-from lab.seeded.log import Journal, Run
+from lab.seeded.records import Journal, Run
 from rhubarbwinch.endpoints.endpoints import EndpointClient
 from rhubarbwinch.endpoints.relay import EventStream
 from rhubarbwinch.http.sse import DONE, StreamEvent
--- a/lab/seeded/run.py
+++ b/lab/seeded/run.py
@@ -5,8 +5,8 @@
 
 from lab.seeded.callers import Caller
 from lab.seeded.check import find_violations
-from lab.seeded.log import Attempt, End, RequestKind
-from lab.seeded.world import ENGINES, PLAIN_ENDPOINTS, Program, World
+from lab.seeded.records import Attempt, End, RequestKind
+from lab.seeded.deployment import ENGINES, PLAIN_ENDPOINTS, Program, World
 from rhubarbwinch.http.sse import DONE
 from rhubarbwinch.shared.registry import Registry
 
--- a/lab/soak/engines.py
+++ b/lab/soak/engines.py
@@ -163,7 +163,7 @@
             return None
         # A copy can be used only once.
         del self._context.copies[handle]
-        return int(arrival.headers.get(headers.LAST_EVENT.decode(), "0")) + 1
+        return int(arrival.headers.get(headers.LAST_EVENT_ID.decode(), "0")) + 1
 
     @contextmanager
     def _track_run(self, arrival: Arrival, first: int) -> Iterator[ActiveRun]:
@@ -182,7 +182,7 @@
         self._context.journal.runs.append(run)
         active_run = ActiveRun(run, first - 1, anyio.CancelScope())
         self._active_runs[run.id] = active_run
-        address = fields.get(headers.BACKUP.decode())
+        address = fields.get(headers.STANDBY.decode())
         if address in self._context.engines:
             active_run.standby_copy = KvCacheCopy(str(address), 0, self.address)
             self._context.copies[run.id] = active_run.standby_copy
--- a/lab/soak/faults.py
+++ b/lab/soak/faults.py
@@ -8,7 +8,7 @@
 
 from lab.soak.engines import SoakEngine
 from lab.soak.proxy import LoopbackProxy
-from lab.soak.world import Gateway, World
+from lab.soak.deployment import Gateway, World
 from lab.standins import platformfiles
 from rhubarbwinch.shared.registry import Registry
 
--- a/lab/soak/run.py
+++ b/lab/soak/run.py
@@ -10,7 +10,7 @@
 from lab.soak.callers import Caller, CallerContext
 from lab.soak.faults import FAULTS
 from lab.soak.records import Journal
-from lab.soak.world import World
+from lab.soak.deployment import World
 
 STARTUP_S = 3.0
 # After this time from the last fault, all requests must be served again.
--- a/lab/standins/platformengine.py
+++ b/lab/standins/platformengine.py
@@ -12,7 +12,7 @@
 import orjson
 
 from rhubarbwinch.gateway.edge import EdgeRequest, EdgeResponder, EdgeServer
-from rhubarbwinch.gateway.wire import Headers
+from rhubarbwinch.gateway.platforminterface import Headers
 from rhubarbwinch.shared.clock import SystemClock
 
 HANDLE_PATH = b"/kv-handle/"
--- a/rhubarbwinch/gateway/beliefs.py
+++ b/rhubarbwinch/gateway/beliefs.py
@@ -45,7 +45,7 @@
                 self._apply_endpoint(change, after_outage)
             elif change.key.startswith(platform.member_prefix):
                 self._apply_peer_registration(change)
-        self._streams.note_change()
+        self._streams.handle_capacity_change()
 
     def take_leaving(self, notice: LeavingNotice) -> None:
         """Applies an engine's own notice that it leaves."""
@@ -158,4 +158,4 @@
         self._transport.close_idle(known.endpoint.address)
         self._context.suspicion.forget(endpoint_id)
         self._context.reports.forget(endpoint_id)
-        self._streams.note_leaving(known.endpoint)
+        self._streams.handle_leaving_engine(known.endpoint)
--- a/rhubarbwinch/gateway/context.py
+++ b/rhubarbwinch/gateway/context.py
@@ -5,7 +5,7 @@
 import attrs
 
 from rhubarbwinch.gateway import statistics
-from rhubarbwinch.gateway.copies import CopyManager
+from rhubarbwinch.gateway.migratedcopies import CopyManager
 from rhubarbwinch.gateway.crashes import Break, CrashLedger, fingerprint
 from rhubarbwinch.gateway.edge import EdgeRequest
 from rhubarbwinch.gateway.failurereports import (
@@ -23,7 +23,7 @@
 from rhubarbwinch.gateway.routes import EngineSpec, Route, RoutingTable
 from rhubarbwinch.gateway.suspicion import Outcome, Suspicion
 from rhubarbwinch.gateway.upstream import Upstream
-from rhubarbwinch.gateway.wire import CallHead, Platform
+from rhubarbwinch.gateway.platforminterface import CallHead, Platform
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.clock import Clock
 
--- a/rhubarbwinch/gateway/edge.py
+++ b/rhubarbwinch/gateway/edge.py
@@ -15,7 +15,7 @@
 import h11
 
 from rhubarbwinch.gateway.routes import HttpLimits
-from rhubarbwinch.gateway.wire import Headers
+from rhubarbwinch.gateway.platforminterface import Headers
 from rhubarbwinch.http.transport import probe_dead_peer
 from rhubarbwinch.shared import events, misc
 from rhubarbwinch.shared.clock import Clock
--- a/rhubarbwinch/gateway/relaying.py
+++ b/rhubarbwinch/gateway/eventrelay.py
@@ -7,9 +7,9 @@
 import anyio
 
 from rhubarbwinch.gateway import statistics
-from rhubarbwinch.gateway.carrying import Migrator
+from rhubarbwinch.gateway.migration import Migrator
 from rhubarbwinch.gateway.context import Context
-from rhubarbwinch.gateway.rooms import RunPlacer
+from rhubarbwinch.gateway.runplacement import RunPlacer
 from rhubarbwinch.gateway.runs import Run
 from rhubarbwinch.gateway.upstream import UpstreamResponse
 from rhubarbwinch.http.sse import Splitter
@@ -167,7 +167,7 @@
         run.last_event_ms = now
         if run.reservation is not None and run.reservation.prefill:
             run.reservation.end_prefill()
-            self._placer.note_change()
+            self._placer.handle_capacity_change()
             self._migrator.migrate_if_leaving(run)
 
     async def _send_head(self, run: Run, response: UpstreamResponse) -> None:
--- a/rhubarbwinch/gateway/continuing.py
+++ b/rhubarbwinch/gateway/failover.py
@@ -3,16 +3,16 @@
 import anyio
 
 from rhubarbwinch.gateway import statistics
-from rhubarbwinch.gateway.carrying import Migrator
+from rhubarbwinch.gateway.migration import Migrator
 from rhubarbwinch.gateway.context import Context
 from rhubarbwinch.gateway.endpoints import Endpoint
-from rhubarbwinch.gateway.enginesends import GenerationSender
+from rhubarbwinch.gateway.generationsender import GenerationSender
 from rhubarbwinch.gateway.loads import Room
-from rhubarbwinch.gateway.rooms import RunPlacer
+from rhubarbwinch.gateway.runplacement import RunPlacer
 from rhubarbwinch.gateway.runs import MigrationTarget, Run
 from rhubarbwinch.gateway.suspicion import Outcome
 from rhubarbwinch.gateway.upstream import UpstreamResponse
-from rhubarbwinch.gateway.wire import KvCacheLocation
+from rhubarbwinch.gateway.platforminterface import KvCacheLocation
 from rhubarbwinch.shared import events
 
 # How long a failover waits for a copy that is in flight when the stream breaks.
@@ -137,7 +137,7 @@
             run.migration_scope.cancel()
             run.migration_scope = None
         self._placer.reserve_standby(run)
-        self._placer.note_change()
+        self._placer.handle_capacity_change()
 
     async def _send_to_target(
         self, run: Run, endpoint: Endpoint, location: KvCacheLocation, how: str
--- a/rhubarbwinch/gateway/answers.py
+++ b/rhubarbwinch/gateway/failureresponses.py
@@ -2,7 +2,7 @@
 
 from rhubarbwinch.gateway import statistics
 from rhubarbwinch.gateway.edge import EdgeResponder
-from rhubarbwinch.gateway.wire import Platform
+from rhubarbwinch.gateway.platforminterface import Platform
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.verdict import Failure, Reason, Verdict
 
--- a/rhubarbwinch/gateway/enginesends.py
+++ b/rhubarbwinch/gateway/generationsender.py
@@ -9,11 +9,11 @@
     WholeResponse,
     relay_response,
 )
-from rhubarbwinch.gateway.rooms import MIN_ATTEMPT_MS
+from rhubarbwinch.gateway.runplacement import MIN_ATTEMPT_MS
 from rhubarbwinch.gateway.runs import Run
 from rhubarbwinch.gateway.suspicion import Outcome
 from rhubarbwinch.gateway.upstream import UpstreamResponse
-from rhubarbwinch.gateway.wire import AttemptOptions, KvCacheLocation
+from rhubarbwinch.gateway.platforminterface import AttemptOptions, KvCacheLocation
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.exceptions import EndpointError
 from rhubarbwinch.shared.verdict import Failure, Reason, Verdict, not_run
--- a/rhubarbwinch/gateway/hops.py
+++ b/rhubarbwinch/gateway/hops.py
@@ -3,7 +3,7 @@
 from contextlib import AbstractContextManager, nullcontext
 from typing import Any, Protocol
 
-from rhubarbwinch.gateway.wire import Headers
+from rhubarbwinch.gateway.platforminterface import Headers
 
 # The header of W3C Trace Context.
 TRACEPARENT = b"traceparent"
--- a/rhubarbwinch/gateway/copies.py
+++ b/rhubarbwinch/gateway/migratedcopies.py
@@ -14,7 +14,7 @@
 from rhubarbwinch.gateway import statistics
 from rhubarbwinch.gateway.endpoints import Endpoint
 from rhubarbwinch.gateway.loads import Room
-from rhubarbwinch.gateway.wire import (
+from rhubarbwinch.gateway.platforminterface import (
     CopyResult,
     EngineCalls,
     FreeState,
--- a/rhubarbwinch/gateway/carrying.py
+++ b/rhubarbwinch/gateway/migration.py
@@ -4,11 +4,11 @@
 
 from rhubarbwinch.gateway import moving
 from rhubarbwinch.gateway.context import Context
-from rhubarbwinch.gateway.copies import MigratedCopy
+from rhubarbwinch.gateway.migratedcopies import MigratedCopy
 from rhubarbwinch.gateway.endpoints import Endpoint
 from rhubarbwinch.gateway.loads import Room
 from rhubarbwinch.gateway.runs import MigrationTarget, Run
-from rhubarbwinch.gateway.wire import KvCacheLocation, MoveState
+from rhubarbwinch.gateway.platforminterface import KvCacheLocation, MoveState
 
 # Retry interval: a run that is queued or in its prefill can't be copied yet.
 RETRY_INTERVAL_MS = 40
@@ -29,7 +29,7 @@
     def __init__(self, context: Context) -> None:
         self._context = context
 
-    def note_leaving(self, run: Run, endpoint: Endpoint) -> None:
+    def handle_leaving_engine(self, run: Run, endpoint: Endpoint) -> None:
         """Releases a leaving standby; migrates a run whose engine leaves."""
         if run.reservation is None:
             return
--- a/rhubarbwinch/gateway/outage.py
+++ b/rhubarbwinch/gateway/outage.py
@@ -11,7 +11,7 @@
 import anyio
 
 from rhubarbwinch.gateway.endpoints import Endpoint
-from rhubarbwinch.gateway.wire import EngineCalls
+from rhubarbwinch.gateway.platforminterface import EngineCalls
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import EndpointError
--- a/rhubarbwinch/gateway/plaincalls.py
+++ b/rhubarbwinch/gateway/plaincalls.py
@@ -3,12 +3,12 @@
 import anyio
 import attrs
 
-from rhubarbwinch.gateway import answers, placing, statistics
+from rhubarbwinch.gateway import failureresponses, placing, statistics
 from rhubarbwinch.gateway.context import Context, Job
 from rhubarbwinch.gateway.edge import EdgeResponder
 from rhubarbwinch.gateway.endpoints import Endpoint
 from rhubarbwinch.gateway.suspicion import Outcome
-from rhubarbwinch.gateway.wire import AttemptOptions, ResponseHead
+from rhubarbwinch.gateway.platforminterface import AttemptOptions, ResponseHead
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.exceptions import EndpointError
 from rhubarbwinch.shared.verdict import Failure, Reason, Verdict, not_run
@@ -247,6 +247,6 @@
         tried=sorted(job.tried),
         revision=context.table.version if context.table else 0,
     )
-    await answers.send_failure(
+    await failureresponses.send_failure(
         context.platform, responder, job.call.request_id, failure
     )
--- a/rhubarbwinch/gateway/wire.py
+++ b/rhubarbwinch/gateway/platforminterface.py
@@ -243,15 +243,15 @@
         """
         ...
 
-    def directory_name(self, target: bytes) -> str | None:
+    def directory_lookup_host(self, target: bytes) -> str | None:
         """Returns the host name of a lookup; None for other requests."""
         ...
 
-    def directory_answer(self, addresses: list[str], ttl_ms: int) -> bytes:
+    def encode_directory_response(self, addresses: list[str], ttl_ms: int) -> bytes:
         """Returns the body of the response to a lookup."""
         ...
 
-    def is_readiness(self, target: bytes) -> bool:
+    def is_readiness_probe(self, target: bytes) -> bool:
         """Returns whether a request is a readiness probe."""
         ...
 
--- a/rhubarbwinch/gateway/program.py
+++ b/rhubarbwinch/gateway/program.py
@@ -11,7 +11,7 @@
 from rhubarbwinch.gateway import statistics
 from rhubarbwinch.gateway.beliefs import Beliefs
 from rhubarbwinch.gateway.context import Context
-from rhubarbwinch.gateway.copies import CopyManager
+from rhubarbwinch.gateway.migratedcopies import CopyManager
 from rhubarbwinch.gateway.crashes import CrashLedger
 from rhubarbwinch.gateway.edge import EdgeServer
 from rhubarbwinch.gateway.endpoints import Endpoint
@@ -43,7 +43,7 @@
 from rhubarbwinch.gateway.streams import StreamCalls
 from rhubarbwinch.gateway.suspicion import Suspicion
 from rhubarbwinch.gateway.upstream import Upstream
-from rhubarbwinch.gateway.wire import EngineCalls, Platform
+from rhubarbwinch.gateway.platforminterface import EngineCalls, Platform
 from rhubarbwinch.http.transport import Transport, TransportOptions
 from rhubarbwinch.links.broadcast import Broadcast
 from rhubarbwinch.links.links import Links, LinkServer
@@ -73,7 +73,7 @@
 
 
 @attrs.frozen
-class Outside:
+class GatewayDependencies:
     """The external dependencies of a gateway.
 
     Attributes:
@@ -111,7 +111,7 @@
     """
 
     def __init__(
-        self, settings: GatewaySettings, dependencies: Outside
+        self, settings: GatewaySettings, dependencies: GatewayDependencies
     ) -> None:
         self._settings = settings
         self._dependencies = dependencies
@@ -334,7 +334,7 @@
             await self._clock.sleep(TICK_MS)
             self._beliefs.expire()
             statistics.OPEN.set(self._front.status.open_requests)
-            self._streams.note_change()
+            self._streams.handle_capacity_change()
             if self._feed.is_failing != self._was_failing:
                 self._was_failing = self._feed.is_failing
                 self._peers.tell()
--- a/rhubarbwinch/gateway/router.py
+++ b/rhubarbwinch/gateway/router.py
@@ -3,13 +3,13 @@
 import anyio
 
 from rhubarbwinch.gateway import hops
-from rhubarbwinch.gateway.answers import send_failure
+from rhubarbwinch.gateway.failureresponses import send_failure
 from rhubarbwinch.gateway.context import Context, make_job
 from rhubarbwinch.gateway.edge import EdgeRequest, EdgeResponder
 from rhubarbwinch.gateway.plaincalls import PlainCalls, send_job_failure
 from rhubarbwinch.gateway.routes import CallKind, Route, RoutingTable
 from rhubarbwinch.gateway.streams import StreamCalls
-from rhubarbwinch.gateway.wire import CallHead
+from rhubarbwinch.gateway.platforminterface import CallHead
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.exceptions import BadCallError
 from rhubarbwinch.shared.verdict import Failure, Reason, not_run
--- a/rhubarbwinch/gateway/rooms.py
+++ b/rhubarbwinch/gateway/runplacement.py
@@ -29,7 +29,7 @@
         self._context = context
         self._queues: dict[str, WaitQueue] = {}
 
-    def note_change(self) -> None:
+    def handle_capacity_change(self) -> None:
         """Wakes the queued requests and publishes the loads to the peers."""
         for queue in self._queues.values():
             queue.wake()
--- a/rhubarbwinch/gateway/runs.py
+++ b/rhubarbwinch/gateway/runs.py
@@ -8,7 +8,7 @@
 from rhubarbwinch.gateway.edge import EdgeResponder
 from rhubarbwinch.gateway.endpoints import Endpoint
 from rhubarbwinch.gateway.loads import Room
-from rhubarbwinch.gateway.wire import KvCacheLocation
+from rhubarbwinch.gateway.platforminterface import KvCacheLocation
 
 
 @attrs.define(eq=False)
--- a/rhubarbwinch/gateway/selfservice.py
+++ b/rhubarbwinch/gateway/selfservice.py
@@ -6,7 +6,7 @@
 from rhubarbwinch.gateway.edge import EdgeRequest, EdgeResponder
 from rhubarbwinch.gateway.peers import Peers
 from rhubarbwinch.gateway.settings import GatewaySettings
-from rhubarbwinch.gateway.wire import Platform
+from rhubarbwinch.gateway.platforminterface import Platform
 
 # How long callers cache a directory response. A shorter time costs lookups, a
 # longer one leaves callers at VMs that are gone.
@@ -40,10 +40,10 @@
     ) -> None:
         """Handles a directory, readiness or metrics request."""
         platform = self._platform
-        if platform.is_readiness(request.target):
+        if platform.is_readiness_probe(request.target):
             await responder.send(200 if self._is_ready() else 503, [], b"")
             return
-        if platform.directory_name(request.target) is not None:
+        if platform.directory_lookup_host(request.target) is not None:
             await self._send_directory(responder)
             return
         if request.target.startswith(b"/metrics"):
@@ -60,6 +60,6 @@
             await responder.send(503, [], b"no gateway serves")
             return
         ttl = min(DIRECTORY_TTL_MS, self._settings.directory_ttl_max_ms)
-        body = self._platform.directory_answer(addresses, ttl)
+        body = self._platform.encode_directory_response(addresses, ttl)
         content_type = (b"Content-Type", b"application/json")
         await responder.send(200, [content_type], body)
--- a/rhubarbwinch/gateway/streams.py
+++ b/rhubarbwinch/gateway/streams.py
@@ -3,15 +3,15 @@
 import anyio
 
 from rhubarbwinch.gateway import statistics
-from rhubarbwinch.gateway.carrying import Migrator
+from rhubarbwinch.gateway.migration import Migrator
 from rhubarbwinch.gateway.context import Context, Job
-from rhubarbwinch.gateway.continuing import Failover
+from rhubarbwinch.gateway.failover import Failover
 from rhubarbwinch.gateway.edge import EdgeResponder
 from rhubarbwinch.gateway.endpoints import Endpoint
-from rhubarbwinch.gateway.enginesends import GenerationSender
+from rhubarbwinch.gateway.generationsender import GenerationSender
 from rhubarbwinch.gateway.plaincalls import send_job_failure
-from rhubarbwinch.gateway.relaying import EventRelay
-from rhubarbwinch.gateway.rooms import RunPlacer
+from rhubarbwinch.gateway.eventrelay import EventRelay
+from rhubarbwinch.gateway.runplacement import RunPlacer
 from rhubarbwinch.gateway.runs import Run
 from rhubarbwinch.gateway.suspicion import Outcome
 from rhubarbwinch.gateway.upstream import UpstreamResponse
@@ -54,19 +54,19 @@
             finally:
                 self._runs.discard(run)
                 run.release()
-                self._placer.note_change()
+                self._placer.handle_capacity_change()
                 tasks.cancel_scope.cancel()
         if failed:
             raise failed[0]
 
-    def note_change(self) -> None:
+    def handle_capacity_change(self) -> None:
         """Wakes the queued requests and publishes the loads to the peers."""
-        self._placer.note_change()
+        self._placer.handle_capacity_change()
 
-    def note_leaving(self, endpoint: Endpoint) -> None:
+    def handle_leaving_engine(self, endpoint: Endpoint) -> None:
         """Migrates the runs of an engine that leaves."""
         for run in list(self._runs):
-            self._migrator.note_leaving(run, endpoint)
+            self._migrator.handle_leaving_engine(run, endpoint)
 
     async def _serve(self, run: Run) -> None:
         failure = await self._start(run)
--- a/rhubarbwinch/gateway/upstream.py
+++ b/rhubarbwinch/gateway/upstream.py
@@ -8,7 +8,7 @@
 from rhubarbwinch.gateway import hops
 from rhubarbwinch.gateway.endpoints import Endpoint
 from rhubarbwinch.gateway.hops import Tracer
-from rhubarbwinch.gateway.wire import (
+from rhubarbwinch.gateway.platforminterface import (
     AttemptOptions,
     CallHead,
     Platform,
--- a/rhubarbwinch/platform/adapter.py
+++ b/rhubarbwinch/platform/adapter.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from rhubarbwinch.gateway.wire import PLATFORMS
+from rhubarbwinch.gateway.platforminterface import PLATFORMS
 from rhubarbwinch.platform import documents, headers
 
 
@@ -28,7 +28,7 @@
     decode_endpoint = staticmethod(documents.decode_endpoint)
 
     @staticmethod
-    def directory_name(target: bytes) -> str | None:
+    def directory_lookup_host(target: bytes) -> str | None:
         """Returns the host name of a lookup; None for other requests."""
         path, _, query = target.decode("latin-1").partition("?")
         if path != "/resolve":
@@ -36,11 +36,11 @@
         return parse_qs(query).get("name", [""])[0]
 
     @staticmethod
-    def directory_answer(addresses: list[str], ttl_ms: int) -> bytes:
+    def encode_directory_response(addresses: list[str], ttl_ms: int) -> bytes:
         """Returns the body of the response to a lookup."""
         return orjson.dumps({"addresses": addresses, "ttl_s": ttl_ms / 1000})
 
     @staticmethod
-    def is_readiness(target: bytes) -> bool:
+    def is_readiness_probe(target: bytes) -> bool:
         """Returns whether a request is a readiness probe."""
         return target.partition(b"?")[0] == b"/readiness"
--- a/rhubarbwinch/platform/documents.py
+++ b/rhubarbwinch/platform/documents.py
@@ -16,7 +16,7 @@
     ServiceSpec,
     Target,
 )
-from rhubarbwinch.gateway.wire import EngineReport
+from rhubarbwinch.gateway.platforminterface import EngineReport
 from rhubarbwinch.shared import misc
 from rhubarbwinch.shared.exceptions import PlatformFormatError
 
--- a/rhubarbwinch/platform/enginecalls.py
+++ b/rhubarbwinch/platform/enginecalls.py
@@ -5,7 +5,7 @@
 import httpx
 import orjson
 
-from rhubarbwinch.gateway.wire import (
+from rhubarbwinch.gateway.platforminterface import (
     CopyResult,
     EngineReport,
     FreeState,
--- a/rhubarbwinch/platform/headers.py
+++ b/rhubarbwinch/platform/headers.py
@@ -2,7 +2,7 @@
 
 import re
 
-from rhubarbwinch.gateway.wire import (
+from rhubarbwinch.gateway.platforminterface import (
     AttemptOptions,
     CallHead,
     Headers,
@@ -13,16 +13,16 @@
 # Identifies one attempt of a caller; each retry has an id of its own.
 REQUEST_ID = b"attempt-id"
 # A duration in milliseconds from the time of sending, not a point in time.
-DEADLINE = b"deadline-ms"
+DEADLINE_MS = b"deadline-ms"
 ACCOUNT = b"tenant"
 EXPECTED_ENDPOINT = b"expect-instance"
 # The sizes announced by the caller: prompt tokens, maximum output tokens.
-SIZES = b"token-usage"
+TOKEN_COUNTS = b"token-usage"
 OUTPUT_ESTIMATE = b"length-hint"
-LAST_EVENT = b"last-event-id"
+LAST_EVENT_ID = b"last-event-id"
 SIGNATURE = b"server-signature"
 NOT_RUN = b"not-executed"
-BACKUP = b"kv-backup"
+STANDBY = b"kv-backup"
 RESUME_FROM = b"kv-from"
 PRIORITY = b"request-priority"
 AUTHORIZATION = b"authorization"
@@ -48,14 +48,14 @@
 # endpoints must not receive them.
 RESERVED_HEADERS = frozenset(
     {
-        DEADLINE,
+        DEADLINE_MS,
         ACCOUNT,
         EXPECTED_ENDPOINT,
-        BACKUP,
+        STANDBY,
         RESUME_FROM,
         PRIORITY,
         AUTHORIZATION,
-        LAST_EVENT,
+        LAST_EVENT_ID,
         b"kv-hold",
         b"kv-fetch",
         b"pin-ms",
@@ -108,10 +108,10 @@
     hosts = _values(headers, b"host")
     if len(hosts) != 1:
         raise BadCallError("a request needs one host")
-    deadline = _first_value(headers, DEADLINE)
+    deadline = _first_value(headers, DEADLINE_MS)
     if deadline is not None and _parse_number(deadline) is None:
         raise BadCallError("the deadline is not a whole number")
-    token_counts = (_first_value(headers, SIZES) or "0,0").split(",")
+    token_counts = (_first_value(headers, TOKEN_COUNTS) or "0,0").split(",")
     skipped = _hop_by_hop_names(headers) | RESERVED_HEADERS
     return CallHead(
         method=method,
@@ -128,7 +128,7 @@
             _first_value(headers, OUTPUT_ESTIMATE)
         )
         or 0,
-        last_event_id=_first_value(headers, LAST_EVENT),
+        last_event_id=_first_value(headers, LAST_EVENT_ID),
         headers=[(n, v) for n, v in headers if n.lower() not in skipped],
     )
 
--- a/rhubarbwinch/programs/gatewaymain.py
+++ b/rhubarbwinch/programs/gatewaymain.py
@@ -10,10 +10,10 @@
 
 from rhubarbwinch.gateway import statistics
 from rhubarbwinch.gateway.hops import Tracer
-from rhubarbwinch.gateway.program import Gateway, Outside, make_transport
+from rhubarbwinch.gateway.program import Gateway, GatewayDependencies, make_transport
 from rhubarbwinch.gateway.settings import GatewaySettings
-from rhubarbwinch.gateway.wire import PLATFORMS
-from rhubarbwinch.platform import bootfile
+from rhubarbwinch.gateway.platforminterface import PLATFORMS
+from rhubarbwinch.platform import settingsfile
 from rhubarbwinch.platform.enginecalls import PlatformEngineCalls
 from rhubarbwinch.platform.kvstore import PlatformStore
 from rhubarbwinch.shared import events
@@ -59,7 +59,7 @@
             SettingError: The file can't be read, or a field is missing or not
                 valid.
         """
-        return bootfile.load(self.settings, self.metrics_port)
+        return settingsfile.load(self.settings, self.metrics_port)
 
 
 def make_parser() -> argparse.ArgumentParser:
@@ -166,7 +166,7 @@
     async def run() -> None:
         check_no_io_uring()
         transport = make_transport()
-        dependencies = Outside(
+        dependencies = GatewayDependencies(
             platform=PLATFORMS.get(options.platform)(),
             store=PlatformStore(settings.store, STORE_TIMEOUT_MS),
             transport=transport,
--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -14,7 +14,7 @@
 from rhubarbwinch.gateway.routes import CallKind
 from rhubarbwinch.shared.clock import ManualClock
 from tests import gatewaybuilders as build
-from tests.gatewayworld import world
+from tests.gatewayharness import running_gateway
 from tests.helpers import asynchronous
 
 
@@ -63,28 +63,28 @@
     @asynchronous
     async def test_it_reaches_no_endpoint_after_the_third_crash(self):
         table = build.table(build.route(CallKind.NON_IDEMPOTENT))
-        async with world(engines=6, table=table) as w:
+        async with running_gateway(engines=6, table=table) as gateway:
 
             async def crash(arrival, responder):
                 """Makes the endpoint unreachable during the request."""
                 name = arrival.headers["expect-instance"]
-                known = w.context.fleet.get(name)
+                known = gateway.context.fleet.get(name)
                 unreachable = build.endpoint(name, address="127.0.0.1:1")
                 known.endpoint = unreachable
 
             async def is_gone(address):
                 return True
 
-            w.context.crashes._is_gone = is_gone
-            for engine in w.engines:
+            gateway.context.crashes._is_gone = is_gone
+            for engine in gateway.engines:
                 engine.behaviour = crash
             statuses = []
             for i in range(6):
-                statuses.append((await w.call(f"q{i}")).status)
+                statuses.append((await gateway.call(f"q{i}")).status)
                 # The crash is detected after the caller has its response.
-                while len(w.told) < min(i + 1, MAX_CRASHES):
+                while len(gateway.broadcasts) < min(i + 1, MAX_CRASHES):
                     await anyio.sleep(0)
-        self.assertEqual(len(w.arrivals), MAX_CRASHES)
+        self.assertEqual(len(gateway.arrivals), MAX_CRASHES)
         self.assertEqual(statuses[:3], [502] * 3)
         self.assertEqual(statuses[-1], 503)
-        self.assertEqual(len(w.told), MAX_CRASHES)
+        self.assertEqual(len(gateway.broadcasts), MAX_CRASHES)
--- a/tests/gateway/test_feed.py
+++ b/tests/gateway/test_feed.py
@@ -27,7 +27,7 @@
     StoreUnavailable,
 )
 from rhubarbwinch.stores.store import ChangeBatch, Listing
-from tests.gatewaybuilders import gone, put
+from tests.gatewaybuilders import deletion, write
 from tests.helpers import asynchronous
 
 
@@ -105,8 +105,8 @@
     @asynchronous
     async def test_changes_are_reported_and_broadcast_once(self):
         self._make(
-            [Listing([put("a", 2).entry], 3)],
-            [ChangeBatch(3, 5, [put("a", 5)]), ChangeBatch(5, 6, [])],
+            [Listing([write("a", 2).entry], 3)],
+            [ChangeBatch(3, 5, [write("a", 5)]), ChangeBatch(5, 6, [])],
         )
         await self._run(500)
         self.assertEqual(
@@ -121,8 +121,8 @@
     async def test_compacted_history_leads_to_a_full_scan(self):
         self._make(
             [
-                Listing([put("a", 2).entry, put("b", 2).entry], 3),
-                Listing([put("b", 2).entry], 9),
+                Listing([write("a", 2).entry, write("b", 2).entry], 3),
+                Listing([write("b", 2).entry], 9),
             ],
             [StoreCompacted("410")],
         )
@@ -132,10 +132,10 @@
     @asynchronous
     async def test_deletions_after_an_outage_are_marked(self):
         self._make(
-            [Listing([put("a", 2).entry], 3)],
+            [Listing([write("a", 2).entry], 3)],
             [
                 *[StoreUnavailable("down")] * (MIN_OUTAGE_MS // RETRY_MS + 1),
-                ChangeBatch(3, 4, [gone("a", 4)]),
+                ChangeBatch(3, 4, [deletion("a", 4)]),
             ],
         )
         await self._run(2 * MIN_OUTAGE_MS)
@@ -147,10 +147,10 @@
     @asynchronous
     async def test_a_short_failure_does_not_mark_deletions(self):
         self._make(
-            [Listing([put("a", 2).entry], 3)],
+            [Listing([write("a", 2).entry], 3)],
             [StoreUnavailable("cut"), ChangeBatch(3, 3, [])],
         )
-        self.store.polls.append(ChangeBatch(3, 4, [gone("a", 4)]))
+        self.store.polls.append(ChangeBatch(3, 4, [deletion("a", 4)]))
         await self._run(MIN_OUTAGE_MS)
         self.assertEqual(self.reported[-1], ([("a", 4)], False))
 
@@ -191,7 +191,7 @@
         # The datagram with the last change was lost, so no gap shows its loss.
         self._make(
             [Listing([], 3)],
-            [ChangeBatch(3, 5, [put("a", 5)])],
+            [ChangeBatch(3, 5, [write("a", 5)])],
             is_watcher=False,
         )
         await self._run(300)
@@ -206,7 +206,7 @@
     @asynchronous
     async def test_a_batch_after_a_gap_is_applied_and_followed_by_a_scan(self):
         self._make(
-            [Listing([], 3), Listing([put("b", 5).entry], 9)],
+            [Listing([], 3), Listing([write("b", 5).entry], 9)],
             [],
             is_watcher=False,
         )
@@ -262,7 +262,7 @@
 
     @asynchronous
     async def test_a_failed_fetch_of_a_value_leads_to_a_scan(self):
-        listing = Listing([put("big", 5).entry], 6)
+        listing = Listing([write("big", 5).entry], 6)
         self._make([Listing([], 3), listing], [], is_watcher=False)
         await self._run(300)
         left_out = SharedChange("big", 5, bytes_left_out=5_000)
@@ -279,8 +279,8 @@
     """Splitting batches into parts that fit into a datagram."""
 
     def test_parts_fit_a_datagram_and_are_consecutive(self):
-        changes = [put(f"key-{i}", i, b"v" * 300) for i in range(5, 25)]
-        changes.append(put("big", 30, b"v" * 50_000))
+        changes = [write(f"key-{i}", i, b"v" * 300) for i in range(5, 25)]
+        changes.append(write("big", 30, b"v" * 50_000))
         parts = split_batch(ChangeBatch(4, 40, changes), changes)
         self.assertEqual(parts[0].after, 4)
         self.assertEqual(parts[-1].revision, 40)
@@ -293,6 +293,6 @@
         self.assertEqual(sum(len(p.changes) for p in parts), 21)
 
     def test_changes_of_one_transaction_stay_together(self):
-        changes = [put(f"key-{i}", 7, b"v" * 600) for i in range(4)]
+        changes = [write(f"key-{i}", 7, b"v" * 600) for i in range(4)]
         parts = split_batch(ChangeBatch(4, 8, changes), changes)
         self.assertEqual(len(parts), 1)
--- a/tests/gateway/test_hops.py
+++ b/tests/gateway/test_hops.py
@@ -8,7 +8,7 @@
 )
 
 from rhubarbwinch.shared import tracing
-from tests.gatewayworld import world
+from tests.gatewayharness import running_gateway
 from tests.helpers import asynchronous
 
 PARENT = f"00-{'12' * 16}-{'34' * 8}-01"
@@ -22,9 +22,9 @@
         exporter = InMemorySpanExporter()
         tracing.use(SimpleSpanProcessor(exporter), "g1")
         self.addCleanup(tracing.close)
-        async with world(engines=1, tracer=tracing) as w:
-            response = await w.call(traceparent=PARENT)
-            forwarded = w.engines[0].arrivals[0].headers["traceparent"]
+        async with running_gateway(engines=1, tracer=tracing) as gateway:
+            response = await gateway.call(traceparent=PARENT)
+            forwarded = gateway.engines[0].arrivals[0].headers["traceparent"]
         self.assertEqual(response.status, 200)
         spans = {span.name: span for span in exporter.get_finished_spans()}
         request, attempt = spans["gateway"], spans["endpoint"]
@@ -36,7 +36,7 @@
 
     @asynchronous
     async def test_without_tracing_the_callers_traceparent_is_forwarded(self):
-        async with world(engines=1) as w:
-            await w.call(traceparent=PARENT)
-            forwarded = w.engines[0].arrivals[0].headers["traceparent"]
+        async with running_gateway(engines=1) as gateway:
+            await gateway.call(traceparent=PARENT)
+            forwarded = gateway.engines[0].arrivals[0].headers["traceparent"]
         self.assertEqual(forwarded, PARENT)
--- a/tests/gateway/test_copies.py
+++ b/tests/gateway/test_migratedcopies.py
@@ -5,9 +5,9 @@
 
 import anyio
 
-from rhubarbwinch.gateway.copies import EXPIRY_FACTOR, CopyManager, MigratedCopy
+from rhubarbwinch.gateway.migratedcopies import EXPIRY_FACTOR, CopyManager, MigratedCopy
 from rhubarbwinch.gateway.loads import LoadBook, Room
-from rhubarbwinch.gateway.wire import CopyResult, FreeState, MoveState
+from rhubarbwinch.gateway.platforminterface import CopyResult, FreeState, MoveState
 from rhubarbwinch.shared.clock import ManualClock
 from tests.gatewaybuilders import endpoint
 from tests.helpers import asynchronous
--- a/tests/gateway/test_outage.py
+++ b/tests/gateway/test_outage.py
@@ -10,7 +10,7 @@
     STALE_MS,
     OutageWatch,
 )
-from rhubarbwinch.gateway.wire import EngineReport
+from rhubarbwinch.gateway.platforminterface import EngineReport
 from rhubarbwinch.shared.clock import ManualClock
 from rhubarbwinch.shared.exceptions import EndpointError
 from tests.gatewaybuilders import endpoint
--- a/tests/gateway/test_plaincalls.py
+++ b/tests/gateway/test_plaincalls.py
@@ -7,7 +7,7 @@
 from lab.standins.platformengine import answer_ok, head_of, refuse
 from rhubarbwinch.gateway.routes import CallKind
 from tests import gatewaybuilders as build
-from tests.gatewayworld import world
+from tests.gatewayharness import running_gateway
 from tests.helpers import asynchronous
 
 NOT_REPEATABLE = build.table(build.route(CallKind.NON_IDEMPOTENT))
@@ -83,97 +83,97 @@
 
     @asynchronous
     async def test_a_whole_response_is_relayed(self):
-        async with world() as w:
-            found = await w.call()
+        async with running_gateway() as gateway:
+            found = await gateway.call()
         self.assertEqual((found.status, found.body), (200, b"q1"))
         self.assertEqual(found.headers["server-signature"], "sig")
-        self.assertEqual(len(w.arrivals), 1)
+        self.assertEqual(len(gateway.arrivals), 1)
 
     @asynchronous
     async def test_a_repeatable_call_is_served_by_the_other_endpoint(self):
         for behaviour in (*BROKEN_BEHAVIOURS, refuse, fail):
-            async with world() as w:
+            async with running_gateway() as gateway:
                 once = _once(behaviour)
-                for engine in w.engines:
+                for engine in gateway.engines:
                     engine.behaviour = once
-                found = await w.call()
+                found = await gateway.call()
                 self.assertEqual(found.status, 200, behaviour)
-                self.assertEqual(sorted(w.arrivals), ["e1", "e2"])
+                self.assertEqual(sorted(gateway.arrivals), ["e1", "e2"])
 
     @asynchronous
     async def test_a_call_that_may_have_run_once_is_never_sent_again(self):
         for behaviour in BROKEN_BEHAVIOURS:
-            async with world(table=NOT_REPEATABLE) as w:
-                for engine in w.engines:
+            async with running_gateway(table=NOT_REPEATABLE) as gateway:
+                for engine in gateway.engines:
                     engine.behaviour = behaviour
-                found = await w.call()
+                found = await gateway.call()
                 self.assertEqual(found.status, 502, behaviour)
-                self.assertEqual(len(w.arrivals), 1, behaviour)
+                self.assertEqual(len(gateway.arrivals), 1, behaviour)
                 self.assertNotIn("server-signature", found.headers)
 
     @asynchronous
     async def test_a_refused_call_is_sent_to_each_endpoint_once(self):
-        async with world(table=NOT_REPEATABLE) as w:
-            w.engines[0].behaviour = w.engines[1].behaviour = refuse
-            found = await w.call()
+        async with running_gateway(table=NOT_REPEATABLE) as gateway:
+            gateway.engines[0].behaviour = gateway.engines[1].behaviour = refuse
+            found = await gateway.call()
             self.assertEqual(found.status, 503)
             self.assertIn("retry-after", found.headers)
-            self.assertEqual(sorted(w.arrivals), ["e1", "e2"])
+            self.assertEqual(sorted(gateway.arrivals), ["e1", "e2"])
 
     @asynchronous
     async def test_an_unreachable_endpoint_is_skipped(self):
-        async with world(table=NOT_REPEATABLE) as w:
-            known = w.context.fleet.get("e1")
+        async with running_gateway(table=NOT_REPEATABLE) as gateway:
+            known = gateway.context.fleet.get("e1")
             unreachable = build.endpoint("e1", address="127.0.0.1:1")
             known.endpoint = unreachable
             for i in range(6):
-                found = await w.call(f"q{i}")
+                found = await gateway.call(f"q{i}")
                 self.assertEqual(found.status, 200)
 
     @asynchronous
     async def test_another_endpoint_at_a_reused_address_runs_nothing(self):
-        async with world(engines=1, table=NOT_REPEATABLE) as w:
-            w.engines[0].name = "e9"
-            found = await w.call()
+        async with running_gateway(engines=1, table=NOT_REPEATABLE) as gateway:
+            gateway.engines[0].name = "e9"
+            found = await gateway.call()
             self.assertEqual(found.status, 503)
-            self.assertEqual(w.arrivals, [])
+            self.assertEqual(gateway.arrivals, [])
 
     @asynchronous
     async def test_a_response_to_another_request_is_skipped(self):
-        async with world(engines=1) as w:
-            w.engines[0].behaviour = stale_response_first
-            found = await w.call()
+        async with running_gateway(engines=1) as gateway:
+            gateway.engines[0].behaviour = stale_response_first
+            found = await gateway.call()
             self.assertEqual((found.status, found.body), (200, b"q1"))
 
     @asynchronous
     async def test_an_endpoints_own_error_is_relayed_unchanged(self):
-        async with world(table=NOT_REPEATABLE) as w:
-            w.engines[0].behaviour = w.engines[1].behaviour = fail
-            found = await w.call()
+        async with running_gateway(table=NOT_REPEATABLE) as gateway:
+            gateway.engines[0].behaviour = gateway.engines[1].behaviour = fail
+            found = await gateway.call()
             self.assertEqual((found.status, found.body), (500, b"no"))
             self.assertEqual(found.headers["server-signature"], "sig")
-            self.assertEqual(len(w.arrivals), 1)
+            self.assertEqual(len(gateway.arrivals), 1)
 
     @asynchronous
     async def test_the_attempt_is_cancelled_when_the_caller_disconnects(self):
         async def hang(arrival, responder):
             await anyio.sleep_forever()
 
-        async with world(engines=1) as w:
-            w.engines[0].behaviour = hang
-            _, writer = await w.open()
-            while not w.arrivals:
+        async with running_gateway(engines=1) as gateway:
+            gateway.engines[0].behaviour = hang
+            _, writer = await gateway.open()
+            while not gateway.arrivals:
                 await anyio.sleep(0)
             writer.close()
-            while not w.engines[0].left:
+            while not gateway.engines[0].left:
                 await anyio.sleep(0)
-            self.assertEqual(w.context.loads.own(), [])
+            self.assertEqual(gateway.context.loads.own(), [])
 
     @asynchronous
     async def test_the_endpoint_gets_the_remaining_deadline(self):
-        async with world(engines=1) as w:
-            await w.call()
-            headers = w.engines[0].arrivals[0].headers
+        async with running_gateway(engines=1) as gateway:
+            await gateway.call()
+            headers = gateway.engines[0].arrivals[0].headers
             # The route's limit of 5 s is lower than the caller's 20 s.
             self.assertLessEqual(int(headers["deadline-ms"]), 5_000)
             self.assertEqual(headers["tenant"], "acme")
@@ -181,15 +181,15 @@
 
     @asynchronous
     async def test_unknown_keys_routes_and_missing_ids_are_refused(self):
-        async with world() as w:
+        async with running_gateway() as gateway:
             for more, status in (
                 ({"Authorization": "Bearer other"}, 401),
                 ({"Authorization": ""}, 401),
                 ({"path": "/unknown/"}, 404),
                 ({"Attempt_Id": ""}, 400),
             ):
-                found = await w.call(**more)
+                found = await gateway.call(**more)
                 self.assertEqual(found.status, status, more)
-            w.context.table = None
-            self.assertEqual((await w.call()).status, 503)
-            self.assertEqual(w.arrivals, [])
+            gateway.context.table = None
+            self.assertEqual((await gateway.call()).status, 503)
+            self.assertEqual(gateway.arrivals, [])
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -8,7 +8,7 @@
 from lab.standins.platformengine import event, head_of, refuse
 from rhubarbwinch.gateway.routes import CallKind
 from tests import gatewaybuilders as build
-from tests.gatewayworld import read_response, world
+from tests.gatewayharness import read_response, running_gateway
 from tests.helpers import asynchronous
 
 NO_STANDBY = attrs.evolve(build.ENGINE, can_back_up=False)
@@ -49,44 +49,44 @@
         await responder.end_stream()
 
 
-async def _start(w, *args, **more):
-    reader, writer = await w.open(*args, **more)
+async def _start(gateway, *args, **more):
+    reader, writer = await gateway.open(*args, **more)
     return reader, writer
 
 
 class StreamCallsTest(unittest.TestCase):
     """One caller, some engines."""
 
-    def _script(self, w, generation):
-        for engine in w.engines:
+    def _script(self, gateway, generation):
+        for engine in gateway.engines:
             engine.behaviour = generation.run
 
     @asynchronous
     async def test_a_stream_is_relayed_completely(self):
-        async with world(table=NOT_REPEATABLE) as w:
-            self._script(w, Generation())
-            found = await w.call()
+        async with running_gateway(table=NOT_REPEATABLE) as gateway:
+            self._script(gateway, Generation())
+            found = await gateway.call()
         self.assertEqual(found.body, ALL)
         self.assertTrue(found.is_complete)
-        self.assertEqual(w.context.loads.own(), [])
+        self.assertEqual(gateway.context.loads.own(), [])
 
     @asynchronous
     async def test_a_run_resumes_from_its_copy_when_its_engine_ends(self):
-        async with world(table=NOT_REPEATABLE) as w:
+        async with running_gateway(table=NOT_REPEATABLE) as gateway:
             generation = Generation()
             generation.break_after = 3
             generation.proceed = anyio.Event()
-            self._script(w, generation)
-            reader, writer = await _start(w)
+            self._script(gateway, generation)
+            reader, writer = await _start(gateway)
             await generation.reached.wait()
-            source = next(e for e in w.engines if e.arrivals)
-            other = next(e for e in w.engines if e is not source)
-            w.announce_leaving(source)
+            source = next(e for e in gateway.engines if e.arrivals)
+            other = next(e for e in gateway.engines if e is not source)
+            gateway.announce_leaving(source)
             while not source.moves:
                 await anyio.sleep(0)
             self.assertEqual(source.moves[0]["to"], other.address)
             # The first copy is complete before the source engine ends.
-            while not next(iter(w.streams._runs)).target:
+            while not next(iter(gateway.streams._runs)).target:
                 await anyio.sleep(0)
             generation.proceed.set()
             found = await read_response(reader)
@@ -101,7 +101,7 @@
 
     @asynchronous
     async def test_a_copy_of_a_run_that_ends_before_its_engine_is_freed(self):
-        async with world(table=NOT_REPEATABLE) as w:
+        async with running_gateway(table=NOT_REPEATABLE) as gateway:
             generation = Generation()
             generation.proceed = anyio.Event()
 
@@ -115,34 +115,34 @@
                     await responder.write(event(number))
                 await responder.end_stream()
 
-            for engine in w.engines:
+            for engine in gateway.engines:
                 engine.behaviour = finish
-            reader, writer = await _start(w)
+            reader, writer = await _start(gateway)
             await generation.reached.wait()
-            source = next(e for e in w.engines if e.arrivals)
-            w.announce_leaving(source)
-            while not next(iter(w.streams._runs)).target:
+            source = next(e for e in gateway.engines if e.arrivals)
+            gateway.announce_leaving(source)
+            while not next(iter(gateway.streams._runs)).target:
                 await anyio.sleep(0)
             generation.proceed.set()
             found = await read_response(reader)
             writer.close()
-            while w.context.loads.own():
+            while gateway.context.loads.own():
                 await anyio.sleep(0)
         self.assertEqual(found.body, ALL)
         self.assertEqual(source.freed, ["h-q1"])
 
     @asynchronous
     async def test_a_copy_stays_usable_when_its_refresh_fails(self):
-        async with world(table=NOT_REPEATABLE) as w:
+        async with running_gateway(table=NOT_REPEATABLE) as gateway:
             generation = Generation()
             generation.break_after = 3
             generation.proceed = anyio.Event()
-            self._script(w, generation)
-            reader, writer = await _start(w)
+            self._script(gateway, generation)
+            reader, writer = await _start(gateway)
             await generation.reached.wait()
-            source = next(e for e in w.engines if e.arrivals)
-            w.announce_leaving(source)
-            while not next(iter(w.streams._runs)).target:
+            source = next(e for e in gateway.engines if e.arrivals)
+            gateway.announce_leaving(source)
+            while not next(iter(gateway.streams._runs)).target:
                 await anyio.sleep(0)
             # The engine is about to end: from here on all its calls fail.
             source.move_status = 500
@@ -157,26 +157,26 @@
 
     @asynchronous
     async def test_a_run_without_a_copy_is_never_run_again(self):
-        async with world(table=NOT_REPEATABLE) as w:
+        async with running_gateway(table=NOT_REPEATABLE) as gateway:
             generation = Generation()
             generation.break_after = 3
-            self._script(w, generation)
-            found = await w.call()
-            self.assertEqual(len(w.arrivals), 1)
+            self._script(gateway, generation)
+            found = await gateway.call()
+            self.assertEqual(len(gateway.arrivals), 1)
         self.assertEqual(found.body, b"".join(event(i) for i in (1, 2, 3)))
         self.assertFalse(found.is_complete)
 
     @asynchronous
     async def test_a_run_with_a_standby_resumes_at_the_standby(self):
-        async with world(table=WITH_STANDBY) as w:
+        async with running_gateway(table=WITH_STANDBY) as gateway:
             generation = Generation()
             generation.break_after = 3
-            self._script(w, generation)
-            found = await w.call()
+            self._script(gateway, generation)
+            found = await gateway.call()
             first = next(
-                e for e in w.engines if "kv-backup" in e.arrivals[0].headers
+                e for e in gateway.engines if "kv-backup" in e.arrivals[0].headers
             )
-            other = next(e for e in w.engines if e is not first)
+            other = next(e for e in gateway.engines if e is not first)
         self.assertEqual(found.body, ALL)
         self.assertTrue(found.is_complete)
         resumed = other.arrivals[0].headers
@@ -192,16 +192,16 @@
         async def cut(arrival, responder):
             """Closes the connection without a response."""
 
-        async with world(table=NOT_REPEATABLE) as w:
-            for engine in w.engines:
+        async with running_gateway(table=NOT_REPEATABLE) as gateway:
+            for engine in gateway.engines:
                 engine.behaviour = cut
-            found = await w.call()
+            found = await gateway.call()
             self.assertEqual(found.status, 502)
-            self.assertEqual(len(w.arrivals), 1)
+            self.assertEqual(len(gateway.arrivals), 1)
 
     @asynchronous
     async def test_a_refused_run_is_placed_elsewhere(self):
-        async with world(table=NOT_REPEATABLE) as w:
+        async with running_gateway(table=NOT_REPEATABLE) as gateway:
             generation = Generation()
             seen = []
 
@@ -212,29 +212,29 @@
                 else:
                     await generation.run(arrival, responder)
 
-            for engine in w.engines:
+            for engine in gateway.engines:
                 engine.behaviour = refuse_first
-            found = await w.call()
+            found = await gateway.call()
         self.assertEqual(found.body, ALL)
-        self.assertEqual(sorted(w.arrivals), ["e1", "e2"])
+        self.assertEqual(sorted(gateway.arrivals), ["e1", "e2"])
 
     @asynchronous
     async def test_a_run_that_is_placed_again_releases_its_old_standby(self):
-        async with world(engines=3, table=WITH_STANDBY) as w:
+        async with running_gateway(engines=3, table=WITH_STANDBY) as gateway:
             generation = Generation()
             held = []
 
             async def refuse_first(arrival, responder):
-                loads = [w.context.loads.total(e.name) for e in w.engines]
+                loads = [gateway.context.loads.total(e.name) for e in gateway.engines]
                 held.append(sorted(load.tokens for load in loads))
                 if len(held) == 1:
                     await refuse(arrival, responder)
                 else:
                     await generation.run(arrival, responder)
 
-            for engine in w.engines:
+            for engine in gateway.engines:
                 engine.behaviour = refuse_first
-            found = await w.call()
+            found = await gateway.call()
         self.assertEqual(found.body, ALL)
         # The run is counted at one engine, its standby at another, and nothing
         # at the third.
@@ -243,14 +243,14 @@
 
     @asynchronous
     async def test_a_resumable_run_restarts_after_its_last_event(self):
-        async with world(table=RESUMABLE) as w:
+        async with running_gateway(table=RESUMABLE) as gateway:
             generation = Generation()
             generation.break_after = 2
-            self._script(w, generation)
-            found = await w.call()
+            self._script(gateway, generation)
+            found = await gateway.call()
             self.assertEqual(found.body, ALL)
             self.assertTrue(found.is_complete)
-            self.assertEqual(sorted(w.arrivals), ["e1", "e2"])
+            self.assertEqual(sorted(gateway.arrivals), ["e1", "e2"])
 
     @asynchronous
     async def test_attempts_of_a_resumable_run_are_limited_by_the_route(self):
@@ -259,22 +259,22 @@
             await responder.start_stream(200, head_of(arrival))
             await responder.write(event(start + 1))
 
-        async with world(engines=4, table=RESUMABLE) as w:
-            for engine in w.engines:
+        async with running_gateway(engines=4, table=RESUMABLE) as gateway:
+            for engine in gateway.engines:
                 engine.behaviour = break_always
-            found = await w.call()
-            self.assertEqual(len(w.arrivals), 2)
+            found = await gateway.call()
+            self.assertEqual(len(gateway.arrivals), 2)
         self.assertFalse(found.is_complete)
         self.assertEqual(found.body, event(1) + event(2))
 
     @asynchronous
     async def test_a_partial_event_is_not_relayed(self):
-        async with world(table=RESUMABLE) as w:
+        async with running_gateway(table=RESUMABLE) as gateway:
             generation = Generation()
             generation.break_after = 2
             generation.tail = b"id: 3\ndata: pie"
-            self._script(w, generation)
-            found = await w.call()
+            self._script(gateway, generation)
+            found = await gateway.call()
         self.assertEqual(found.body, ALL)
 
     @asynchronous
@@ -285,9 +285,9 @@
                 await responder.write(event(number))
             await responder.end_stream()
 
-        async with world(engines=1, table=NOT_REPEATABLE) as w:
-            w.engines[0].behaviour = repeat
-            found = await w.call()
+        async with running_gateway(engines=1, table=NOT_REPEATABLE) as gateway:
+            gateway.engines[0].behaviour = repeat
+            found = await gateway.call()
         self.assertEqual(found.body, event(1) + event(2) + event(3))
 
     @asynchronous
@@ -298,9 +298,9 @@
                 await responder.write(event(number))
             await responder.end_stream()
 
-        async with world(engines=1, table=NOT_REPEATABLE) as w:
-            w.engines[0].behaviour = skip
-            found = await w.call()
+        async with running_gateway(engines=1, table=NOT_REPEATABLE) as gateway:
+            gateway.engines[0].behaviour = skip
+            found = await gateway.call()
         self.assertFalse(found.is_complete)
         self.assertEqual(found.body, event(1))
 
@@ -309,28 +309,28 @@
         table = build.table(
             build.route(CallKind.STREAM, objective_ms=50, timeout_ms=500)
         )
-        async with world(engines=0, table=table) as w:
-            found = await w.call()
+        async with running_gateway(engines=0, table=table) as gateway:
+            found = await gateway.call()
         self.assertEqual(found.status, 503)
         self.assertIn("retry-after", found.headers)
 
     @asynchronous
     async def test_a_run_is_cancelled_when_its_caller_disconnects(self):
-        async with world(engines=1, table=NOT_REPEATABLE) as w:
+        async with running_gateway(engines=1, table=NOT_REPEATABLE) as gateway:
             generation = Generation()
             generation.break_after = 2
             generation.proceed = anyio.Event()
-            self._script(w, generation)
-            _, writer = await _start(w)
+            self._script(gateway, generation)
+            _, writer = await _start(gateway)
             await generation.reached.wait()
             writer.close()
-            while not w.engines[0].left:
+            while not gateway.engines[0].left:
                 await anyio.sleep(0)
-            self.assertEqual(w.context.loads.own(), [])
+            self.assertEqual(gateway.context.loads.own(), [])
 
     @asynchronous
     async def test_a_draining_gateway_refuses_generations(self):
-        async with world(table=NOT_REPEATABLE) as w:
-            w.context.is_draining = True
-            found = await w.call()
-            self.assertEqual((found.status, w.arrivals), (503, []))
+        async with running_gateway(table=NOT_REPEATABLE) as gateway:
+            gateway.context.is_draining = True
+            found = await gateway.call()
+            self.assertEqual((found.status, gateway.arrivals), (503, []))
--- a/tests/gatewaybuilders.py
+++ b/tests/gatewaybuilders.py
@@ -15,7 +15,7 @@
     ServiceSpec,
     Target,
 )
-from rhubarbwinch.gateway.wire import CallHead
+from rhubarbwinch.gateway.platforminterface import CallHead
 from rhubarbwinch.stores.store import Change, Entry
 
 ENGINE = EngineSpec(
@@ -105,12 +105,12 @@
     return CallHead(**(base | fields))
 
 
-def put(key, revision, value=b"v"):
+def write(key, revision, value=b"v"):
     """Returns the change that writes a key."""
     return Change(key, revision, Entry(key, value, revision))
 
 
-def gone(key, revision):
+def deletion(key, revision):
     """Returns the change that deletes a key."""
     return Change(key, revision, None)
 
--- a/tests/gatewayworld.py
+++ b/tests/gatewayharness.py
@@ -8,7 +8,7 @@
 
 from lab.standins.platformengine import ScriptedEngine
 from rhubarbwinch.gateway.context import Context
-from rhubarbwinch.gateway.copies import CopyManager
+from rhubarbwinch.gateway.migratedcopies import CopyManager
 from rhubarbwinch.gateway.crashes import CrashLedger
 from rhubarbwinch.gateway.edge import EdgeServer
 from rhubarbwinch.gateway.failurereports import FailureReports
@@ -53,7 +53,7 @@
     is_complete: bool
 
 
-class World:
+class GatewayHarness:
     """A gateway's router with scripted engines behind it."""
 
     def __init__(self, engines, table, tracer=None):
@@ -61,7 +61,7 @@
             ScriptedEngine(f"e{i}", free_address(), "svc")
             for i in range(1, engines + 1)
         ]
-        self.told = []
+        self.broadcasts = []
         self.platform = KielichowaPlatform()
         self.transport = Transport()
         self.context = Context(
@@ -81,7 +81,7 @@
                 PlatformEngineCalls(self.transport), SystemClock()
             ),
             crashes=CrashLedger(
-                self.transport.is_unreachable, SystemClock(), self.told.append
+                self.transport.is_unreachable, SystemClock(), self.broadcasts.append
             ),
             table=table,
         )
@@ -103,7 +103,7 @@
         """Delivers the notice that an engine is leaving."""
         assert self.put(engine, "draining")
         known = self.context.fleet.get(engine.name)
-        self.streams.note_leaving(known.endpoint)
+        self.streams.handle_leaving_engine(known.endpoint)
 
     @property
     def arrivals(self):
@@ -173,9 +173,9 @@
 
 
 @asynccontextmanager
-async def world(engines=2, table=None, tracer=None):
+async def running_gateway(engines=2, table=None, tracer=None):
     """Runs a gateway's request path and its engines."""
-    found = World(engines, table or build.table(build.route()), tracer)
+    found = GatewayHarness(engines, table or build.table(build.route()), tracer)
     async with anyio.create_task_group() as tasks:
         for engine in found.engines:
             tasks.start_soon(engine.run)
--- a/tests/lab/test_seeded.py
+++ b/tests/lab/test_seeded.py
@@ -6,7 +6,7 @@
 
 from lab.seeded.__main__ import describe
 from lab.seeded.check import find_violations
-from lab.seeded.log import Attempt, End, Journal, RequestKind, Run
+from lab.seeded.records import Attempt, End, Journal, RequestKind, Run
 from lab.seeded.run import run_seed
 from rhubarbwinch.http.sse import DONE
 
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rhubarbwinch.gateway.wire import AttemptOptions, KvCacheLocation
+from rhubarbwinch.gateway.platforminterface import AttemptOptions, KvCacheLocation
 from rhubarbwinch.platform import headers
 from rhubarbwinch.shared.exceptions import BadCallError
 
--- a/tests/platform/test_bootfile.py
+++ b/tests/platform/test_settingsfile.py
@@ -4,7 +4,7 @@
 
 from lab.standins import platformfiles
 from rhubarbwinch.gateway.messages import PeerAddress
-from rhubarbwinch.platform import bootfile
+from rhubarbwinch.platform import settingsfile
 from rhubarbwinch.shared.exceptions import SettingError
 
 TEXT = platformfiles.settings_text(
@@ -19,11 +19,11 @@
 )
 
 
-class BootFileTest(unittest.TestCase):
+class SettingsFileTest(unittest.TestCase):
     """Settings parsed from a text."""
 
     def test_settings_are_parsed(self):
-        found = bootfile.parse(TEXT, 9464)
+        found = settingsfile.parse(TEXT, 9464)
         self.assertEqual(
             found.address, PeerAddress("10.1.0.19:7200", "10.1.0.19:7201")
         )
@@ -41,13 +41,13 @@
             ("internal_ports=7200,7215\n", "internal_ports"),
         ):
             with self.assertRaises(SettingError) as caught:
-                bootfile.parse(TEXT.replace(line, ""), 9464)
+                settingsfile.parse(TEXT.replace(line, ""), 9464)
             self.assertEqual(caught.exception.name, name)
         wrong = TEXT.replace("grace_s=8", "grace_s=long")
         with self.assertRaises(SettingError) as caught:
-            bootfile.parse(wrong, 9464)
+            settingsfile.parse(wrong, 9464)
         self.assertEqual(caught.exception.name, "bounds.grace_s")
 
     def test_a_missing_file_raises_a_setting_error(self):
         with self.assertRaises(SettingError):
-            bootfile.load("/no/such/file", 9464)
+            settingsfile.load("/no/such/file", 9464)
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from lab.seeded.world import API_KEY, World
+from lab.seeded.deployment import API_KEY, World
 from tests.helpers import asynchronous
 
 
