--- a/lab/bench.py
+++ b/lab/bench.py
@@ -9,7 +9,7 @@
 import sys
 import time
 
-from lab import bench_load, bench_plan, bench_report
+from lab import bench_traffic, bench_plan, bench_report
 from lab.bench_targets import TargetChecker
 
 
@@ -17,10 +17,10 @@
     """Runs all simulations and prints tables, targets and the comparison."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--record", default="", metavar="NOTE")
-    parser.add_argument("--deployment", choices=sorted(bench_load.DEPLOYMENTS))
+    parser.add_argument("--deployment", choices=sorted(bench_traffic.DEPLOYMENTS))
     options = parser.parse_args()
     started_s = time.monotonic()
-    names = list(bench_load.DEPLOYMENTS)
+    names = list(bench_traffic.DEPLOYMENTS)
     if options.deployment:
         names = [options.deployment]
     found = bench_plan.run_in_parallel(bench_plan.find_capacity, names)
@@ -35,7 +35,7 @@
     for name in names:
         rates = ", ".join(
             f"{c.name} {c.requests_per_s * capacity[name]:.2f}/s"
-            for c in bench_load.DEPLOYMENTS[name].classes
+            for c in bench_traffic.DEPLOYMENTS[name].classes
         )
         lines.append(f"{name}: capacity {capacity[name]:.4f} ({rates})")
     lines += [bench_report.format_table(results), ""]
--- a/lab/bench_broker.py
+++ b/lab/bench_broker.py
@@ -13,7 +13,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from lab.bench_load import ACCOUNT_WEIGHTS, ACCOUNTS, account_specs
+from lab.bench_traffic import ACCOUNT_WEIGHTS, ACCOUNTS, account_specs
 from rhubarbwinch.admission.admission import Admission, Decision, LoadReport
 from rhubarbwinch.links.messages import PermitRelease, PermitRequest, StreamEnd
 from rhubarbwinch.records.records import EndpointSpec, PoolSpec
--- a/lab/bench_gateways.py
+++ b/lab/bench_gateways.py
@@ -15,7 +15,7 @@
 import attrs
 
 from lab.soak.run import make_callers
-from lab.soak.deployment import World
+from lab.soak.deployment import SoakDeployment
 
 # All gateways start together and share the cores, so the wait grows with their
 # number. SETTLE_S is added for the start of the last one.
@@ -49,43 +49,43 @@
     gateways: int, callers: int, duration_s: float, folder: pathlib.Path
 ) -> list[Usage]:
     """Returns the usage of gateways while idle and while serving callers."""
-    world = World(folder, random.Random(1), gateways, ENGINES)
+    deployment = SoakDeployment(folder, random.Random(1), gateways, ENGINES)
     try:
         async with anyio.create_task_group() as tasks:
-            await world.start(tasks)
+            await deployment.start(tasks)
             await anyio.sleep(START_S_PER_GATEWAY * gateways + SETTLE_S)
-            idle = await _measure_usage(world, 0, duration_s)
-            busy = await _measure_usage(world, callers, duration_s)
+            idle = await _measure_usage(deployment, 0, duration_s)
+            busy = await _measure_usage(deployment, callers, duration_s)
             tasks.cancel_scope.cancel()
     finally:
-        world.close()
+        deployment.stop()
     return [idle, busy]
 
 
-async def _measure_usage(world: World, count: int, duration_s: float) -> Usage:
-    cpu, calls = _cpu_s(world), len(world.store.calls)
-    served_before = _served(world)
-    callers = make_callers(world, random.Random(1), count)
+async def _measure_usage(deployment: SoakDeployment, count: int, duration_s: float) -> Usage:
+    cpu, calls = _cpu_s(deployment), len(deployment.store.calls)
+    served_before = _served(deployment)
+    callers = make_callers(deployment, random.Random(1), count)
     async with anyio.create_task_group() as tasks:
         for caller in callers:
             tasks.start_soon(caller.run)
         await anyio.sleep(duration_s)
         usage = Usage(
-            (_served(world) - served_before) / duration_s,
-            (_cpu_s(world) - cpu) / duration_s / len(world.gateways),
-            (len(world.store.calls) - calls) / duration_s,
+            (_served(deployment) - served_before) / duration_s,
+            (_cpu_s(deployment) - cpu) / duration_s / len(deployment.gateways),
+            (len(deployment.store.calls) - calls) / duration_s,
         )
         for caller in callers:
             caller.is_stopping = True
     return usage
 
 
-def _cpu_s(world: World) -> float:
-    return sum(world.cpu_s(gateway) for gateway in world.gateways)
+def _cpu_s(deployment: SoakDeployment) -> float:
+    return sum(deployment.cpu_s(gateway) for gateway in deployment.gateways)
 
 
-def _served(world: World) -> int:
-    return sum(a.status == 200 for a in world.journal.attempts)
+def _served(deployment: SoakDeployment) -> int:
+    return sum(a.status == 200 for a in deployment.records.attempts)
 
 
 def main() -> None:
--- a/lab/bench_logging.py
+++ b/lab/bench_logging.py
@@ -16,7 +16,7 @@
 import attrs
 
 from lab.soak.run import make_callers
-from lab.soak.deployment import World
+from lab.soak.deployment import SoakDeployment
 
 SETTLE_S = 2.0
 CALLERS = 32
@@ -42,24 +42,24 @@
 async def measure(level: str, duration_s: float, folder: pathlib.Path) -> Cost:
     """Runs a gateway at a log level under the load of the soak test."""
     options = ("--log-level", level)
-    world = World(folder, random.Random(1), 1, 3, options)
+    deployment = SoakDeployment(folder, random.Random(1), 1, 3, options)
     log = folder / "g1.log"
     try:
         async with anyio.create_task_group() as tasks:
-            await world.start(tasks)
+            await deployment.start(tasks)
             await anyio.sleep(SETTLE_S)
-            gateway = world.gateways[0]
+            gateway = deployment.gateways[0]
             cpu_before_s, log_size_before = (
-                world.cpu_s(gateway),
+                deployment.cpu_s(gateway),
                 log.stat().st_size,
             )
-            await _run_callers(world, duration_s)
-            cpu_s = world.cpu_s(gateway) - cpu_before_s
+            await _run_callers(deployment, duration_s)
+            cpu_s = deployment.cpu_s(gateway) - cpu_before_s
             tasks.cancel_scope.cancel()
     finally:
-        world.close()
+        deployment.stop()
     written = log.read_bytes()[log_size_before:]
-    count = sum(a.status == 200 for a in world.journal.attempts)
+    count = sum(a.status == 200 for a in deployment.records.attempts)
     return Cost(
         count,
         1000 * cpu_s / count,
@@ -68,8 +68,8 @@
     )
 
 
-async def _run_callers(world: World, duration_s: float) -> None:
-    callers = make_callers(world, random.Random(1), CALLERS)
+async def _run_callers(deployment: SoakDeployment, duration_s: float) -> None:
+    callers = make_callers(deployment, random.Random(1), CALLERS)
     async with anyio.create_task_group() as tasks:
         for caller in callers:
             tasks.start_soon(caller.run)
--- a/lab/bench_measure.py
+++ b/lab/bench_measure.py
@@ -6,7 +6,7 @@
 import attrs
 from hdrh.histogram import HdrHistogram
 
-from lab.bench_load import Arrival
+from lab.bench_traffic import Arrival
 
 GAP_TARGET_MS = 41.0
 PAUSE_TARGET_MS = 890.0
--- a/lab/bench_plan.py
+++ b/lab/bench_plan.py
@@ -6,8 +6,8 @@
 
 import attrs
 
-from lab import bench_load
-from lab.bench_load import TrafficPattern
+from lab import bench_traffic
+from lab.bench_traffic import TrafficPattern
 from lab.bench_measure import RunResult
 from lab.bench_policies import (
     BASELINES,
@@ -40,7 +40,7 @@
 
 def run_task(task: Task) -> RunResult:
     """Runs a simulation and returns its measurements."""
-    deployment = bench_load.DEPLOYMENTS[task.deployment]
+    deployment = bench_traffic.DEPLOYMENTS[task.deployment]
     return Simulation(deployment, task.scenario, task.policy, SEED).run()
 
 
--- a/lab/bench_policies.py
+++ b/lab/bench_policies.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from lab.bench_load import Arrival
+from lab.bench_traffic import Arrival
 from rhubarbwinch.admission.admission import Options
 from rhubarbwinch.admission.lengths import (
     HORIZONS,
--- a/lab/bench_sim.py
+++ b/lab/bench_sim.py
@@ -9,8 +9,8 @@
 
 import attrs
 
-from lab import bench_load
-from lab.bench_load import Deployment, TrafficPattern
+from lab import bench_traffic
+from lab.bench_traffic import Deployment, TrafficPattern
 from lab.bench_measure import (
     GAP_TARGET_MS,
     Durations,
@@ -121,7 +121,7 @@
         self._engines = [_Engine(f"engine-{i}") for i in range(ENGINES)]
         self._engines_by_name = {e.name: e for e in self._engines}
         self._arrivals = list(
-            bench_load.arrivals(deployment, scenario.traffic, seed, END_MS)
+            bench_traffic.arrivals(deployment, scenario.traffic, seed, END_MS)
         )
         self._admission = self._make_admission(seed)
         self._jobs: dict[str, Job] = {}
@@ -180,7 +180,7 @@
             spec,
             self._clock,
             random.Random(seed),
-            bench_load.account_specs(),
+            bench_traffic.account_specs(),
             self._policy.options,
             self._policy.length_estimator(self._arrivals),
         )
@@ -310,7 +310,7 @@
     def _finish(self, engine: _Engine, sequence: Sequence) -> None:
         job = engine.jobs.pop(sequence.name)
         self._leave_batch(engine, job)
-        job.tokens = sequence.done_tokens
+        job.tokens = sequence.generated_tokens
         job.is_done = True
         end = StreamEnd.FINISHED
         if job.arrival.is_cancelled:
@@ -319,7 +319,7 @@
 
     def _release(self, request_id: str, end: StreamEnd, tokens: int) -> None:
         self._engine_by_request.pop(request_id, None)
-        release = PermitRelease(request_id, bench_load.POOL, end, tokens)
+        release = PermitRelease(request_id, bench_traffic.POOL, end, tokens)
         self._apply_decisions(self._admission.release(release))
 
     def _tick(self) -> None:
@@ -370,10 +370,10 @@
     def _report_progress(self) -> None:
         """Sends the progress reports of all entries to the broker."""
         streams: dict[str, list[StreamProgress]] = {
-            f"entry-{i}": [] for i in range(bench_load.ENTRIES)
+            f"entry-{i}": [] for i in range(bench_traffic.ENTRIES)
         }
         running = {
-            s.name: s.done_tokens
+            s.name: s.generated_tokens
             for e in self._engines
             for s in e.model.sequences
         }
@@ -383,7 +383,7 @@
             streams[request.entry].append(progress)
         for entry, items in streams.items():
             self._admission.report_progress(
-                ProgressReport(entry, bench_load.POOL, items)
+                ProgressReport(entry, bench_traffic.POOL, items)
             )
 
     def _fail_engine(self) -> None:
@@ -439,7 +439,7 @@
                 [
                     j
                     for j in jobs
-                    if j.arrival.request.account != bench_load.FLOODING_ACCOUNT
+                    if j.arrival.request.account != bench_traffic.FLOODING_ACCOUNT
                 ]
             )
             / seconds,
--- a/lab/enginemodel.py
+++ b/lab/enginemodel.py
@@ -68,7 +68,7 @@
     _engine: "EngineModel | None" = None
 
     @property
-    def done_tokens(self) -> int:
+    def generated_tokens(self) -> int:
         """The number of tokens generated so far; preemptions keep it."""
         if self._engine is None:
             return self._tokens_before_join
@@ -79,7 +79,7 @@
     @property
     def resident_tokens(self) -> int:
         """The tokens that it occupies in the KV cache while it runs."""
-        return self.prompt_tokens + self.done_tokens
+        return self.prompt_tokens + self.generated_tokens
 
     @property
     def is_running(self) -> bool:
@@ -104,7 +104,7 @@
 
     def leave_batch(self) -> None:
         """Marks the sequence as not running."""
-        self._tokens_before_join, self._engine = self.done_tokens, None
+        self._tokens_before_join, self._engine = self.generated_tokens, None
 
 
 @attrs.frozen
--- a/lab/memberset.py
+++ b/lab/memberset.py
@@ -34,7 +34,7 @@
         network: The network for messages between members.
         clock: The source of time.
         peers: Link addresses for a start while the store is unavailable.
-        watches: Whether the member always watches the head in the store. If
+        all_watch: Whether the member always watches the head in the store. If
             not, only seeds watch it and distribute changes to their peers.
     """
 
@@ -45,7 +45,7 @@
         network: MemoryNetwork,
         clock: ManualClock,
         peers: list[str] | None = None,
-        watches: bool = False,
+        all_watch: bool = False,
     ) -> None:
         rng = random.Random(me.incarnation)
         links = network.node(me.link)
@@ -62,7 +62,7 @@
             peers or [],
             self.registration.holds_lease,
         )
-        if watches:
+        if all_watch:
             self.follower = Follower(store, clock)
         else:
             distribution = Distribution(links, links, self.members, rng)
@@ -101,18 +101,18 @@
 
     Args:
         tasks: The task group for the members.
-        watches: Whether every member watches the store.
+        all_watch: Whether every member watches the store.
     """
 
     def __init__(
-        self, tasks: anyio.abc.TaskGroup, watches: bool = False
+        self, tasks: anyio.abc.TaskGroup, all_watch: bool = False
     ) -> None:
         self.clock = ManualClock()
         self.store = MemoryStore(self.clock)
         self.network = MemoryNetwork(self.clock)
         self.nodes: dict[str, Node] = {}
         self._tasks = tasks
-        self._watches = watches
+        self._all_watch = all_watch
 
     def add(
         self,
@@ -140,7 +140,7 @@
             self.network,
             self.clock,
             peers,
-            self._watches,
+            self._all_watch,
         )
         self.nodes[name] = node
         self._tasks.start_soon(node.run)
@@ -151,7 +151,7 @@
         self.network.cut.add(name)
         self.nodes.pop(name).stop()
 
-    def generations(self) -> list[int]:
+    def active_generations(self) -> list[int]:
         """Returns the active generation of each member, sorted by name."""
         return [
             self.nodes[name].follower.head.generation
--- a/lab/processes.py
+++ b/lab/processes.py
@@ -126,7 +126,7 @@
         """Returns the exit status of a process, or None while it runs."""
         return self._running[name].poll()
 
-    def peak_mb(self, name: str) -> float:
+    def peak_rss_mib(self, name: str) -> float:
         """Returns the peak resident memory in MiB, or 0 after the exit."""
         path = pathlib.Path(f"/proc/{self.pid(name)}/status")
         try:
@@ -148,7 +148,7 @@
         """Waits for the exit of a process and returns its exit status."""
         return self._running.pop(name).wait(WAIT_S)
 
-    def ended(self) -> dict[str, int]:
+    def unexpected_exits(self) -> dict[str, int]:
         """Returns the statuses of processes that exited on their own."""
         statuses = {name: self.status(name) for name in self._running}
         return {name: x for name, x in statuses.items() if x is not None}
--- a/lab/seeded/callers.py
+++ b/lab/seeded/callers.py
@@ -7,7 +7,7 @@
 import orjson
 
 from lab.seeded.records import Attempt, End, RequestKind
-from lab.seeded.deployment import API_KEY, Program, World, completion_body
+from lab.seeded.deployment import API_KEY, Program, SimulatedDeployment, completion_body
 from rhubarbwinch.http.sse import DONE, Splitter
 from rhubarbwinch.programs.entry import Entry
 
@@ -55,12 +55,12 @@
 
     async def run(self, program: Program) -> None:
         """Makes the attempt; a kill of the entry cuts it off."""
-        daemon = program.daemon
-        if not isinstance(daemon, Entry):
+        entry = program.program
+        if not isinstance(entry, Entry):
             raise TypeError("callers can only call entries, not brokers")
         if not program.is_killed:
             await program.run_until_killed(
-                lambda: daemon.app(self._scope, self._receive, self._send)
+                lambda: entry.app(self._scope, self._receive, self._send)
             )
         if self._attempt.end is None:
             self._attempt.end = End.CUT
@@ -107,19 +107,19 @@
     """A caller with one request, which it retries until settled.
 
     Args:
-        world: The deployment to call.
+        deployment: The deployment to call.
         number: The number of the request.
         kind: The kind of the request.
     """
 
-    def __init__(self, world: World, number: int, kind: RequestKind) -> None:
-        self._world = world
+    def __init__(self, deployment: SimulatedDeployment, number: int, kind: RequestKind) -> None:
+        self._deployment = deployment
         self._number = number
         self._kind = kind
         self._marker = f"m{number}"
         self._key = ""
         if kind is RequestKind.BOOKING:
-            self._key = _uuid7(world)
+            self._key = _uuid7(deployment)
 
     async def run(self) -> Attempt:
         """Retries until the request is settled; returns the last attempt."""
@@ -127,26 +127,26 @@
             attempt = await self._attempt()
             if self._is_settled(attempt):
                 break
-            await self._world.clock.sleep(RETRY_DELAY_MS)
+            await self._deployment.clock.sleep(RETRY_DELAY_MS)
         return attempt
 
     @property
     def _last_event_id(self) -> str:
         """The id of the last event that any attempt received, or empty."""
-        for attempt in reversed(self._world.journal.attempts):
+        for attempt in reversed(self._deployment.records.attempts):
             if attempt.request == self._number and attempt.events:
                 head = attempt.events[-1].split(b"\n", 1)[0].decode()
                 return head.removeprefix("id: ")
         return ""
 
     async def _attempt(self) -> Attempt:
-        world = self._world
-        name = world.rng.choice(sorted(world.entries))
+        deployment = self._deployment
+        name = deployment.rng.choice(sorted(deployment.entries))
         attempt = Attempt(
             self._number, self._kind, self._marker, self._key, name
         )
-        world.journal.attempts.append(attempt)
-        await self._call(attempt).run(world.entries[name])
+        deployment.records.attempts.append(attempt)
+        await self._call(attempt).run(deployment.entries[name])
         return attempt
 
     def _call(self, attempt: Attempt) -> Call:
@@ -156,8 +156,8 @@
             if self._kind is RequestKind.STREAM:
                 if self._last_event_id:
                     headers["last-event-id"] = self._last_event_id
-                if self._world.rng.random() < DISCONNECT_CHANCE:
-                    disconnect_after = self._world.rng.randint(1, 10)
+                if self._deployment.rng.random() < DISCONNECT_CHANCE:
+                    disconnect_after = self._deployment.rng.randint(1, 10)
             body = completion_body(
                 self._marker, self._kind is RequestKind.STREAM
             )
@@ -184,7 +184,7 @@
         return False
 
 
-def _uuid7(world: World) -> str:
+def _uuid7(deployment: SimulatedDeployment) -> str:
     """Returns a UUIDv7 for the current time of the clock."""
-    value = world.clock.wall() << 80 | 0x7 << 76 | 0b10 << 62
-    return str(uuid.UUID(int=value | world.rng.getrandbits(60)))
+    value = deployment.clock.wall() << 80 | 0x7 << 76 | 0b10 << 62
+    return str(uuid.UUID(int=value | deployment.rng.getrandbits(60)))
--- a/lab/seeded/check.py
+++ b/lab/seeded/check.py
@@ -4,31 +4,31 @@
 
 import orjson
 
-from lab.seeded.records import Attempt, End, Journal, RequestKind, Run
+from lab.seeded.records import Attempt, End, RunRecords, RequestKind, Run
 from rhubarbwinch.http.sse import DONE
 
 
-def find_violations(journal: Journal) -> list[str]:
+def find_violations(records: RunRecords) -> list[str]:
     """Returns a line per violated guarantee; an empty list if all hold."""
     return [
-        *_check_streams(journal),
-        *_check_refusals(journal),
-        *_check_bookings(journal),
-        *_check_answers(journal),
+        *_check_streams(records),
+        *_check_refusals(records),
+        *_check_bookings(records),
+        *_check_answers(records),
     ]
 
 
-def _check_streams(journal: Journal) -> list[str]:
+def _check_streams(records: RunRecords) -> list[str]:
     """A request gets each token of one generation once and in order.
 
     A stream that ended has all tokens.
     """
     violations = []
     by_request: dict[int, list[Attempt]] = defaultdict(list)
-    for attempt in journal.attempts:
+    for attempt in records.attempts:
         if attempt.kind is RequestKind.STREAM:
             by_request[attempt.request].append(attempt)
-    token_counts = {run.generation: run.number for run in journal.runs}
+    token_counts = {run.generation: run.number for run in records.runs}
     for request, attempts in by_request.items():
         events = [event for attempt in attempts for event in attempt.events]
         done = DONE in events
@@ -52,11 +52,11 @@
     return generation, int(index)
 
 
-def _check_refusals(journal: Journal) -> list[str]:
+def _check_refusals(records: RunRecords) -> list[str]:
     """A request whose every verdict is not-run ran at no endpoint."""
-    ran = {run.marker for run in journal.runs}
+    ran = {run.marker for run in records.runs}
     verdicts_of = defaultdict(set)
-    for attempt in journal.attempts:
+    for attempt in records.attempts:
         verdicts_of[attempt.marker].add(attempt.verdict)
     return [
         f"{marker}: verdict not-run, but it ran"
@@ -65,17 +65,17 @@
     ]
 
 
-def _check_bookings(journal: Journal) -> list[str]:
+def _check_bookings(records: RunRecords) -> list[str]:
     """A call with a key runs at most once; its responses show that run."""
     violations = []
     runs: dict[str, list[Run]] = defaultdict(list)
-    for run in journal.runs:
+    for run in records.runs:
         if run.key:
             runs[run.key].append(run)
     for key, key_runs in runs.items():
         if len(key_runs) > 1:
             violations.append(f"key {key}: ran {len(key_runs)} times")
-    for attempt in journal.attempts:
+    for attempt in records.attempts:
         if attempt.kind is not RequestKind.BOOKING or attempt.status != 200:
             continue
         response = orjson.loads(attempt.body)
@@ -87,10 +87,10 @@
     return violations
 
 
-def _check_answers(journal: Journal) -> list[str]:
+def _check_answers(records: RunRecords) -> list[str]:
     """A response holds the marker of its own request and no other marker."""
     violations = []
-    for attempt in journal.attempts:
+    for attempt in records.attempts:
         if attempt.end is not End.ANSWERED or attempt.status != 200:
             continue
         if attempt.kind is RequestKind.LOOKUP:
--- a/lab/seeded/deployment.py
+++ b/lab/seeded/deployment.py
@@ -10,7 +10,7 @@
 
 from lab.seeded.endpoints import EndpointSet, SeededEndpoints
 from lab.seeded.links import SeededNetwork
-from lab.seeded.records import Journal
+from lab.seeded.records import RunRecords
 from rhubarbwinch.programs.broker import Broker
 from rhubarbwinch.programs.config import BrokerSettings, EntrySettings
 from rhubarbwinch.programs.entry import Entry
@@ -148,7 +148,7 @@
         endpoints: SeededEndpoints,
         link: str,
     ) -> None:
-        self.daemon = build(dependencies, endpoints)
+        self.program = build(dependencies, endpoints)
         self.link = link
         self.is_killed = False
         self._store = store
@@ -157,7 +157,7 @@
 
     async def run(self) -> None:
         """Runs the program until it is killed."""
-        await self.run_until_killed(self.daemon.run)
+        await self.run_until_killed(self.program.run)
 
     async def run_until_killed(
         self, work: Callable[[], Awaitable[Any]]
@@ -179,7 +179,7 @@
             scope.cancel()
 
 
-class World:
+class SimulatedDeployment:
     """The programs, the store, the network and the endpoints of a run.
 
     Args:
@@ -192,16 +192,16 @@
         self.clock = ManualClock()
         self.store = MemoryStore(self.clock)
         self.network = SeededNetwork(self.clock, self.rng, tasks)
-        self.journal = Journal()
+        self.records = RunRecords()
         self.endpoint_set = EndpointSet(
-            self.clock, self.rng, self.journal, ENGINES | PLAIN_ENDPOINTS
+            self.clock, self.rng, self.records, ENGINES | PLAIN_ENDPOINTS
         )
         self.entries: dict[str, Program] = {}
         self.brokers: dict[str, Program] = {}
         self._tasks = tasks
         self._start_count = 0
 
-    async def publish(self) -> None:
+    async def publish_configuration(self) -> None:
         """Writes the accepted configuration to the store."""
         chunks = accepted.pack_chunks(configuration_records())
         names = [await accepted.write_chunk(self.store, c) for c in chunks]
--- a/lab/seeded/endpoints.py
+++ b/lab/seeded/endpoints.py
@@ -9,7 +9,7 @@
 import httpx
 import orjson
 
-from lab.seeded.records import Journal, Run
+from lab.seeded.records import RunRecords, Run
 from rhubarbwinch.endpoints.endpoints import EndpointClient
 from rhubarbwinch.endpoints.relay import EventStream
 from rhubarbwinch.http.sse import DONE, StreamEvent
@@ -67,7 +67,7 @@
     Args:
         clock: The source of time.
         rng: Draws faults and lengths.
-        journal: Runs are recorded here.
+        records: Runs are recorded here.
         addresses: The endpoints' names by address.
     """
 
@@ -75,13 +75,13 @@
         self,
         clock: Clock,
         rng: random.Random,
-        journal: Journal,
+        records: RunRecords,
         addresses: dict[str, str],
     ) -> None:
         self.fault_rate = 0.0
         self._clock = clock
         self._rng = rng
-        self._journal = journal
+        self._records = records
         self._endpoints = {
             address: Endpoint(name) for address, name in addresses.items()
         }
@@ -118,7 +118,7 @@
         length = self._rng.randint(1, 40)
         generation = Generation(name, marker, length, self._clock.now())
         endpoint.generations[name] = generation
-        self._journal.runs.append(Run(endpoint.name, marker, "", length, name))
+        self._records.runs.append(Run(endpoint.name, marker, "", length, name))
         if self.draw_fault():
             raise EndpointError("the connection broke", sent=True)
         return endpoint, generation
@@ -177,7 +177,7 @@
         endpoint.call_count += 1
         marker = orjson.loads(body)["marker"]
         number = endpoint.call_count
-        self._journal.runs.append(Run(endpoint.name, marker, key, number))
+        self._records.runs.append(Run(endpoint.name, marker, key, number))
         await self._clock.sleep(CALL_STEP_MS)
         if self.draw_fault():
             raise EndpointError("the connection broke", sent=True)
--- a/lab/seeded/records.py
+++ b/lab/seeded/records.py
@@ -73,7 +73,7 @@
 
 
 @attrs.define
-class Journal:
+class RunRecords:
     """All records of a seeded run; the faults are for diagnosis only."""
 
     attempts: list[Attempt] = attrs.field(factory=list)
--- a/lab/seeded/run.py
+++ b/lab/seeded/run.py
@@ -6,7 +6,7 @@
 from lab.seeded.callers import Caller
 from lab.seeded.check import find_violations
 from lab.seeded.records import Attempt, End, RequestKind
-from lab.seeded.deployment import ENGINES, PLAIN_ENDPOINTS, Program, World
+from lab.seeded.deployment import ENGINES, PLAIN_ENDPOINTS, Program, SimulatedDeployment
 from rhubarbwinch.http.sse import DONE
 from rhubarbwinch.shared.registry import Registry
 
@@ -53,160 +53,160 @@
     """Injects random faults, each of which ends by itself.
 
     Args:
-        world: The deployment to inject faults into.
+        deployment: The deployment to inject faults into.
     """
 
-    def __init__(self, world: World) -> None:
-        self._world = world
+    def __init__(self, deployment: SimulatedDeployment) -> None:
+        self._deployment = deployment
         self.is_active = True
 
     async def run(self) -> None:
         """Injects faults, sometimes two at a time, while `is_active` is set."""
-        world = self._world
+        deployment = self._deployment
         async with anyio.create_task_group() as tasks:
             while True:
-                wait_ms = world.rng.randint(
+                wait_ms = deployment.rng.randint(
                     FAULT_INTERVAL_MS // 3, FAULT_INTERVAL_MS * 2
                 )
-                await world.clock.sleep(wait_ms)
+                await deployment.clock.sleep(wait_ms)
                 if not self.is_active:
                     return
-                for _ in range(world.rng.choice([1, 1, 2])):
-                    name = world.rng.choice(list(FAULTS))
-                    world.journal.faults.append(f"{world.clock.now()} {name}")
-                    tasks.start_soon(FAULTS.get(name), world)
+                for _ in range(deployment.rng.choice([1, 1, 2])):
+                    name = deployment.rng.choice(list(FAULTS))
+                    deployment.records.faults.append(f"{deployment.clock.now()} {name}")
+                    tasks.start_soon(FAULTS.get(name), deployment)
 
 
 FAULTS: Registry = Registry("fault")
 
 
-def _pick_program(world: World, programs: dict[str, Program]) -> str | None:
+def _pick_program(deployment: SimulatedDeployment, programs: dict[str, Program]) -> str | None:
     """Returns a random live program's name; None if only one is left."""
     alive = sorted(name for name, p in programs.items() if not p.is_killed)
-    return world.rng.choice(alive) if len(alive) > 1 else None
+    return deployment.rng.choice(alive) if len(alive) > 1 else None
 
 
 @FAULTS.register("kill-entry")
-async def _kill_entry(world: World) -> None:
-    name = _pick_program(world, world.entries)
+async def _kill_entry(deployment: SimulatedDeployment) -> None:
+    name = _pick_program(deployment, deployment.entries)
     if name is not None:
-        world.kill(world.entries[name])
-        await world.clock.sleep(world.rng.randint(200, 3000))
-        world.start_entry(name)
+        deployment.kill(deployment.entries[name])
+        await deployment.clock.sleep(deployment.rng.randint(200, 3000))
+        deployment.start_entry(name)
 
 
 @FAULTS.register("kill-broker")
-async def _kill_broker(world: World) -> None:
-    name = _pick_program(world, world.brokers)
+async def _kill_broker(deployment: SimulatedDeployment) -> None:
+    name = _pick_program(deployment, deployment.brokers)
     if name is not None:
-        world.kill(world.brokers[name])
-        await world.clock.sleep(world.rng.randint(200, 3000))
-        world.start_broker(name)
+        deployment.kill(deployment.brokers[name])
+        await deployment.clock.sleep(deployment.rng.randint(200, 3000))
+        deployment.start_broker(name)
 
 
 @FAULTS.register("cut-links")
-async def _cut_links(world: World) -> None:
-    programs = world.entries | world.brokers
-    name = _pick_program(world, programs)
+async def _cut_links(deployment: SimulatedDeployment) -> None:
+    programs = deployment.entries | deployment.brokers
+    name = _pick_program(deployment, programs)
     if name is None:
         return
     program = programs[name]
-    world.disconnect(program)
-    await world.clock.sleep(world.rng.randint(200, 3000))
+    deployment.disconnect(program)
+    await deployment.clock.sleep(deployment.rng.randint(200, 3000))
     if not program.is_killed:
-        world.reconnect(program)
+        deployment.reconnect(program)
 
 
 @FAULTS.register("store-down")
-async def _take_store_down(world: World) -> None:
-    world.store.faults.down = True
-    world.store.wake_watches()
-    await world.clock.sleep(world.rng.randint(200, 4000))
-    world.store.faults.down = False
+async def _take_store_down(deployment: SimulatedDeployment) -> None:
+    deployment.store.faults.down = True
+    deployment.store.wake_watches()
+    await deployment.clock.sleep(deployment.rng.randint(200, 4000))
+    deployment.store.faults.down = False
 
 
 @FAULTS.register("store-loses-answers")
-async def _lose_answers(world: World) -> None:
-    world.store.faults.lose_answers = world.rng.randint(1, 3)
+async def _lose_answers(deployment: SimulatedDeployment) -> None:
+    deployment.store.faults.lost_responses = deployment.rng.randint(1, 3)
 
 
 @FAULTS.register("kill-engine")
-async def _kill_engine(world: World) -> None:
-    world.endpoint_set.kill(world.rng.choice(list(ENGINES)))
+async def _kill_engine(deployment: SimulatedDeployment) -> None:
+    deployment.endpoint_set.kill(deployment.rng.choice(list(ENGINES)))
 
 
 @FAULTS.register("kill-plain-endpoint")
-async def _kill_plain_endpoint(world: World) -> None:
-    world.endpoint_set.kill(world.rng.choice(list(PLAIN_ENDPOINTS)))
+async def _kill_plain_endpoint(deployment: SimulatedDeployment) -> None:
+    deployment.endpoint_set.kill(deployment.rng.choice(list(PLAIN_ENDPOINTS)))
 
 
 async def run_seed(seed: int) -> Report:
     """Runs a seed and checks its records."""
     async with anyio.create_task_group() as tasks:
-        world = World(seed, tasks)
-        await world.publish()
+        deployment = SimulatedDeployment(seed, tasks)
+        await deployment.publish_configuration()
         for i in range(BROKERS):
-            world.start_broker(f"broker-{i}")
+            deployment.start_broker(f"broker-{i}")
         for i in range(ENTRIES):
-            world.start_entry(f"entry-{i}")
-        await world.clock.advance(2000)
-        injector = Injector(world)
-        world.endpoint_set.fault_rate = ENDPOINT_FAULT_RATE
+            deployment.start_entry(f"entry-{i}")
+        await deployment.clock.advance(2000)
+        injector = Injector(deployment)
+        deployment.endpoint_set.fault_rate = ENDPOINT_FAULT_RATE
         tasks.start_soon(injector.run)
         last_attempts: list[Attempt] = []
-        await _call_all(world, tasks, last_attempts)
+        await _call_all(deployment, tasks, last_attempts)
         injector.is_active = False
-        world.endpoint_set.fault_rate = 0.0
-        await _advance(world, RECOVERY_MS)
-        violations = await _probe(world, tasks)
-        violations += find_violations(world.journal)
+        deployment.endpoint_set.fault_rate = 0.0
+        await _advance(deployment, RECOVERY_MS)
+        violations = await _probe(deployment, tasks)
+        violations += find_violations(deployment.records)
         settled = sum(a.end is End.ANSWERED for a in last_attempts)
-        for program in [*world.entries.values(), *world.brokers.values()]:
+        for program in [*deployment.entries.values(), *deployment.brokers.values()]:
             program.kill()
         tasks.cancel_scope.cancel()
     return Report(
         seed=seed,
         requests=len(last_attempts),
         settled=settled,
-        fault_count=len(world.journal.faults),
+        fault_count=len(deployment.records.faults),
         violations=violations,
-        faults=world.journal.faults,
+        faults=deployment.records.faults,
     )
 
 
-async def _advance(world: World, ms: int) -> None:
+async def _advance(deployment: SimulatedDeployment, ms: int) -> None:
     for _ in range(ms // STEP_MS):
-        await world.clock.advance(STEP_MS)
+        await deployment.clock.advance(STEP_MS)
 
 
 async def _call_all(
-    world: World, tasks: anyio.abc.TaskGroup, last_attempts: list[Attempt]
+    deployment: SimulatedDeployment, tasks: anyio.abc.TaskGroup, last_attempts: list[Attempt]
 ) -> None:
     """Starts all callers and waits until they have finished."""
 
     async def call(number: int) -> None:
-        kind = world.rng.choice(KIND_CHOICES)
-        last_attempts.append(await Caller(world, number, kind).run())
+        kind = deployment.rng.choice(KIND_CHOICES)
+        last_attempts.append(await Caller(deployment, number, kind).run())
 
     for number in range(REQUESTS):
         tasks.start_soon(call, number)
-        await _advance(world, world.rng.randint(0, 2 * MEAN_ARRIVAL_MS))
+        await _advance(deployment, deployment.rng.randint(0, 2 * MEAN_ARRIVAL_MS))
     for _ in range(10):
         if len(last_attempts) < REQUESTS:
-            await _advance(world, RECOVERY_MS)
+            await _advance(deployment, RECOVERY_MS)
 
 
-async def _probe(world: World, tasks: anyio.abc.TaskGroup) -> list[str]:
+async def _probe(deployment: SimulatedDeployment, tasks: anyio.abc.TaskGroup) -> list[str]:
     """Checks that requests after the faults all succeed in RECOVERY_MS."""
     finished: list[Attempt] = []
 
     async def call(number: int) -> None:
         kind = KIND_CHOICES[number % len(KIND_CHOICES)]
-        finished.append(await Caller(world, REQUESTS + number, kind).run())
+        finished.append(await Caller(deployment, REQUESTS + number, kind).run())
 
     for number in range(PROBES):
         tasks.start_soon(call, number)
-    await _advance(world, RECOVERY_MS)
+    await _advance(deployment, RECOVERY_MS)
     violations = [
         f"probe {a.request}: {a.kind} ended {a.end} {a.status} "
         f"{a.verdict} {a.body.decode()}"
@@ -218,7 +218,7 @@
         violations += [
             f"  {a.kind} at {a.entry}: {a.end} {a.status} {a.verdict} "
             f"{len(a.events)} events {a.body.decode()}"
-            for a in world.journal.attempts
+            for a in deployment.records.attempts
             if a.request >= REQUESTS
         ]
     return violations
--- a/lab/soak/__main__.py
+++ b/lab/soak/__main__.py
@@ -18,7 +18,7 @@
 
 from lab.seeded.__main__ import parse_seeds
 from lab.soak.check import find_violations
-from lab.soak.records import Journal
+from lab.soak.records import RunRecords
 from lab.soak.run import Size, run_seed
 
 REGRESSIONS = pathlib.Path(__file__).parent / "regressions.txt"
@@ -31,24 +31,24 @@
     return [int(line.split()[0]) for line in lines if line[:1].isdigit()]
 
 
-def describe(seed: int, journal: Journal) -> str:
+def describe(seed: int, records: RunRecords) -> str:
     """Returns a one-line summary of a run."""
-    statuses = Counter(a.status for a in journal.attempts)
-    faults = sum(line.endswith(" begins") for line in journal.faults)
+    statuses = Counter(a.status for a in records.attempts)
+    faults = sum(line.endswith(" begins") for line in records.faults)
     return (
-        f"seed {seed}: {len(journal.attempts)} requests "
-        f"{dict(statuses.most_common())}, {len(journal.runs)} runs "
-        f"({sum(run.is_resumed for run in journal.runs)} from copies), "
-        f"{faults} faults, peak {journal.peak_mb:.0f} MB\n"
+        f"seed {seed}: {len(records.attempts)} requests "
+        f"{dict(statuses.most_common())}, {len(records.runs)} runs "
+        f"({sum(run.is_resumed for run in records.runs)} from copies), "
+        f"{faults} faults, peak {records.peak_mb:.0f} MB\n"
     )
 
 
-def write_records(journal: Journal, folder: pathlib.Path) -> None:
+def write_records(records: RunRecords, folder: pathlib.Path) -> None:
     """Writes the records to the directory of the logs, for diagnosis."""
     for name, rows in (
-        ("faults.txt", journal.faults),
-        ("attempts.txt", journal.attempts),
-        ("runs.txt", journal.runs),
+        ("faults.txt", records.faults),
+        ("attempts.txt", records.attempts),
+        ("runs.txt", records.runs),
     ):
         (folder / name).write_text("".join(f"{row}\n" for row in rows))
 
@@ -56,11 +56,11 @@
 def _run_one(seed: int, size: Size) -> bool:
     """Runs a seed; keeps its directory only if there are violations."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
-    journal = anyio.run(run_seed, seed, folder, size)
-    violations = find_violations(journal, with_times=True)
-    sys.stdout.write(describe(seed, journal))
+    records = anyio.run(run_seed, seed, folder, size)
+    violations = find_violations(records, with_times=True)
+    sys.stdout.write(describe(seed, records))
     if violations:
-        write_records(journal, folder)
+        write_records(records, folder)
         lines = [f"  broken: {line}\n" for line in violations[:MAX_LINES]]
         lines.append(f"  logs: {folder}\n")
         lines.append(f"  again: python -m lab.soak --seeds {seed}\n")
--- a/lab/soak/callers.py
+++ b/lab/soak/callers.py
@@ -8,7 +8,7 @@
 import httpx
 
 from lab.soak.proxy import LoopbackProxy
-from lab.soak.records import Attempt, Journal, RequestKind
+from lab.soak.records import Attempt, RunRecords, RequestKind
 from rhubarbwinch.platform import headers
 from rhubarbwinch.shared.clock import Clock
 
@@ -44,7 +44,7 @@
         fronts: The proxies in front of the gateways, by gateway address.
         directories: The addresses of the gateways' directories.
         keys: Returns the active API keys by client account.
-        journal: Attempts are recorded here.
+        records: Attempts are recorded here.
         clock: The source of time.
     """
 
@@ -53,12 +53,12 @@
         fronts: dict[str, LoopbackProxy],
         directories: list[str],
         keys: Callable[[], dict[str, str]],
-        journal: Journal,
+        records: RunRecords,
         clock: Clock,
     ) -> None:
         self.directories = directories
         self.keys = keys
-        self.journal = journal
+        self.records = records
         self.clock = clock
         self._fronts = fronts
         self._numbers = itertools.count(1)
@@ -162,7 +162,7 @@
             body=body,
             sent_ms=clock.now(),
         )
-        self._context.journal.attempts.append(attempt)
+        self._context.records.attempts.append(attempt)
         disconnects = self._rng.random() < DISCONNECT_SHARE
         disconnect_after_s = (
             self._rng.random() * MAX_DISCONNECT_S if disconnects else None
--- a/lab/soak/check.py
+++ b/lab/soak/check.py
@@ -6,7 +6,7 @@
 
 from lab.soak.records import (
     Attempt,
-    Journal,
+    RunRecords,
     RequestKind,
     Run,
     event,
@@ -14,7 +14,7 @@
 )
 from rhubarbwinch.shared.registry import Registry
 
-Check = Callable[[Journal], list[str]]
+Check = Callable[[RunRecords], list[str]]
 CHECKS: Registry[Check] = Registry("check")
 TIMING_CHECKS = frozenset(
     {"gone", "grace", "keys", "one at a time", "recovery"}
@@ -37,11 +37,11 @@
 MAX_MEMORY_MB = 205
 
 
-def find_violations(journal: Journal, *, with_times: bool) -> list[str]:
+def find_violations(records: RunRecords, *, with_times: bool) -> list[str]:
     """Returns a line for each violated guarantee; an empty list if all hold.
 
     Args:
-        journal: The records of a run.
+        records: The records of a run.
         with_times: Whether to run the checks that depend on timing. These
             also fail on a machine that is too slow for its load.
     """
@@ -49,23 +49,23 @@
         f"{name}: {line}"
         for name in CHECKS
         if with_times or name not in TIMING_CHECKS
-        for line in CHECKS.get(name)(journal)
+        for line in CHECKS.get(name)(records)
     ]
 
 
-def _runs_by_id(journal: Journal) -> dict[str, list[Run]]:
+def _runs_by_id(records: RunRecords) -> dict[str, list[Run]]:
     runs_by_id: dict[str, list[Run]] = defaultdict(list)
-    for run in journal.runs:
+    for run in records.runs:
         runs_by_id[run.id].append(run)
     return runs_by_id
 
 
 @CHECKS.register("asked")
-def check_requested(journal: Journal) -> list[str]:
+def check_requested(records: RunRecords) -> list[str]:
     """Engines run only what a caller sent, for the caller's account."""
-    sent = {attempt.id: attempt for attempt in journal.attempts}
+    sent = {attempt.id: attempt for attempt in records.attempts}
     violations = []
-    for run in journal.runs:
+    for run in records.runs:
         attempt = sent.get(run.id)
         if attempt is None:
             violations.append(f"{run.id} ran but no caller sent it")
@@ -85,11 +85,11 @@
 
 
 @CHECKS.register("once")
-def check_single_run(journal: Journal) -> list[str]:
+def check_single_run(records: RunRecords) -> list[str]:
     """Non-idempotent requests run once; streams may resume from a copy."""
-    kinds = {attempt.id: attempt.kind for attempt in journal.attempts}
+    kinds = {attempt.id: attempt.kind for attempt in records.attempts}
     violations = []
-    for request_id, runs in _runs_by_id(journal).items():
+    for request_id, runs in _runs_by_id(records).items():
         if kinds.get(request_id) is RequestKind.CALL:
             continue
         unresumed = [run for run in runs if not run.is_resumed]
@@ -102,10 +102,10 @@
 
 
 @CHECKS.register("one at a time")
-def check_overlap(journal: Journal) -> list[str]:
+def check_overlap(records: RunRecords) -> list[str]:
     """A run resumes elsewhere only after the previous engine has stopped."""
     violations = []
-    for request_id, runs in _runs_by_id(journal).items():
+    for request_id, runs in _runs_by_id(records).items():
         for before, after in itertools.pairwise(runs):
             if not after.is_resumed or before.was_unreachable:
                 continue
@@ -118,12 +118,12 @@
 
 
 @CHECKS.register("true refusals")
-def check_refusals(journal: Journal) -> list[str]:
+def check_refusals(records: RunRecords) -> list[str]:
     """A request whose status means that it did not run has not run."""
-    ran = {run.id for run in journal.runs}
+    ran = {run.id for run in records.runs}
     return [
         f"{attempt.id} got status {attempt.status}, but it ran"
-        for attempt in journal.attempts
+        for attempt in records.attempts
         if attempt.status in NOT_RUN_STATUSES
         and attempt.kind is not RequestKind.CALL
         and attempt.id in ran
@@ -131,10 +131,10 @@
 
 
 @CHECKS.register("own answer")
-def check_responses(journal: Journal) -> list[str]:
+def check_responses(records: RunRecords) -> list[str]:
     """A complete success is an engine's full response to this request."""
     violations = []
-    for attempt in journal.attempts:
+    for attempt in records.attempts:
         if attempt.status != OK or not attempt.is_complete:
             continue
         if not attempt.is_signed:
@@ -149,10 +149,10 @@
 
 
 @CHECKS.register("order")
-def check_streams(journal: Journal) -> list[str]:
+def check_streams(records: RunRecords) -> list[str]:
     """Events arrive once and in order; a complete stream has all of them."""
     violations = []
-    for attempt in journal.attempts:
+    for attempt in records.attempts:
         if attempt.kind is not RequestKind.DRAFT or attempt.status != OK:
             continue
         total = int(attempt.body)
@@ -167,15 +167,15 @@
 
 
 @CHECKS.register("budget")
-def check_retry_budget(journal: Journal) -> list[str]:
+def check_retry_budget(records: RunRecords) -> list[str]:
     """Retries, over all requests, stay within the retry budget."""
     seen: set[str] = set()
     retries: Counter[int] = Counter()
-    for run in journal.runs:
+    for run in records.runs:
         if run.id in seen and not run.is_resumed:
             retries[run.started_ms // RETRY_WINDOW_MS] += 1
         seen.add(run.id)
-    sent = Counter(a.sent_ms // RETRY_WINDOW_MS for a in journal.attempts)
+    sent = Counter(a.sent_ms // RETRY_WINDOW_MS for a in records.attempts)
     violations = []
     for window, count in retries.items():
         # The budget depends on the requests of this or the previous window.
@@ -186,27 +186,27 @@
 
 
 @CHECKS.register("gone")
-def check_disconnects(journal: Journal) -> list[str]:
+def check_disconnects(records: RunRecords) -> list[str]:
     """After recovery, no engine works on for a caller that disconnected."""
     left_ms = {
         attempt.id: attempt.ended_ms
-        for attempt in _attempts_after_recovery(journal)
+        for attempt in _attempts_after_recovery(records)
         if attempt.has_disconnected
     }
     return [
         f"{run.id} ran {run.ended_ms - left_ms[run.id]} ms after a disconnect"
-        for run in journal.runs
+        for run in records.runs
         if run.id in left_ms
         and run.ended_ms > left_ms[run.id] + DISCONNECT_NOTICE_MS
     ]
 
 
 @CHECKS.register("recovery")
-def check_recovery(journal: Journal) -> list[str]:
+def check_recovery(records: RunRecords) -> list[str]:
     """After the last fault, requests are served again."""
     attempts = [
         attempt
-        for attempt in _attempts_after_recovery(journal)
+        for attempt in _attempts_after_recovery(records)
         if attempt.is_allowed and not attempt.has_disconnected
     ]
     served = [a for a in attempts if a.status == OK and a.is_complete]
@@ -217,11 +217,11 @@
 
 
 @CHECKS.register("keys")
-def check_invalid_keys(journal: Journal) -> list[str]:
+def check_invalid_keys(records: RunRecords) -> list[str]:
     """After recovery, a key that was never valid gets status 401 only."""
     return [
         f"{attempt.id}: status {attempt.status} for an invalid key"
-        for attempt in _attempts_after_recovery(journal)
+        for attempt in _attempts_after_recovery(records)
         if not attempt.is_allowed
         and not attempt.has_disconnected
         and attempt.status != UNAUTHORIZED
@@ -229,26 +229,26 @@
 
 
 @CHECKS.register("processes")
-def check_processes(journal: Journal) -> list[str]:
+def check_processes(records: RunRecords) -> list[str]:
     """No process exits unexpectedly or exceeds its memory limit."""
-    violations = list(journal.unexpected_exits)
-    if journal.peak_mb > MAX_MEMORY_MB:
-        violations.append(f"a gateway used {journal.peak_mb:.0f} MB")
+    violations = list(records.unexpected_exits)
+    if records.peak_mb > MAX_MEMORY_MB:
+        violations.append(f"a gateway used {records.peak_mb:.0f} MB")
     return violations
 
 
 @CHECKS.register("grace")
-def check_grace_period(journal: Journal) -> list[str]:
+def check_grace_period(records: RunRecords) -> list[str]:
     """A gateway that is told to stop exits within its grace period."""
     return [
         f"{name} still ran after its grace period"
-        for name in journal.overdue_gateways
+        for name in records.overdue_gateways
     ]
 
 
-def _attempts_after_recovery(journal: Journal) -> list[Attempt]:
+def _attempts_after_recovery(records: RunRecords) -> list[Attempt]:
     return [
         attempt
-        for attempt in journal.attempts
-        if attempt.sent_ms >= journal.recovered_from_ms
+        for attempt in records.attempts
+        if attempt.sent_ms >= records.recovered_from_ms
     ]
--- a/lab/soak/deployment.py
+++ b/lab/soak/deployment.py
@@ -13,7 +13,7 @@
 from lab.processes import Processes, free_address, free_ports
 from lab.soak.engines import EngineContext, SoakEngine
 from lab.soak.proxy import LoopbackProxy
-from lab.soak.records import Journal, RequestKind
+from lab.soak.records import RunRecords, RequestKind
 from lab.standins import platformfiles
 from lab.standins.platformstore import PlatformStoreServer
 from rhubarbwinch.shared.clock import Clock, SystemClock
@@ -59,7 +59,7 @@
     was_paused: bool = False
 
 
-class World:
+class SoakDeployment:
     """The deployment of a run, without callers and faults.
 
     Args:
@@ -78,7 +78,7 @@
         engines: int = 3,
         options: Sequence[str] = (),
     ) -> None:
-        self.journal = Journal()
+        self.records = RunRecords()
         self.clock: Clock = SystemClock()
         self.store = PlatformStoreServer(free_address())
         self.keys = {"a": "key-a-1", "b": "key-b-1"}
@@ -89,7 +89,7 @@
         self._ip_bytes = rng.randrange(10, 250), rng.randrange(1, 250)
         self._processes = Processes(folder)
         self._engine_numbers = iter(range(1, 1_000_000))
-        context = EngineContext({}, {}, self.journal, self.clock, rng)
+        context = EngineContext({}, {}, self.records, self.clock, rng)
         self.gateways = [self._new_gateway(i + 1) for i in range(gateways)]
         self.engines = [
             self._new_engine(service, context)
@@ -188,7 +188,7 @@
 
     async def deregister_engine(self, engine: SoakEngine) -> None:
         """Removes an engine's entry from the store."""
-        await self.store.remove(platformfiles.ENDPOINT_PREFIX + engine.name)
+        await self.store.delete(platformfiles.ENDPOINT_PREFIX + engine.name)
 
     async def replace_engine(self, engine: SoakEngine) -> None:
         """Starts a new incarnation of an engine at the same address."""
@@ -236,7 +236,7 @@
 
     def record_step(self, step: str) -> None:
         """Records a step of a fault."""
-        self.journal.faults.append(f"{self.clock.now()} {step}")
+        self.records.faults.append(f"{self.clock.now()} {step}")
 
     def signal(self, gateway: Gateway, number: signal.Signals) -> None:
         """Sends a signal to a gateway if it is running."""
@@ -280,7 +280,7 @@
                 await anyio.sleep(POLL_S)
         if scope.cancelled_caught:
             if not gateway.was_paused:
-                self.journal.overdue_gateways.append(gateway.name)
+                self.records.overdue_gateways.append(gateway.name)
             gateway.is_killed = True
             self._processes.signal(gateway.name, signal.SIGKILL)
         self._record_exit(gateway)
@@ -292,7 +292,7 @@
             # Without its signal handlers, the program ends by the signal.
             expected.add(-signal.SIGTERM)
         if status is not None and status not in expected:
-            self.journal.unexpected_exits.append(
+            self.records.unexpected_exits.append(
                 f"{gateway.name}: status {status}"
             )
 
@@ -305,17 +305,17 @@
             status = self._processes.status(gateway.name)
             if status is not None:
                 line = f"{gateway.name} exited unexpectedly: status {status}"
-                self.journal.unexpected_exits.append(line)
+                self.records.unexpected_exits.append(line)
                 self.start_gateway(gateway)
 
     def _record_memory(self, gateway: Gateway) -> None:
-        peak = self._processes.peak_mb(gateway.name)
-        self.journal.peak_mb = max(self.journal.peak_mb, peak)
+        peak = self._processes.peak_rss_mib(gateway.name)
+        self.records.peak_mb = max(self.records.peak_mb, peak)
 
     def cpu_s(self, gateway: Gateway) -> float:
         """Returns the CPU time that a gateway has used."""
         return self._processes.cpu_s(gateway.name)
 
-    def close(self) -> None:
+    def stop(self) -> None:
         """Stops all processes."""
         self._processes.__exit__()
--- a/lab/soak/engines.py
+++ b/lab/soak/engines.py
@@ -11,12 +11,12 @@
 
 from lab.soak import records
 from lab.soak.proxy import LoopbackProxy
-from lab.soak.records import Journal, Run
+from lab.soak.records import RunRecords, Run
 from lab.standins.platformengine import (
-    Arrival,
+    ReceivedRequest,
     ScriptedEngine,
-    head_of,
-    refuse,
+    engine_headers,
+    send_not_run,
 )
 from rhubarbwinch.gateway.edge import EdgeRequest, EdgeResponder
 from rhubarbwinch.platform import headers
@@ -71,14 +71,14 @@
         copies: All KV cache copies by handle. The handle of a copy at a hot
             standby is the id of the request.
         engines: The engines by the address that they register.
-        journal: Runs are recorded here.
+        records: Runs are recorded here.
         clock: The source of time.
         rng: The random number generator.
     """
 
     copies: dict[str, KvCacheCopy]
     engines: dict[str, "SoakEngine"]
-    journal: Journal
+    records: RunRecords
     clock: Clock
     rng: random.Random
 
@@ -105,7 +105,7 @@
         super().__init__(name, address, service)
         self.address = proxy.address
         self.proxy = proxy
-        self.behaviour = self._serve
+        self.handler = self._serve
         self.failure_rate = 0.0
         self.slots = 24
         self._context = context
@@ -137,24 +137,24 @@
             return
         await super()._handle(request, responder)
 
-    async def _serve(self, arrival: Arrival, responder: EdgeResponder) -> None:
-        first = self._first_event(arrival)
+    async def _serve(self, received_request: ReceivedRequest, responder: EdgeResponder) -> None:
+        first = self._first_event(received_request)
         is_full = (
             len(self._active_runs) >= self.slots
-            or arrival.id in self._active_runs
+            or received_request.id in self._active_runs
         )
         if first is None or is_full:
-            await refuse(arrival, responder)
+            await send_not_run(received_request, responder)
             return
-        with self._track_run(arrival, first) as active_run:
+        with self._track_run(received_request, first) as active_run:
             if active_run.run.kind == records.RequestKind.DRAFT.value:
-                await self._stream(arrival, responder, active_run)
+                await self._stream(received_request, responder, active_run)
             else:
-                await self._respond(arrival, responder)
+                await self._respond(received_request, responder)
 
-    def _first_event(self, arrival: Arrival) -> int | None:
+    def _first_event(self, received_request: ReceivedRequest) -> int | None:
         """Returns a run's first event; None if this engine lacks its copy."""
-        source = arrival.headers.get(headers.RESUME_FROM.decode())
+        source = received_request.headers.get(headers.RESUME_FROM.decode())
         if source is None:
             return 1
         handle = source.partition("/")[2]
@@ -163,23 +163,23 @@
             return None
         # A copy can be used only once.
         del self._context.copies[handle]
-        return int(arrival.headers.get(headers.LAST_EVENT_ID.decode(), "0")) + 1
+        return int(received_request.headers.get(headers.LAST_EVENT_ID.decode(), "0")) + 1
 
     @contextmanager
-    def _track_run(self, arrival: Arrival, first: int) -> Iterator[ActiveRun]:
-        fields = arrival.headers
+    def _track_run(self, received_request: ReceivedRequest, first: int) -> Iterator[ActiveRun]:
+        fields = received_request.headers
         run = Run(
-            id=arrival.id,
-            kind=arrival.request.target.decode().split("/")[1],
+            id=received_request.id,
+            kind=received_request.request.target.decode().split("/")[1],
             engine=self.name,
             account=fields.get(headers.ACCOUNT.decode(), ""),
-            body=arrival.request.body,
+            body=received_request.request.body,
             has_key=headers.AUTHORIZATION.decode() in fields,
             is_resumed=headers.RESUME_FROM.decode() in fields,
             first_event=first,
             started_ms=self._context.clock.now(),
         )
-        self._context.journal.runs.append(run)
+        self._context.records.runs.append(run)
         active_run = ActiveRun(run, first - 1, anyio.CancelScope())
         self._active_runs[run.id] = active_run
         address = fields.get(headers.STANDBY.decode())
@@ -194,32 +194,32 @@
             self._active_runs.pop(run.id, None)
 
     async def _respond(
-        self, arrival: Arrival, responder: EdgeResponder
+        self, received_request: ReceivedRequest, responder: EdgeResponder
     ) -> None:
         await self._context.clock.sleep(CALL_DURATION_MS)
-        self._record_reachability(arrival.id)
+        self._record_reachability(received_request.id)
         if self._context.rng.random() < self.failure_rate:
-            await responder.send(500, head_of(arrival), b"failed")
+            await responder.send(500, engine_headers(received_request), b"failed")
             return
-        body = records.full_response(arrival.id, arrival.request.body)
-        await responder.send(200, head_of(arrival), body)
+        body = records.full_response(received_request.id, received_request.request.body)
+        await responder.send(200, engine_headers(received_request), body)
 
     async def _stream(
-        self, arrival: Arrival, responder: EdgeResponder, active_run: ActiveRun
+        self, received_request: ReceivedRequest, responder: EdgeResponder, active_run: ActiveRun
     ) -> None:
-        total = int(arrival.request.body or b"1")
+        total = int(received_request.request.body or b"1")
         kind = (b"Content-Type", b"text/event-stream")
-        await responder.start_stream(200, [*head_of(arrival), kind])
+        await responder.start_stream(200, [*engine_headers(received_request), kind])
         while active_run.event_count < total:
             await self._context.clock.sleep(EVENT_INTERVAL_MS)
-            self._record_reachability(arrival.id)
+            self._record_reachability(received_request.id)
             active_run.event_count += 1
             if active_run.standby_copy is not None:
                 active_run.standby_copy.event_count = active_run.event_count
             await responder.write(
-                records.event(arrival.id, active_run.event_count)
+                records.event(received_request.id, active_run.event_count)
             )
-        self._context.copies.pop(arrival.id, None)
+        self._context.copies.pop(received_request.id, None)
         await responder.end_stream()
 
     def _record_reachability(self, request_id: str) -> None:
--- a/lab/soak/faults.py
+++ b/lab/soak/faults.py
@@ -8,11 +8,11 @@
 
 from lab.soak.engines import SoakEngine
 from lab.soak.proxy import LoopbackProxy
-from lab.soak.deployment import Gateway, World
+from lab.soak.deployment import Gateway, SoakDeployment
 from lab.standins import platformfiles
 from rhubarbwinch.shared.registry import Registry
 
-Fault = Callable[[World, random.Random], Awaitable[None]]
+Fault = Callable[[SoakDeployment, random.Random], Awaitable[None]]
 FAULTS: Registry[Fault] = Registry("fault")
 
 # The range of durations of temporary faults.
@@ -53,173 +53,173 @@
     proxy.heal()
 
 
-def _pick_gateway(world: World, rng: random.Random) -> Gateway:
-    return rng.choice(world.gateways)
+def _pick_gateway(deployment: SoakDeployment, rng: random.Random) -> Gateway:
+    return rng.choice(deployment.gateways)
 
 
-def _pick_engine(world: World, rng: random.Random) -> SoakEngine:
-    return rng.choice(world.engines)
+def _pick_engine(deployment: SoakDeployment, rng: random.Random) -> SoakEngine:
+    return rng.choice(deployment.engines)
 
 
 @FAULTS.register("store link")
-async def disturb_store_link(world: World, rng: random.Random) -> None:
+async def disturb_store_link(deployment: SoakDeployment, rng: random.Random) -> None:
     """Disturbs the connections from one gateway to the store."""
-    await _disturb(_pick_gateway(world, rng).store, rng)
+    await _disturb(_pick_gateway(deployment, rng).store, rng)
 
 
 @FAULTS.register("store links")
-async def disturb_store_links(world: World, rng: random.Random) -> None:
+async def disturb_store_links(deployment: SoakDeployment, rng: random.Random) -> None:
     """Disturbs the store connections of all gateways independently."""
     async with anyio.create_task_group() as tasks:
-        for gateway in world.gateways:
+        for gateway in deployment.gateways:
             tasks.start_soon(_disturb, gateway.store, rng)
 
 
 @FAULTS.register("store")
-async def disturb_store(world: World, rng: random.Random) -> None:
+async def disturb_store(deployment: SoakDeployment, rng: random.Random) -> None:
     """The store fails, hangs, loses responses or compacts its history."""
-    faults = world.store.faults
+    faults = deployment.store.faults
     match rng.randrange(4):
         case 0:
             faults.status = rng.choice((429, 503))
         case 1:
-            faults.is_silent = True
+            faults.is_hanging = True
         case 2:
-            faults.lose_answers = REPEAT_COUNT
+            faults.lost_responses = REPEAT_COUNT
         case _:
-            faults.forgotten = world.store.memory.revision
+            faults.compacted_revision = deployment.store.memory.revision
     await _wait_duration(rng)
-    faults.status, faults.is_silent = 0, False
+    faults.status, faults.is_hanging = 0, False
 
 
 @FAULTS.register("foreign entry")
-async def write_foreign_entry(world: World, rng: random.Random) -> None:
+async def write_foreign_entry(deployment: SoakDeployment, rng: random.Random) -> None:
     """Writes an invalid entry under the prefix where engines register."""
     key = f"{platformfiles.ENDPOINT_PREFIX}x-{rng.randrange(100)}"
     invalid_values = (b"\xff\xfe", b"[]", b"{}", b'{"service": 7}', b"")
-    await world.store.put(key, rng.choice(invalid_values))
+    await deployment.store.put(key, rng.choice(invalid_values))
 
 
 @FAULTS.register("caller link")
-async def disturb_caller_link(world: World, rng: random.Random) -> None:
+async def disturb_caller_link(deployment: SoakDeployment, rng: random.Random) -> None:
     """Disturbs the connections from callers to one gateway."""
-    await _disturb(_pick_gateway(world, rng).front, rng)
+    await _disturb(_pick_gateway(deployment, rng).front, rng)
 
 
 @FAULTS.register("engine link")
-async def disturb_engine_link(world: World, rng: random.Random) -> None:
+async def disturb_engine_link(deployment: SoakDeployment, rng: random.Random) -> None:
     """Disturbs the connections from the gateways to one engine."""
-    await _disturb(_pick_engine(world, rng).proxy, rng)
+    await _disturb(_pick_engine(deployment, rng).proxy, rng)
 
 
 @FAULTS.register("late answer")
-async def send_extra_bytes(world: World, rng: random.Random) -> None:
+async def send_extra_bytes(deployment: SoakDeployment, rng: random.Random) -> None:
     """An engine sends extra bytes after a response."""
     extra_bytes = (
         b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray",
         b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nshort",
         b"\x00\x01 not an answer",
     )
-    _pick_engine(world, rng).proxy.faults.extra_bytes = rng.choice(extra_bytes)
+    _pick_engine(deployment, rng).proxy.faults.extra_bytes = rng.choice(extra_bytes)
 
 
 @FAULTS.register("engine crash")
-async def crash_engine(world: World, rng: random.Random) -> None:
+async def crash_engine(deployment: SoakDeployment, rng: random.Random) -> None:
     """An engine crashes and is replaced by one with a new id."""
-    engine = _pick_engine(world, rng)
+    engine = _pick_engine(deployment, rng)
     engine.crash()
     await anyio.sleep(rng.uniform(MIN_DURATION_S, 2 * ENTRY_EXPIRY_S))
-    await world.replace_engine(engine)
+    await deployment.replace_engine(engine)
 
 
 @FAULTS.register("engine leaves")
-async def drain_engine(world: World, rng: random.Random) -> None:
+async def drain_engine(deployment: SoakDeployment, rng: random.Random) -> None:
     """An engine registers as draining or deregisters, and ends later."""
-    engine = _pick_engine(world, rng)
+    engine = _pick_engine(deployment, rng)
     if rng.random() < 0.5:
-        await world.register_engine(engine, "draining")
+        await deployment.register_engine(engine, "draining")
     else:
-        await world.deregister_engine(engine)
+        await deployment.deregister_engine(engine)
     await anyio.sleep(LEAVING_NOTICE_S)
     engine.crash()
     await _wait_duration(rng)
-    await world.replace_engine(engine)
+    await deployment.replace_engine(engine)
 
 
 @FAULTS.register("failing engine")
-async def fail_engine(world: World, rng: random.Random) -> None:
+async def fail_engine(deployment: SoakDeployment, rng: random.Random) -> None:
     """An engine answers a random share of plain calls with status 500."""
-    engine = _pick_engine(world, rng)
+    engine = _pick_engine(deployment, rng)
     engine.failure_rate = rng.random()
     await _wait_duration(rng)
     engine.failure_rate = 0.0
 
 
 @FAULTS.register("full engine")
-async def fill_engine(world: World, rng: random.Random) -> None:
+async def fill_engine(deployment: SoakDeployment, rng: random.Random) -> None:
     """An engine has only one slot for a while."""
-    engine = _pick_engine(world, rng)
+    engine = _pick_engine(deployment, rng)
     normal_slots, engine.slots = engine.slots, 1
     await _wait_duration(rng)
     engine.slots = normal_slots
 
 
 @FAULTS.register("configuration")
-async def change_configuration(world: World, rng: random.Random) -> None:
+async def change_configuration(deployment: SoakDeployment, rng: random.Random) -> None:
     """Publishes new configuration versions with changed API keys."""
     for _ in range(rng.randrange(1, REPEAT_COUNT + 1)):
-        world.version += rng.randrange(1, 4)
-        world.keys["b"] = f"key-b-{world.version}"
-        await world.publish_configuration()
+        deployment.version += rng.randrange(1, 4)
+        deployment.keys["b"] = f"key-b-{deployment.version}"
+        await deployment.publish_configuration()
         await anyio.sleep(rng.uniform(0, MIN_DURATION_S))
 
 
 @FAULTS.register("pause")
-async def pause_gateway(world: World, rng: random.Random) -> None:
+async def pause_gateway(deployment: SoakDeployment, rng: random.Random) -> None:
     """A gateway's process is paused for a while and continued."""
-    gateway = _pick_gateway(world, rng)
-    world.signal(gateway, signal.SIGSTOP)
+    gateway = _pick_gateway(deployment, rng)
+    deployment.signal(gateway, signal.SIGSTOP)
     await _wait_duration(rng)
-    world.signal(gateway, signal.SIGCONT)
+    deployment.signal(gateway, signal.SIGCONT)
 
 
 @FAULTS.register("restart")
-async def restart_gateway(world: World, rng: random.Random) -> None:
+async def restart_gateway(deployment: SoakDeployment, rng: random.Random) -> None:
     """A gateway gets SIGTERM, maybe further signals, and is restarted."""
-    gateway = _pick_gateway(world, rng)
-    world.signal(gateway, signal.SIGTERM)
+    gateway = _pick_gateway(deployment, rng)
+    deployment.signal(gateway, signal.SIGTERM)
     for _ in range(rng.randrange(REPEAT_COUNT)):
-        world.signal(gateway, rng.choice(STOP_SIGNALS))
+        deployment.signal(gateway, rng.choice(STOP_SIGNALS))
         await anyio.sleep(rng.uniform(0, MIN_DURATION_S))
-    await world.restart_after_exit(gateway, rng.uniform(0, MAX_DURATION_S))
+    await deployment.restart_after_exit(gateway, rng.uniform(0, MAX_DURATION_S))
 
 
 @FAULTS.register("rolling restart")
-async def restart_rolling(world: World, rng: random.Random) -> None:
+async def restart_rolling(deployment: SoakDeployment, rng: random.Random) -> None:
     """All gateways are stopped and restarted, one after another."""
-    for gateway in list(world.gateways):
-        world.signal(gateway, signal.SIGTERM)
-        await world.restart_after_exit(gateway, rng.uniform(0, MIN_DURATION_S))
+    for gateway in list(deployment.gateways):
+        deployment.signal(gateway, signal.SIGTERM)
+        await deployment.restart_after_exit(gateway, rng.uniform(0, MIN_DURATION_S))
 
 
 @FAULTS.register("all killed")
-async def kill_all(world: World, rng: random.Random) -> None:
+async def kill_all(deployment: SoakDeployment, rng: random.Random) -> None:
     """All gateways are killed at the same time and restarted."""
     async with anyio.create_task_group() as tasks:
-        for gateway in world.gateways:
-            world.signal(gateway, signal.SIGKILL)
+        for gateway in deployment.gateways:
+            deployment.signal(gateway, signal.SIGKILL)
             pause_s = rng.uniform(0, MIN_DURATION_S)
-            tasks.start_soon(world.restart_after_exit, gateway, pause_s)
+            tasks.start_soon(deployment.restart_after_exit, gateway, pause_s)
 
 
 @FAULTS.register("settings")
-async def change_settings(world: World, rng: random.Random) -> None:
+async def change_settings(deployment: SoakDeployment, rng: random.Random) -> None:
     """The settings file changes repeatedly, with or without SIGHUP."""
-    gateway = _pick_gateway(world, rng)
+    gateway = _pick_gateway(deployment, rng)
     for _ in range(REPEAT_COUNT):
-        world.write_settings(gateway, memory_mb=rng.randrange(180, 230))
+        deployment.write_settings(gateway, memory_mb=rng.randrange(180, 230))
         if rng.random() < 0.7:
-            world.signal(gateway, signal.SIGHUP)
+            deployment.signal(gateway, signal.SIGHUP)
         await anyio.sleep(rng.uniform(0, MIN_DURATION_S))
-    world.write_settings(gateway)
-    world.signal(gateway, signal.SIGHUP)
+    deployment.write_settings(gateway)
+    deployment.signal(gateway, signal.SIGHUP)
--- a/lab/soak/records.py
+++ b/lab/soak/records.py
@@ -80,7 +80,7 @@
 
 
 @attrs.define
-class Journal:
+class RunRecords:
     """All records of one seed of the soak.
 
     Attributes:
--- a/lab/soak/run.py
+++ b/lab/soak/run.py
@@ -9,8 +9,8 @@
 
 from lab.soak.callers import Caller, CallerContext
 from lab.soak.faults import FAULTS
-from lab.soak.records import Journal
-from lab.soak.deployment import World
+from lab.soak.records import RunRecords
+from lab.soak.deployment import SoakDeployment
 
 STARTUP_S = 3.0
 # After this time from the last fault, all requests must be served again.
@@ -38,57 +38,57 @@
     callers: int = 24
 
 
-async def run_seed(seed: int, folder: pathlib.Path, size: Size) -> Journal:
+async def run_seed(seed: int, folder: pathlib.Path, size: Size) -> RunRecords:
     """Runs a seed; the gateways write their logs to `folder`."""
     rng = random.Random(seed)
-    world = World(folder, rng, size.gateways, size.engines)
+    deployment = SoakDeployment(folder, rng, size.gateways, size.engines)
     try:
         async with anyio.create_task_group() as tasks:
-            await world.start(tasks)
+            await deployment.start(tasks)
             await anyio.sleep(STARTUP_S)
-            tasks.start_soon(_watch_processes, world)
-            await _run_callers(world, rng, size)
+            tasks.start_soon(_watch_processes, deployment)
+            await _run_callers(deployment, rng, size)
             tasks.cancel_scope.cancel()
     finally:
-        world.close()
-    return world.journal
+        deployment.stop()
+    return deployment.records
 
 
-async def _watch_processes(world: World) -> None:
+async def _watch_processes(deployment: SoakDeployment) -> None:
     while True:
-        world.check_processes()
+        deployment.check_processes()
         await anyio.sleep(PROCESS_CHECK_S)
 
 
-def make_callers(world: World, rng: random.Random, count: int) -> list[Caller]:
+def make_callers(deployment: SoakDeployment, rng: random.Random, count: int) -> list[Caller]:
     """Returns callers of a deployment's gateways."""
     context = CallerContext(
-        world.fronts,
-        world.directories,
-        lambda: world.keys,
-        world.journal,
-        world.clock,
+        deployment.fronts,
+        deployment.directories,
+        lambda: deployment.keys,
+        deployment.records,
+        deployment.clock,
     )
     seeds = [rng.randrange(1 << 30) for _ in range(count)]
     return [Caller(context, random.Random(seed)) for seed in seeds]
 
 
-async def _run_callers(world: World, rng: random.Random, size: Size) -> None:
-    callers = make_callers(world, rng, size.callers)
+async def _run_callers(deployment: SoakDeployment, rng: random.Random, size: Size) -> None:
+    callers = make_callers(deployment, rng, size.callers)
     async with anyio.create_task_group() as tasks:
         for caller in callers:
             tasks.start_soon(caller.run)
-        await _inject_faults(world, rng, size.faults_s)
-        world.journal.faults_ended_ms = world.clock.now()
+        await _inject_faults(deployment, rng, size.faults_s)
+        deployment.records.faults_ended_ms = deployment.clock.now()
         await anyio.sleep(RECOVERY_S)
-        world.journal.recovered_from_ms = world.clock.now()
+        deployment.records.recovered_from_ms = deployment.clock.now()
         await anyio.sleep(FAULT_FREE_S)
         for caller in callers:
             caller.is_stopping = True
 
 
 async def _inject_faults(
-    world: World, rng: random.Random, duration_s: float
+    deployment: SoakDeployment, rng: random.Random, duration_s: float
 ) -> None:
     """Starts faults for `duration_s` seconds and waits until all have ended."""
     end = anyio.current_time() + duration_s
@@ -96,12 +96,12 @@
         while anyio.current_time() < end:
             await anyio.sleep(rng.expovariate(1 / MEAN_FAULT_INTERVAL_S))
             name = rng.choice(sorted(FAULTS))
-            tasks.start_soon(_inject_fault, world, name, rng.randrange(1 << 30))
-    for proxy in world.proxies:
+            tasks.start_soon(_inject_fault, deployment, name, rng.randrange(1 << 30))
+    for proxy in deployment.proxies:
         proxy.heal()
 
 
-async def _inject_fault(world: World, name: str, seed: int) -> None:
-    world.record_step(f"{name} begins")
-    await FAULTS.get(name)(world, random.Random(seed))
-    world.record_step(f"{name} ends")
+async def _inject_fault(deployment: SoakDeployment, name: str, seed: int) -> None:
+    deployment.record_step(f"{name} begins")
+    await FAULTS.get(name)(deployment, random.Random(seed))
+    deployment.record_step(f"{name} ends")
--- a/lab/spread.py
+++ b/lab/spread.py
@@ -64,16 +64,16 @@
     await store.swap(keys.ACCEPTED_HEAD, revision, head.to_bytes())
 
 
-async def measure(members: int, watches: bool) -> ChangeCost:
+async def measure(members: int, all_watch: bool) -> ChangeCost:
     """Returns the cost of one change with `members` members."""
     data_centers = DATA_CENTERS * (3 if members >= THREE_REGIONS_FROM else 1)
     async with anyio.create_task_group() as tasks:
-        fleet = MemberSet(tasks, watches)
+        fleet = MemberSet(tasks, all_watch)
         await _publish(fleet.store, 1)
         for i in range(members):
             fleet.add(f"m-{i}", data_center=f"dc-{i % data_centers}")
         await fleet.clock.advance(SETTLE_MS)
-        assert fleet.generations() == [1] * members
+        assert fleet.active_generations() == [1] * members
         before = fleet.store.calls
         bytes_before_idle = _link_bytes(fleet)
         await fleet.clock.advance(IDLE_MS)
@@ -84,10 +84,10 @@
         await _publish(fleet.store, 2)
         publisher_calls = fleet.store.calls - calls
         half_ms = elapsed_ms = 0
-        while min(fleet.generations()) < 2 and elapsed_ms < LIMIT_MS:
+        while min(fleet.active_generations()) < 2 and elapsed_ms < LIMIT_MS:
             await fleet.clock.advance(CLOCK_STEP_MS)
             elapsed_ms += CLOCK_STEP_MS
-            done = sum(g == 2 for g in fleet.generations())
+            done = sum(g == 2 for g in fleet.active_generations())
             half_ms = half_ms or (elapsed_ms if done * 2 >= members else 0)
         figures = ChangeCost(
             members,
@@ -118,9 +118,9 @@
     )
     print("|---|---|---|---|---|---|---|---|")
     for size in options.sizes:
-        for watches in (True, False):
-            figures = anyio.run(measure, size, watches)
-            way = "direct" if watches else "spread"
+        for all_watch in (True, False):
+            figures = anyio.run(measure, size, all_watch)
+            way = "direct" if all_watch else "spread"
             cells = [str(cell) for cell in attrs.astuple(figures)]
             print(f"| {way} | " + " | ".join(cells) + " |")
 
--- a/lab/standins/engine.py
+++ b/lab/standins/engine.py
@@ -17,7 +17,7 @@
 
 from lab.enginemodel import EngineModel, EngineParameters, Sequence
 from lab.standins.faults import EngineFaults
-from lab.standins.orders import OrderBoard
+from lab.standins.orders import OrderHandler
 from lab.standins.serve import MAX_BODY_BYTES, make_parser, serve
 from rhubarbwinch.http.httpapi import App, Request, Responder
 
@@ -84,7 +84,7 @@
     """
 
     def __init__(
-        self, parameters: EngineParameters, speed: float, orders: OrderBoard
+        self, parameters: EngineParameters, speed: float, orders: OrderHandler
     ) -> None:
         self._orders = orders
         self._model = EngineModel(parameters)
@@ -179,7 +179,7 @@
         sequence = generation.sequence
         while index < sequence.output_tokens:
             changed = generation.changed
-            while index < sequence.done_tokens:
+            while index < sequence.generated_tokens:
                 event = generation.event(index)
                 if not await self._faults.send(
                     index, event, generation.name, responder
@@ -220,7 +220,7 @@
     options_parser.add_argument("--ignore-fencing", action="store_true")
     options_parser.add_argument("--weights", default="")
     options = options_parser.parse_args()
-    orders = OrderBoard(not options.ignore_fencing, options.weights)
+    orders = OrderHandler(not options.ignore_fencing, options.weights)
     engine = Engine(EngineParameters(), options.speed, orders)
     anyio.run(_run, engine, options.listen)
 
--- a/lab/standins/kvstore.py
+++ b/lab/standins/kvstore.py
@@ -191,7 +191,7 @@
         body = orjson.loads(request.body)
         faults = self._store.faults
         faults.down = body.get("down", faults.down)
-        faults.lose_answers = body.get("lose_answers", faults.lose_answers)
+        faults.lost_responses = body.get("lose_answers", faults.lost_responses)
         self._delay_ms = body.get("delay_ms", self._delay_ms)
         self._store.wake_watches()
         await responder.json(b"{}")
--- a/lab/standins/orders.py
+++ b/lab/standins/orders.py
@@ -18,7 +18,7 @@
     fence: int
 
 
-class OrderBoard:
+class OrderHandler:
     """Applies orders, with or without a check of their fencing numbers.
 
     Args:
@@ -28,7 +28,7 @@
     """
 
     def __init__(self, checks_fencing: bool, weights: str = "") -> None:
-        self.log: list[AppliedOrder] = []
+        self.applied_orders: list[AppliedOrder] = []
         self._checks_fencing = checks_fencing
         self._weights = weights
         self._loaded: set[str] = set()
@@ -41,7 +41,7 @@
         app.route("GET", "/state", self._show_state)
         app.route("GET", "/order-log", self._show_log)
 
-    def take(self, kind: str, subject: str, fence: int) -> bool:
+    def apply_order(self, kind: str, subject: str, fence: int) -> bool:
         """Applies an order; returns False if it is refused."""
         if self._checks_fencing and fence < self._fence:
             return False
@@ -52,7 +52,7 @@
             self._loaded.discard(subject)
         else:
             self._role = subject
-        self.log.append(AppliedOrder(kind, subject, fence))
+        self.applied_orders.append(AppliedOrder(kind, subject, fence))
         return True
 
     def state(self) -> dict[str, Any]:
@@ -66,7 +66,7 @@
         if data["kind"] == "load" and not await self._can_load(data["subject"]):
             await responder.json(b'{"error":"no weights"}', 503)
             return
-        applied = self.take(data["kind"], data["subject"], data["fence"])
+        applied = self.apply_order(data["kind"], data["subject"], data["fence"])
         await responder.json(b"{}", 200 if applied else 409)
 
     async def _can_load(self, subject: str) -> bool:
@@ -81,5 +81,5 @@
         await responder.json(orjson.dumps(self.state()))
 
     async def _show_log(self, _: Request, responder: Responder) -> None:
-        rows = [attrs.asdict(order) for order in self.log]
+        rows = [attrs.asdict(order) for order in self.applied_orders]
         await responder.json(orjson.dumps(rows))
--- a/lab/standins/platformengine.py
+++ b/lab/standins/platformengine.py
@@ -20,7 +20,7 @@
 
 
 @attrs.define
-class Arrival:
+class ReceivedRequest:
     """A request that the engine received.
 
     Attributes:
@@ -37,28 +37,28 @@
         return self.headers.get("attempt-id", "")
 
 
-Behaviour = Callable[[Arrival, EdgeResponder], Awaitable[None]]
+RequestHandler = Callable[[ReceivedRequest, EdgeResponder], Awaitable[None]]
 
 
-def head_of(arrival: Arrival) -> Headers:
+def engine_headers(received_request: ReceivedRequest) -> Headers:
     """Returns the headers that mark a response as an engine's own."""
-    return [(b"Attempt-Id", arrival.id.encode()), SIGNATURE]
+    return [(b"Attempt-Id", received_request.id.encode()), SIGNATURE]
 
 
-async def answer_ok(arrival: Arrival, responder: EdgeResponder) -> None:
+async def send_ok(received_request: ReceivedRequest, responder: EdgeResponder) -> None:
     """Sends a success whose body is the id of the request."""
-    await responder.send(200, head_of(arrival), arrival.id.encode())
+    await responder.send(200, engine_headers(received_request), received_request.id.encode())
 
 
-async def refuse(arrival: Arrival, responder: EdgeResponder) -> None:
+async def send_not_run(received_request: ReceivedRequest, responder: EdgeResponder) -> None:
     """Refuses a request with the header that says that it did not run."""
     refusal = (b"Not-Executed", b"1")
     await responder.send(
-        503, [(b"Attempt-Id", arrival.id.encode()), refusal], b""
+        503, [(b"Attempt-Id", received_request.id.encode()), refusal], b""
     )
 
 
-def event(number: int) -> bytes:
+def stream_event(number: int) -> bytes:
     """Returns the event of a stream with this number."""
     return b"id: %d\ndata: piece %d\n\n" % (number, number)
 
@@ -76,17 +76,17 @@
         self.name = name
         self.address = address
         self.service = service
-        self.behaviour: Behaviour = answer_ok
-        self.arrivals: list[Arrival] = []
-        self.left = 0
-        self.moves: list[dict[str, object]] = []
-        self.freed: list[str] = []
-        self.move_status = 200
+        self.handler: RequestHandler = send_ok
+        self.received: list[ReceivedRequest] = []
+        self.disconnects = 0
+        self.migration_requests: list[dict[str, object]] = []
+        self.freed_handles: list[str] = []
+        self.migration_status = 200
         self.leaves_ms: int | None = None
         self._server = EdgeServer(address, self._handle, SystemClock())
 
     @property
-    def entry(self) -> bytes:
+    def ready_entry(self) -> bytes:
         """The store entry that it registers while it is ready."""
         return self.registration("ready")
 
@@ -116,7 +116,7 @@
         fields = {
             n.decode().lower(): v.decode("latin-1") for n, v in request.headers
         }
-        arrival = Arrival(request, fields)
+        received_request = ReceivedRequest(request, fields)
         if request.target == b"/kv-move":
             await self._handle_migration(request, responder)
             return
@@ -132,24 +132,24 @@
         if expected != self.name:
             await responder.send(421, [], b"")
             return
-        self.arrivals.append(arrival)
+        self.received.append(received_request)
         try:
-            await self.behaviour(arrival, responder)
+            await self.handler(received_request, responder)
         except anyio.get_cancelled_exc_class():
-            self.left += 1
+            self.disconnects += 1
             raise
 
     def _free_copy(self, handle: str) -> int:
         """Frees a KV cache copy; returns the HTTP status."""
-        self.freed.append(handle)
+        self.freed_handles.append(handle)
         return 200
 
     async def _handle_migration(
         self, request: EdgeRequest, responder: EdgeResponder
     ) -> None:
         body = orjson.loads(request.body)
-        self.moves.append(body)
+        self.migration_requests.append(body)
         response = {"handle": f"h-{body['id']}", "created": 0}
-        if self.move_status != 200:
+        if self.migration_status != 200:
             response = {}
-        await responder.send(self.move_status, [], orjson.dumps(response))
+        await responder.send(self.migration_status, [], orjson.dumps(response))
--- a/lab/standins/platformstore.py
+++ b/lab/standins/platformstore.py
@@ -26,18 +26,18 @@
 
     Attributes:
         status: The status of all responses; 0 for no fault.
-        is_silent: No call gets a response.
-        lose_answers: The number of next writes that are applied but get no
+        is_hanging: No call gets a response.
+        lost_responses: The number of next writes that are applied but get no
             response.
-        forgotten: Changes up to this revision are compacted.
-        page: The maximum number of items on a page.
+        compacted_revision: Changes up to this revision are compacted.
+        page_size: The maximum number of items on a page.
     """
 
     status: int = 0
-    is_silent: bool = False
-    lose_answers: int = 0
-    forgotten: int = 0
-    page: int = 500
+    is_hanging: bool = False
+    lost_responses: int = 0
+    compacted_revision: int = 0
+    page_size: int = 500
 
 
 def _format_entry(entry: Entry) -> JSON:
@@ -82,7 +82,7 @@
         expected = current.revision if current else 0
         await self.memory.swap(key, expected, value)
 
-    async def remove(self, key: str) -> None:
+    async def delete(self, key: str) -> None:
         """Deletes a key, as an expired lease does."""
         current = await self.memory.get(key)
         if current is not None:
@@ -93,7 +93,7 @@
     ) -> None:
         path, _, query = request.target.decode().partition("?")
         self.calls.append(path)
-        if self.faults.is_silent:
+        if self.faults.is_hanging:
             await anyio.sleep_forever()
         if self.faults.status:
             await responder.send(self.faults.status, [], b"")
@@ -138,7 +138,7 @@
         listing = await self.memory.scan(params.get("prefix", ""))
         after = params.get("after", "")
         entries = [e for e in listing.entries if e.key > after]
-        page = entries[: self.faults.page]
+        page = entries[: self.faults.page_size]
         return 200, {
             "items": [_format_entry(entry) for entry in page],
             "has_more": len(entries) > len(page),
@@ -147,7 +147,7 @@
 
     async def _watch(self, params: dict[str, str]) -> tuple[int, JSON]:
         prefix, after = params.get("prefix", ""), int(params["after"])
-        if after < self.faults.forgotten:
+        if after < self.faults.compacted_revision:
             return 410, {}
         with anyio.move_on_after(int(params["wait_ms"]) / 1000):
             async for _ in self.memory.watch(prefix, after):
@@ -172,8 +172,8 @@
             swap = await self.memory.swap(
                 key, expected, value, write.get("lease", 0)
             )
-        if self.faults.lose_answers:
-            self.faults.lose_answers -= 1
+        if self.faults.lost_responses:
+            self.faults.lost_responses -= 1
             raise StoreUncertain("the response is lost")
         return self._format_swap(key, swap)
 
--- a/rhubarbwinch/stores/memstore.py
+++ b/rhubarbwinch/stores/memstore.py
@@ -17,12 +17,12 @@
 
     Attributes:
         down: Whether every call fails without effect.
-        lose_answers: The number of following writes that take effect but raise
+        lost_responses: The number of following writes that take effect but raise
             an error, as if the response had been lost.
     """
 
     down: bool = False
-    lose_answers: int = 0
+    lost_responses: int = 0
 
 
 @attrs.define
@@ -168,8 +168,8 @@
         self.expire_leases()
 
     def _finish_write(self) -> None:
-        if self.faults.lose_answers > 0:
-            self.faults.lose_answers -= 1
+        if self.faults.lost_responses > 0:
+            self.faults.lost_responses -= 1
             raise StoreUncertain("the answer was lost")
 
     def _append_change(self, change: Change) -> None:
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -66,7 +66,7 @@
     return PermitRequest(**(base | fields))
 
 
-def token(generation, index, last=False):
+def token_event(generation, index, last=False):
     """Returns the server-sent event of one token as an engine sends it."""
     finish = "stop" if last else None
     choice = {"index": 0, "text": f"t{index} ", "finish_reason": finish}
--- a/tests/claims/test_audit.py
+++ b/tests/claims/test_audit.py
@@ -70,7 +70,7 @@
         for number, tokens in ((1, 10), (2, 20)):
             done = ledger.stream(0, number, tokens)
             first.end(done.generation, finished=True)
-        ledger.store.faults.lose_answers = 1
+        ledger.store.faults.lost_responses = 1
         await first.flush()
         await first.flush()
         await first.flush()
--- a/tests/claims/test_claims.py
+++ b/tests/claims/test_claims.py
@@ -80,7 +80,7 @@
             async with World() as world:
                 key = world.key()
                 world.note(f"# the store's next {lost} answers are lost")
-                world.store.faults.lose_answers = lost
+                world.store.faults.lost_responses = lost
                 world.note(f"entry-0: {await world.call(0, key)}")
                 await world.clock.advance(3_000)
                 world.note(f"entry-1: {await world.call(1, key)}")
--- a/tests/endpoints/test_relay.py
+++ b/tests/endpoints/test_relay.py
@@ -54,7 +54,7 @@
                 raise step
             parts = step if isinstance(step, list) else [step]
             data = b"".join(
-                p if isinstance(p, bytes) else builders.token(GENERATION, p)
+                p if isinstance(p, bytes) else builders.token_event(GENERATION, p)
                 for p in parts
             )
             events = splitter.feed(data)
@@ -62,10 +62,10 @@
                 yield events
 
 
-LAST = builders.token(GENERATION, 3, last=True)
+LAST = builders.token_event(GENERATION, 3, last=True)
 DONE = b"data: [DONE]\n\n"
 TAIL = [3, LAST, DONE]
-FOREIGN = builders.token("2-1-tag~engine-0", 2)
+FOREIGN = builders.token_event("2-1-tag~engine-0", 2)
 
 SCENARIOS = [
     ("no fault", 0, [[0, 1, 2, LAST, DONE]]),
@@ -90,7 +90,7 @@
         [
             [
                 b": ping\r\n\r\n",
-                builders.token(GENERATION, 0).replace(b"\n", b"\r\n"),
+                builders.token_event(GENERATION, 0).replace(b"\n", b"\r\n"),
                 1,
                 2,
                 LAST,
@@ -159,7 +159,7 @@
     @asynchronous
     async def test_progress_resets_the_limit_of_resumes(self):
         openings = [[i, CUT] for i in range(40)]
-        openings += [[builders.token(GENERATION, 40, last=True), DONE]]
+        openings += [[builders.token_event(GENERATION, 40, last=True), DONE]]
         self.assertIn("resumes 40\nend whole", await _play(0, openings))
 
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -116,4 +116,4 @@
         try:
             wait_until(serves, f"entry {address}")
         except AssertionError as error:
-            raise AssertionError(f"{error}; ended: {self.ended()}") from error
+            raise AssertionError(f"{error}; ended: {self.unexpected_exits()}") from error
--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -65,9 +65,9 @@
         table = build.table(build.route(CallKind.NON_IDEMPOTENT))
         async with running_gateway(engines=6, table=table) as gateway:
 
-            async def crash(arrival, responder):
+            async def crash(received_request, responder):
                 """Makes the endpoint unreachable during the request."""
-                name = arrival.headers["expect-instance"]
+                name = received_request.headers["expect-instance"]
                 known = gateway.context.fleet.get(name)
                 unreachable = build.endpoint(name, address="127.0.0.1:1")
                 known.endpoint = unreachable
@@ -77,14 +77,14 @@
 
             gateway.context.crashes._is_gone = is_gone
             for engine in gateway.engines:
-                engine.behaviour = crash
+                engine.handler = crash
             statuses = []
             for i in range(6):
                 statuses.append((await gateway.call(f"q{i}")).status)
                 # The crash is detected after the caller has its response.
                 while len(gateway.broadcasts) < min(i + 1, MAX_CRASHES):
                     await anyio.sleep(0)
-        self.assertEqual(len(gateway.arrivals), MAX_CRASHES)
+        self.assertEqual(len(gateway.received), MAX_CRASHES)
         self.assertEqual(statuses[:3], [502] * 3)
         self.assertEqual(statuses[-1], 503)
         self.assertEqual(len(gateway.broadcasts), MAX_CRASHES)
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -12,7 +12,7 @@
 
 from lab.processes import free_ports
 from lab.standins import platformfiles
-from lab.standins.platformengine import ScriptedEngine, answer_ok
+from lab.standins.platformengine import ScriptedEngine, send_ok
 from lab.standins.platformstore import PlatformStoreServer
 from tests.helpers import Processes, asynchronous, free_address
 
@@ -117,7 +117,7 @@
             await anyio.wait_all_tasks_blocked()
             await found.store.put(platformfiles.CONFIG_KEY, config())
             await found.store.put(
-                platformfiles.ENDPOINT_PREFIX + "i-1", found.engine.entry
+                platformfiles.ENDPOINT_PREFIX + "i-1", found.engine.ready_entry
             )
             with found.processes:
                 yield found
@@ -194,11 +194,11 @@
                 return (await d.call(1, "q1")).status_code == 503
 
             await d.until(refused)
-            served = len(d.engine.arrivals)
+            served = len(d.engine.received)
             d.start(2)
             await d.until(lambda: d.is_ready(2))
             self.assertEqual((await d.call(2, "q2")).status_code, 503)
-            self.assertEqual(len(d.engine.arrivals), served)
+            self.assertEqual(len(d.engine.received), served)
 
     @asynchronous
     async def test_sigterm_lets_open_requests_finish(self):
@@ -222,14 +222,14 @@
         """Stops a gateway that waits for a response, then sends `later`."""
         proceed = anyio.Event()
 
-        async def wait(arrival, responder):
+        async def wait(received_request, responder):
             await proceed.wait()
-            await answer_ok(arrival, responder)
+            await send_ok(received_request, responder)
 
         async with deployment() as d:
             d.start(1)
             await d.until(lambda: d.is_ready(1))
-            d.engine.behaviour = wait
+            d.engine.handler = wait
             responses = []
 
             async def call():
@@ -237,7 +237,7 @@
 
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(call)
-                while not d.engine.arrivals:
+                while not d.engine.received:
                     await anyio.sleep(0.01)
                 d.processes.signal("g1", signal.SIGTERM)
 
--- a/tests/gateway/test_hops.py
+++ b/tests/gateway/test_hops.py
@@ -24,7 +24,7 @@
         self.addCleanup(tracing.close)
         async with running_gateway(engines=1, tracer=tracing) as gateway:
             response = await gateway.call(traceparent=PARENT)
-            forwarded = gateway.engines[0].arrivals[0].headers["traceparent"]
+            forwarded = gateway.engines[0].received[0].headers["traceparent"]
         self.assertEqual(response.status, 200)
         spans = {span.name: span for span in exporter.get_finished_spans()}
         request, attempt = spans["gateway"], spans["endpoint"]
@@ -38,5 +38,5 @@
     async def test_without_tracing_the_callers_traceparent_is_forwarded(self):
         async with running_gateway(engines=1) as gateway:
             await gateway.call(traceparent=PARENT)
-            forwarded = gateway.engines[0].arrivals[0].headers["traceparent"]
+            forwarded = gateway.engines[0].received[0].headers["traceparent"]
         self.assertEqual(forwarded, PARENT)
--- a/tests/gateway/test_plaincalls.py
+++ b/tests/gateway/test_plaincalls.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from lab.standins.platformengine import answer_ok, head_of, refuse
+from lab.standins.platformengine import send_ok, engine_headers, send_not_run
 from rhubarbwinch.gateway.routes import CallKind
 from tests import gatewaybuilders as build
 from tests.gatewayharness import running_gateway
@@ -13,13 +13,13 @@
 NOT_REPEATABLE = build.table(build.route(CallKind.NON_IDEMPOTENT))
 
 
-async def cut(arrival, responder):
+async def cut(received_request, responder):
     """Closes the connection without a response."""
 
 
-async def cut_midway(arrival, responder):
+async def cut_midway(received_request, responder):
     """Closes the connection before the announced end of the body."""
-    headers = [*head_of(arrival), (b"Content-Length", b"100")]
+    headers = [*engine_headers(received_request), (b"Content-Length", b"100")]
     await responder._connection.write(
         b"HTTP/1.1 200 OK\r\n"
         + b"".join(n + b": " + v + b"\r\n" for n, v in headers)
@@ -27,55 +27,55 @@
     )
 
 
-async def fail(arrival, responder):
+async def fail(received_request, responder):
     """Responds with an error of the endpoint itself."""
-    await responder.send(500, head_of(arrival), b"no")
+    await responder.send(500, engine_headers(received_request), b"no")
 
 
-async def unsigned(arrival, responder):
+async def unsigned(received_request, responder):
     """Sends a response without the endpoint's signature."""
-    head = [(b"Attempt-Id", arrival.id.encode())]
+    head = [(b"Attempt-Id", received_request.id.encode())]
     await responder.send(200, head, b"not the endpoint's")
 
 
-async def encoded(arrival, responder):
+async def encoded(received_request, responder):
     """Sends a body that was encoded on the way."""
-    head = [*head_of(arrival), (b"Content-Encoding", b"gzip")]
+    head = [*engine_headers(received_request), (b"Content-Encoding", b"gzip")]
     await responder.send(200, head, b"zzz")
 
 
-async def busy(arrival, responder):
+async def busy(received_request, responder):
     """Responds with 503 without stating that nothing ran."""
-    await responder.send(503, head_of(arrival), b"")
+    await responder.send(503, engine_headers(received_request), b"")
 
 
-async def nonsense(arrival, responder):
+async def nonsense(received_request, responder):
     """Sends bytes that are no HTTP response."""
     await responder._connection.write(b"\x00\x01 what?\r\n\r\n")
 
 
-async def stale_response_first(arrival, responder):
+async def stale_response_first(received_request, responder):
     """Sends a response to another request before the right one."""
     await responder._connection.write(
         b"HTTP/1.1 200 OK\r\nAttempt-Id: other\r\nServer-Signature: s\r\n"
         b"Content-Length: 5\r\n\r\nother"
     )
-    await answer_ok(arrival, responder)
+    await send_ok(received_request, responder)
 
 
-def _once(behaviour):
+def _once(handler):
     """Returns a behaviour that fails the first request only."""
     seen = []
 
-    async def run(arrival, responder):
+    async def run(received_request, responder):
         seen.append(1)
-        chosen = behaviour if len(seen) == 1 else answer_ok
-        await chosen(arrival, responder)
+        chosen = handler if len(seen) == 1 else send_ok
+        await chosen(received_request, responder)
 
     return run
 
 
-BROKEN_BEHAVIOURS = (cut, cut_midway, unsigned, encoded, busy, nonsense)
+BROKEN_HANDLERS = (cut, cut_midway, unsigned, encoded, busy, nonsense)
 
 
 class PlainCallsTest(unittest.TestCase):
@@ -87,38 +87,38 @@
             found = await gateway.call()
         self.assertEqual((found.status, found.body), (200, b"q1"))
         self.assertEqual(found.headers["server-signature"], "sig")
-        self.assertEqual(len(gateway.arrivals), 1)
+        self.assertEqual(len(gateway.received), 1)
 
     @asynchronous
     async def test_a_repeatable_call_is_served_by_the_other_endpoint(self):
-        for behaviour in (*BROKEN_BEHAVIOURS, refuse, fail):
+        for handler in (*BROKEN_HANDLERS, send_not_run, fail):
             async with running_gateway() as gateway:
-                once = _once(behaviour)
+                once = _once(handler)
                 for engine in gateway.engines:
-                    engine.behaviour = once
+                    engine.handler = once
                 found = await gateway.call()
-                self.assertEqual(found.status, 200, behaviour)
-                self.assertEqual(sorted(gateway.arrivals), ["e1", "e2"])
+                self.assertEqual(found.status, 200, handler)
+                self.assertEqual(sorted(gateway.received), ["e1", "e2"])
 
     @asynchronous
     async def test_a_call_that_may_have_run_once_is_never_sent_again(self):
-        for behaviour in BROKEN_BEHAVIOURS:
+        for handler in BROKEN_HANDLERS:
             async with running_gateway(table=NOT_REPEATABLE) as gateway:
                 for engine in gateway.engines:
-                    engine.behaviour = behaviour
+                    engine.handler = handler
                 found = await gateway.call()
-                self.assertEqual(found.status, 502, behaviour)
-                self.assertEqual(len(gateway.arrivals), 1, behaviour)
+                self.assertEqual(found.status, 502, handler)
+                self.assertEqual(len(gateway.received), 1, handler)
                 self.assertNotIn("server-signature", found.headers)
 
     @asynchronous
     async def test_a_refused_call_is_sent_to_each_endpoint_once(self):
         async with running_gateway(table=NOT_REPEATABLE) as gateway:
-            gateway.engines[0].behaviour = gateway.engines[1].behaviour = refuse
+            gateway.engines[0].handler = gateway.engines[1].handler = send_not_run
             found = await gateway.call()
             self.assertEqual(found.status, 503)
             self.assertIn("retry-after", found.headers)
-            self.assertEqual(sorted(gateway.arrivals), ["e1", "e2"])
+            self.assertEqual(sorted(gateway.received), ["e1", "e2"])
 
     @asynchronous
     async def test_an_unreachable_endpoint_is_skipped(self):
@@ -136,36 +136,36 @@
             gateway.engines[0].name = "e9"
             found = await gateway.call()
             self.assertEqual(found.status, 503)
-            self.assertEqual(gateway.arrivals, [])
+            self.assertEqual(gateway.received, [])
 
     @asynchronous
     async def test_a_response_to_another_request_is_skipped(self):
         async with running_gateway(engines=1) as gateway:
-            gateway.engines[0].behaviour = stale_response_first
+            gateway.engines[0].handler = stale_response_first
             found = await gateway.call()
             self.assertEqual((found.status, found.body), (200, b"q1"))
 
     @asynchronous
     async def test_an_endpoints_own_error_is_relayed_unchanged(self):
         async with running_gateway(table=NOT_REPEATABLE) as gateway:
-            gateway.engines[0].behaviour = gateway.engines[1].behaviour = fail
+            gateway.engines[0].handler = gateway.engines[1].handler = fail
             found = await gateway.call()
             self.assertEqual((found.status, found.body), (500, b"no"))
             self.assertEqual(found.headers["server-signature"], "sig")
-            self.assertEqual(len(gateway.arrivals), 1)
+            self.assertEqual(len(gateway.received), 1)
 
     @asynchronous
     async def test_the_attempt_is_cancelled_when_the_caller_disconnects(self):
-        async def hang(arrival, responder):
+        async def hang(received_request, responder):
             await anyio.sleep_forever()
 
         async with running_gateway(engines=1) as gateway:
-            gateway.engines[0].behaviour = hang
+            gateway.engines[0].handler = hang
             _, writer = await gateway.open()
-            while not gateway.arrivals:
+            while not gateway.received:
                 await anyio.sleep(0)
             writer.close()
-            while not gateway.engines[0].left:
+            while not gateway.engines[0].disconnects:
                 await anyio.sleep(0)
             self.assertEqual(gateway.context.loads.own(), [])
 
@@ -173,7 +173,7 @@
     async def test_the_endpoint_gets_the_remaining_deadline(self):
         async with running_gateway(engines=1) as gateway:
             await gateway.call()
-            headers = gateway.engines[0].arrivals[0].headers
+            headers = gateway.engines[0].received[0].headers
             # The route's limit of 5 s is lower than the caller's 20 s.
             self.assertLessEqual(int(headers["deadline-ms"]), 5_000)
             self.assertEqual(headers["tenant"], "acme")
@@ -192,4 +192,4 @@
                 self.assertEqual(found.status, status, more)
             gateway.context.table = None
             self.assertEqual((await gateway.call()).status, 503)
-            self.assertEqual(gateway.arrivals, [])
+            self.assertEqual(gateway.received, [])
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -5,7 +5,7 @@
 import anyio
 import attrs
 
-from lab.standins.platformengine import event, head_of, refuse
+from lab.standins.platformengine import stream_event, engine_headers, send_not_run
 from rhubarbwinch.gateway.routes import CallKind
 from tests import gatewaybuilders as build
 from tests.gatewayharness import read_response, running_gateway
@@ -21,7 +21,7 @@
         CallKind.STREAM, timeout_ms=20_000, is_resumable=True, max_attempts=2
     )
 )
-ALL = b"".join(event(i) for i in range(1, 7))
+ALL = b"".join(stream_event(i) for i in range(1, 7))
 
 
 class Generation:
@@ -34,12 +34,12 @@
         self.proceed = anyio.Event()
         self.proceed.set()
 
-    async def run(self, arrival, responder):
+    async def run(self, received_request, responder):
         """Responds to a request as an engine."""
-        start = int(arrival.headers.get("last-event-id", 0))
-        await responder.start_stream(200, head_of(arrival))
+        start = int(received_request.headers.get("last-event-id", 0))
+        await responder.start_stream(200, engine_headers(received_request))
         for number in range(start + 1, 7):
-            await responder.write(event(number))
+            await responder.write(stream_event(number))
             if number == self.break_after:
                 self.break_after = None
                 await responder.write(self.tail) if self.tail else None
@@ -59,7 +59,7 @@
 
     def _script(self, gateway, generation):
         for engine in gateway.engines:
-            engine.behaviour = generation.run
+            engine.handler = generation.run
 
     @asynchronous
     async def test_a_stream_is_relayed_completely(self):
@@ -79,12 +79,12 @@
             self._script(gateway, generation)
             reader, writer = await _start(gateway)
             await generation.reached.wait()
-            source = next(e for e in gateway.engines if e.arrivals)
+            source = next(e for e in gateway.engines if e.received)
             other = next(e for e in gateway.engines if e is not source)
             gateway.announce_leaving(source)
-            while not source.moves:
+            while not source.migration_requests:
                 await anyio.sleep(0)
-            self.assertEqual(source.moves[0]["to"], other.address)
+            self.assertEqual(source.migration_requests[0]["to"], other.address)
             # The first copy is complete before the source engine ends.
             while not next(iter(gateway.streams._runs)).target:
                 await anyio.sleep(0)
@@ -94,8 +94,8 @@
         self.assertEqual(found.body, ALL)
         self.assertTrue(found.is_complete)
         # A copy that is used is not freed.
-        self.assertEqual(source.freed + other.freed, [])
-        resumed = other.arrivals[0].headers
+        self.assertEqual(source.freed_handles + other.freed_handles, [])
+        resumed = other.received[0].headers
         self.assertEqual(resumed["kv-from"], f"{source.address}/h-q1")
         self.assertEqual(resumed["last-event-id"], "3")
 
@@ -105,21 +105,21 @@
             generation = Generation()
             generation.proceed = anyio.Event()
 
-            async def finish(arrival, responder):
-                await responder.start_stream(200, head_of(arrival))
+            async def finish(received_request, responder):
+                await responder.start_stream(200, engine_headers(received_request))
                 for number in range(1, 4):
-                    await responder.write(event(number))
+                    await responder.write(stream_event(number))
                 generation.reached.set()
                 await generation.proceed.wait()
                 for number in range(4, 7):
-                    await responder.write(event(number))
+                    await responder.write(stream_event(number))
                 await responder.end_stream()
 
             for engine in gateway.engines:
-                engine.behaviour = finish
+                engine.handler = finish
             reader, writer = await _start(gateway)
             await generation.reached.wait()
-            source = next(e for e in gateway.engines if e.arrivals)
+            source = next(e for e in gateway.engines if e.received)
             gateway.announce_leaving(source)
             while not next(iter(gateway.streams._runs)).target:
                 await anyio.sleep(0)
@@ -129,7 +129,7 @@
             while gateway.context.loads.own():
                 await anyio.sleep(0)
         self.assertEqual(found.body, ALL)
-        self.assertEqual(source.freed, ["h-q1"])
+        self.assertEqual(source.freed_handles, ["h-q1"])
 
     @asynchronous
     async def test_a_copy_stays_usable_when_its_refresh_fails(self):
@@ -140,14 +140,14 @@
             self._script(gateway, generation)
             reader, writer = await _start(gateway)
             await generation.reached.wait()
-            source = next(e for e in gateway.engines if e.arrivals)
+            source = next(e for e in gateway.engines if e.received)
             gateway.announce_leaving(source)
             while not next(iter(gateway.streams._runs)).target:
                 await anyio.sleep(0)
             # The engine is about to end: from here on all its calls fail.
-            source.move_status = 500
-            copies = len(source.moves)
-            while len(source.moves) < copies + 2:
+            source.migration_status = 500
+            copies = len(source.migration_requests)
+            while len(source.migration_requests) < copies + 2:
                 await anyio.sleep(0.01)
             generation.proceed.set()
             found = await read_response(reader)
@@ -162,8 +162,8 @@
             generation.break_after = 3
             self._script(gateway, generation)
             found = await gateway.call()
-            self.assertEqual(len(gateway.arrivals), 1)
-        self.assertEqual(found.body, b"".join(event(i) for i in (1, 2, 3)))
+            self.assertEqual(len(gateway.received), 1)
+        self.assertEqual(found.body, b"".join(stream_event(i) for i in (1, 2, 3)))
         self.assertFalse(found.is_complete)
 
     @asynchronous
@@ -174,30 +174,30 @@
             self._script(gateway, generation)
             found = await gateway.call()
             first = next(
-                e for e in gateway.engines if "kv-backup" in e.arrivals[0].headers
+                e for e in gateway.engines if "kv-backup" in e.received[0].headers
             )
             other = next(e for e in gateway.engines if e is not first)
         self.assertEqual(found.body, ALL)
         self.assertTrue(found.is_complete)
-        resumed = other.arrivals[0].headers
+        resumed = other.received[0].headers
         self.assertEqual(resumed["kv-from"], f"{other.address}/q1")
         self.assertEqual(resumed["last-event-id"], "3")
         # The first engine may be alive, so it was told to stop the run.
-        self.assertTrue(first.moves[0]["last"])
+        self.assertTrue(first.migration_requests[0]["last"])
 
     @asynchronous
     async def test_a_run_that_broke_before_its_first_event_is_not_refused(
         self,
     ):
-        async def cut(arrival, responder):
+        async def cut(received_request, responder):
             """Closes the connection without a response."""
 
         async with running_gateway(table=NOT_REPEATABLE) as gateway:
             for engine in gateway.engines:
-                engine.behaviour = cut
+                engine.handler = cut
             found = await gateway.call()
             self.assertEqual(found.status, 502)
-            self.assertEqual(len(gateway.arrivals), 1)
+            self.assertEqual(len(gateway.received), 1)
 
     @asynchronous
     async def test_a_refused_run_is_placed_elsewhere(self):
@@ -205,18 +205,18 @@
             generation = Generation()
             seen = []
 
-            async def refuse_first(arrival, responder):
+            async def refuse_first(received_request, responder):
                 seen.append(1)
                 if len(seen) == 1:
-                    await refuse(arrival, responder)
+                    await send_not_run(received_request, responder)
                 else:
-                    await generation.run(arrival, responder)
+                    await generation.run(received_request, responder)
 
             for engine in gateway.engines:
-                engine.behaviour = refuse_first
+                engine.handler = refuse_first
             found = await gateway.call()
         self.assertEqual(found.body, ALL)
-        self.assertEqual(sorted(gateway.arrivals), ["e1", "e2"])
+        self.assertEqual(sorted(gateway.received), ["e1", "e2"])
 
     @asynchronous
     async def test_a_run_that_is_placed_again_releases_its_old_standby(self):
@@ -224,16 +224,16 @@
             generation = Generation()
             held = []
 
-            async def refuse_first(arrival, responder):
+            async def refuse_first(received_request, responder):
                 loads = [gateway.context.loads.total(e.name) for e in gateway.engines]
                 held.append(sorted(load.tokens for load in loads))
                 if len(held) == 1:
-                    await refuse(arrival, responder)
+                    await send_not_run(received_request, responder)
                 else:
-                    await generation.run(arrival, responder)
+                    await generation.run(received_request, responder)
 
             for engine in gateway.engines:
-                engine.behaviour = refuse_first
+                engine.handler = refuse_first
             found = await gateway.call()
         self.assertEqual(found.body, ALL)
         # The run is counted at one engine, its standby at another, and nothing
@@ -250,22 +250,22 @@
             found = await gateway.call()
             self.assertEqual(found.body, ALL)
             self.assertTrue(found.is_complete)
-            self.assertEqual(sorted(gateway.arrivals), ["e1", "e2"])
+            self.assertEqual(sorted(gateway.received), ["e1", "e2"])
 
     @asynchronous
     async def test_attempts_of_a_resumable_run_are_limited_by_the_route(self):
-        async def break_always(arrival, responder):
-            start = int(arrival.headers.get("last-event-id", 0))
-            await responder.start_stream(200, head_of(arrival))
-            await responder.write(event(start + 1))
+        async def break_always(received_request, responder):
+            start = int(received_request.headers.get("last-event-id", 0))
+            await responder.start_stream(200, engine_headers(received_request))
+            await responder.write(stream_event(start + 1))
 
         async with running_gateway(engines=4, table=RESUMABLE) as gateway:
             for engine in gateway.engines:
-                engine.behaviour = break_always
+                engine.handler = break_always
             found = await gateway.call()
-            self.assertEqual(len(gateway.arrivals), 2)
+            self.assertEqual(len(gateway.received), 2)
         self.assertFalse(found.is_complete)
-        self.assertEqual(found.body, event(1) + event(2))
+        self.assertEqual(found.body, stream_event(1) + stream_event(2))
 
     @asynchronous
     async def test_a_partial_event_is_not_relayed(self):
@@ -279,30 +279,30 @@
 
     @asynchronous
     async def test_duplicate_events_are_dropped(self):
-        async def repeat(arrival, responder):
-            await responder.start_stream(200, head_of(arrival))
+        async def repeat(received_request, responder):
+            await responder.start_stream(200, engine_headers(received_request))
             for number in (1, 2, 2, 1, 3):
-                await responder.write(event(number))
+                await responder.write(stream_event(number))
             await responder.end_stream()
 
         async with running_gateway(engines=1, table=NOT_REPEATABLE) as gateway:
-            gateway.engines[0].behaviour = repeat
+            gateway.engines[0].handler = repeat
             found = await gateway.call()
-        self.assertEqual(found.body, event(1) + event(2) + event(3))
+        self.assertEqual(found.body, stream_event(1) + stream_event(2) + stream_event(3))
 
     @asynchronous
     async def test_a_stream_with_a_missing_event_does_not_look_complete(self):
-        async def skip(arrival, responder):
-            await responder.start_stream(200, head_of(arrival))
+        async def skip(received_request, responder):
+            await responder.start_stream(200, engine_headers(received_request))
             for number in (1, 3):
-                await responder.write(event(number))
+                await responder.write(stream_event(number))
             await responder.end_stream()
 
         async with running_gateway(engines=1, table=NOT_REPEATABLE) as gateway:
-            gateway.engines[0].behaviour = skip
+            gateway.engines[0].handler = skip
             found = await gateway.call()
         self.assertFalse(found.is_complete)
-        self.assertEqual(found.body, event(1))
+        self.assertEqual(found.body, stream_event(1))
 
     @asynchronous
     async def test_without_an_engine_a_run_is_refused_as_not_run(self):
@@ -324,7 +324,7 @@
             _, writer = await _start(gateway)
             await generation.reached.wait()
             writer.close()
-            while not gateway.engines[0].left:
+            while not gateway.engines[0].disconnects:
                 await anyio.sleep(0)
             self.assertEqual(gateway.context.loads.own(), [])
 
@@ -333,4 +333,4 @@
         async with running_gateway(table=NOT_REPEATABLE) as gateway:
             gateway.context.is_draining = True
             found = await gateway.call()
-            self.assertEqual((found.status, gateway.arrivals), (503, []))
+            self.assertEqual((found.status, gateway.received), (503, []))
--- a/tests/gatewayharness.py
+++ b/tests/gatewayharness.py
@@ -106,9 +106,9 @@
         self.streams.handle_leaving_engine(known.endpoint)
 
     @property
-    def arrivals(self):
+    def received(self):
         """The name of the engine of each received request, by engine."""
-        return [e.name for e in self.engines for _ in e.arrivals]
+        return [e.name for e in self.engines for _ in e.received]
 
     async def open(self, request_id="q1", method="POST", path="/r/x", **more):
         """Sends a request; returns the connection's reader and writer."""
--- a/tests/lab/test_seeded.py
+++ b/tests/lab/test_seeded.py
@@ -6,7 +6,7 @@
 
 from lab.seeded.__main__ import describe
 from lab.seeded.check import find_violations
-from lab.seeded.records import Attempt, End, Journal, RequestKind, Run
+from lab.seeded.records import Attempt, End, RunRecords, RequestKind, Run
 from lab.seeded.run import run_seed
 from rhubarbwinch.http.sse import DONE
 
@@ -25,7 +25,7 @@
 
 
 def _violations_of(attempts, runs=()):
-    return find_violations(Journal(list(attempts), list(runs)))
+    return find_violations(RunRecords(list(attempts), list(runs)))
 
 
 class SeededTest(unittest.TestCase):
--- a/tests/orders/test_orders.py
+++ b/tests/orders/test_orders.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from lab.standins.orders import OrderBoard
+from lab.standins.orders import OrderHandler
 from rhubarbwinch.orders.fencing import Fencing, HoldState
 from rhubarbwinch.orders.orders import LoadPacer, Orderer
 from rhubarbwinch.orders.placementplan import EndpointState
@@ -24,24 +24,24 @@
     """An order client whose engines are in-memory order boards.
 
     Attributes:
-        boards: The engines' order boards by address.
+        handlers: The engines' order boards by address.
         lines: The text record of the test.
         before_arrival: Functions by address; each runs once, after the lease
             check and before the arrival of the next order at that address.
     """
 
-    boards: dict
+    handlers: dict
     lines: list
     before_arrival: dict = attrs.field(factory=dict)
 
     async def read_state(self, address):
-        state = self.boards[address].state()
+        state = self.handlers[address].state()
         return EndpointState(frozenset(state["loaded"]), state["role"])
 
     async def send(self, address, order, fence):
         if address in self.before_arrival:
             await self.before_arrival.pop(address)()
-        taken = self.boards[address].take(order.kind, order.subject, fence)
+        taken = self.handlers[address].apply_order(order.kind, order.subject, fence)
         verb = "accepts" if taken else "refuses"
         self.lines.append(
             f"{address} {verb} {order.kind} {order.subject} fence {fence}"
@@ -63,9 +63,9 @@
         self.clock = ManualClock()
         self.store = MemoryStore(self.clock)
         self.lines = []
-        self.boards = {
-            "127.0.0.1:1": OrderBoard(checks_fencing=True),
-            "127.0.0.1:2": OrderBoard(checks_fencing=False),
+        self.handlers = {
+            "127.0.0.1:1": OrderHandler(checks_fencing=True),
+            "127.0.0.1:2": OrderHandler(checks_fencing=False),
         }
         self.engines = {}
         self.orderers = {}
@@ -74,7 +74,7 @@
             fencing = Fencing(
                 self.store, self.clock, name, number, LEASE_MS, FLIGHT_MS
             )
-            engines = FakeOrderClient(self.boards, self.lines)
+            engines = FakeOrderClient(self.handlers, self.lines)
             pacer = LoadPacer(self.clock, 1_000_000)
             self.fencings[name] = fencing
             self.engines[name] = engines
@@ -85,7 +85,7 @@
         """Returns the active configuration."""
         endpoints = [
             builders.endpoint(f"engine-{i}", address)
-            for i, address in enumerate(self.boards)
+            for i, address in enumerate(self.handlers)
         ]
         items = [
             builders.model(versions=["1", "2", "3"]),
@@ -112,9 +112,9 @@
     def late_orders(self):
         """Returns the orders that took effect after a higher fence number."""
         found = []
-        for board in self.boards.values():
+        for handler in self.handlers.values():
             highest = 0
-            for order in board.log:
+            for order in handler.applied_orders:
                 if order.fence < highest:
                     found.append(order)
                 highest = max(highest, order.fence)
@@ -188,8 +188,8 @@
         scenario.clock.set(1000)
         await scenario.run_round("a")
         await self._run_rounds(scenario, "b", 2000)
-        for board in scenario.boards.values():
-            self.assertEqual(board.state()["loaded"], ["vintner@3"])
+        for handler in scenario.handlers.values():
+            self.assertEqual(handler.state()["loaded"], ["vintner@3"])
         return scenario
 
     @asynchronous
@@ -201,7 +201,7 @@
         scenario.clock.set(LEASE_MS - FLIGHT_MS)
         scenario.version = "2"
         await scenario.run_round("a")
-        loaded = [board.state()["loaded"] for board in scenario.boards.values()]
+        loaded = [handler.state()["loaded"] for handler in scenario.handlers.values()]
         self.assertEqual(loaded, [["vintner@1"], ["vintner@1"]])
         scenario.store.faults.down = False
         scenario.add_comment("the store is available again")
@@ -220,7 +220,7 @@
         self.assertIs(scenario.fencings["b"].state(POOL), HoldState.HELD)
         self.assertEqual(scenario.late_orders(), [])
         self.assertEqual(
-            [b.state()["loaded"] for b in scenario.boards.values()],
+            [b.state()["loaded"] for b in scenario.handlers.values()],
             [["vintner@2"], ["vintner@2"]],
         )
 
@@ -255,7 +255,7 @@
         for lost in range(1, 4):
             scenario = Scenario()
             await scenario.fencings["a"].renew()
-            scenario.store.faults.lose_answers = lost
+            scenario.store.faults.lost_responses = lost
             for _ in range(4):
                 scenario.clock.set(scenario.clock.now() + 1000)
                 await scenario.run_round("a")
--- a/tests/platform/test_kvstore.py
+++ b/tests/platform/test_kvstore.py
@@ -51,7 +51,7 @@
     @asynchronous
     async def test_a_listing_of_many_pages_is_complete(self):
         async with platform() as (server, store):
-            server.faults.page = 3
+            server.faults.page_size = 3
             for i in range(8):
                 await server.put(f"k{i}", b"v")
             listing = await store.scan("k")
@@ -63,7 +63,7 @@
     async def test_a_poll_returns_changes_and_their_revision(self):
         async with platform() as (server, store):
             await server.put("a", b"1")
-            await server.remove("a")
+            await server.delete("a")
             batch = await store.poll("", 0, 1_000)
             self.assertEqual(
                 [(c.key, c.entry is None) for c in batch.changes],
@@ -71,7 +71,7 @@
             )
             empty = await store.poll("", batch.revision, 1)
             self.assertEqual(empty.changes, [])
-            server.faults.forgotten = batch.revision
+            server.faults.compacted_revision = batch.revision
             with self.assertRaises(StoreCompacted):
                 await store.poll("", 0, 1_000)
 
@@ -96,7 +96,7 @@
     @asynchronous
     async def test_a_lost_response_to_a_write_is_uncertain(self):
         async with platform(timeout_ms=200) as (server, store):
-            server.faults.is_silent = True
+            server.faults.is_hanging = True
             with self.assertRaises(StoreUncertain):
                 await store.swap("a", 0, b"1")
             with self.assertRaises(StoreUnavailable):
--- a/tests/soak/test_check.py
+++ b/tests/soak/test_check.py
@@ -5,7 +5,7 @@
 from lab.soak.check import CHECKS, find_violations
 from lab.soak.records import (
     Attempt,
-    Journal,
+    RunRecords,
     RequestKind,
     Run,
     event,
@@ -54,8 +54,8 @@
 
     def failed_checks(self, attempts, runs, **fields):
         """Returns the names of the checks that fail for these records."""
-        journal = Journal(attempts, runs, **fields)
-        violated = find_violations(journal, with_times=True)
+        records = RunRecords(attempts, runs, **fields)
+        violated = find_violations(records, with_times=True)
         return {line.partition(":")[0] for line in violated}
 
     def test_records_of_a_served_request_pass(self):
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -19,6 +19,6 @@
     async def test_a_short_run_violates_no_guarantee(self):
         seed = regression_seeds()[0]
         with tempfile.TemporaryDirectory() as folder:
-            journal = await run_seed(seed, pathlib.Path(folder), SIZE)
-        self.assertEqual(find_violations(journal, with_times=False), [])
-        self.assertTrue(any(a.status == 200 for a in journal.attempts))
+            records = await run_seed(seed, pathlib.Path(folder), SIZE)
+        self.assertEqual(find_violations(records, with_times=False), [])
+        self.assertTrue(any(a.status == 200 for a in records.attempts))
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from lab.seeded.deployment import API_KEY, World
+from lab.seeded.deployment import API_KEY, SimulatedDeployment
 from tests.helpers import asynchronous
 
 
@@ -30,7 +30,7 @@
         "query_string": b"",
         "headers": [(b"authorization", b"Bearer " + API_KEY.encode())],
     }
-    await program.daemon.app(scope, receive, send)
+    await program.program.app(scope, receive, send)
     body = b"".join(m.get("body", b"") for m in sent)
     data = json.loads(body)
     return [entry["name"] for entry in data["entries"]], data["ttl_ms"]
@@ -42,22 +42,22 @@
     @asynchronous
     async def test_all_list_the_same_serving_entries_with_a_time_to_live(self):
         async with anyio.create_task_group() as tasks:
-            world = World(1, tasks)
-            await world.publish()
-            world.start_broker("broker-0")
+            deployment = SimulatedDeployment(1, tasks)
+            await deployment.publish_configuration()
+            deployment.start_broker("broker-0")
             for i in range(4):
-                world.start_entry(f"entry-{i}")
-            await world.clock.advance(3000)
-            lists = [await _list_entries(p) for p in world.entries.values()]
+                deployment.start_entry(f"entry-{i}")
+            await deployment.clock.advance(3000)
+            lists = [await _list_entries(p) for p in deployment.entries.values()]
             self.assertEqual(len(lists[0][0]), 4)
             self.assertTrue(all(found == lists[0] for found in lists))
             self.assertGreater(lists[0][1], 0)
-            leaving_entry = world.entries[lists[0][0][0]].daemon
+            leaving_entry = deployment.entries[lists[0][0][0]].program
             tasks.start_soon(leaving_entry.daemon.leave)
-            await world.clock.advance(3000)
-            for program in world.entries.values():
+            await deployment.clock.advance(3000)
+            for program in deployment.entries.values():
                 names, _ = await _list_entries(program)
                 self.assertEqual(names, lists[0][0][1:])
-            for program in [*world.entries.values(), *world.brokers.values()]:
+            for program in [*deployment.entries.values(), *deployment.brokers.values()]:
                 program.kill()
             tasks.cancel_scope.cancel()
