--- a/lab/bench_claims.py
+++ b/lab/bench_claims.py
@@ -16,17 +16,17 @@
 import attrs
 from result import Ok
 
-from rhubarbwinch.claims.claimfloor import ClaimFloor
 from rhubarbwinch.claims.claimkeys import ClaimKey
-from rhubarbwinch.claims.claimowners import Standing
+from rhubarbwinch.claims.claimowners import OwnerStatus
 from rhubarbwinch.claims.claimpages import ClaimPages, ClaimRecord
+from rhubarbwinch.claims.claimretention import ClaimFloor
 from rhubarbwinch.claims.claimrouting import RoutedPages
 from rhubarbwinch.claims.claims import Claims, make_outcome
 from rhubarbwinch.membership.members import Member, MemberNews, Members, Role
 from rhubarbwinch.shared import codec
 from rhubarbwinch.shared.clock import SystemClock
 from rhubarbwinch.stores.memstore import MemoryStore
-from rhubarbwinch.stores.store import Entry, Swap
+from rhubarbwinch.stores.store import KeyValue, SwapResult
 
 T = TypeVar("T")
 
@@ -45,14 +45,14 @@
         super().__init__(clock)
         self._delay_s = delay_ms / 1000
 
-    async def get(self, key: str) -> Entry | None:
+    async def get(self, key: str) -> KeyValue | None:
         """Returns the entry of `key`, or None."""
         await anyio.sleep(self._delay_s)
         return await super().get(key)
 
     async def swap(
         self, key: str, expected: int, value: bytes, lease: int = 0
-    ) -> Swap:
+    ) -> SwapResult:
         """Writes `value` if the key's revision is `expected`."""
         await anyio.sleep(self._delay_s / 2)
         swap = await super().swap(key, expected, value, lease)
@@ -67,15 +67,15 @@
         self.routed: dict[str, RoutedPages] = {}
 
     async def call(
-        self, address: str, message: Any, answer: type[T], timeout_ms: int
+        self, address: str, message: Any, reply: type[T], timeout_ms: int
     ) -> T:
         """Calls a peer and returns its reply; both are encoded and decoded."""
         _ = timeout_ms
         data = codec.encode(message)
-        reply = await self.routed[address].answer(
+        result = await self.routed[address].reply(
             codec.decode(data, type(message))
         )
-        return codec.decode(codec.encode(reply), answer)
+        return codec.decode(codec.encode(result), reply)
 
     def forget(self, address: str) -> None:
         """Does nothing, because there are no connections."""
@@ -84,9 +84,9 @@
 class OwnerQueryStub:
     """A stub of the query for the standing of a claim's owner."""
 
-    async def ask(self, _: ClaimRecord) -> Standing:
+    async def get_status(self, _: ClaimRecord) -> OwnerStatus:
         """Returns that the owner still holds the claim."""
-        return Standing.HELD
+        return OwnerStatus.MAY_SEND
 
 
 @attrs.define
@@ -123,8 +123,10 @@
 ) -> None:
     key = ClaimKey("acme", "booking", _uuid7(clock, rng), "00" * 16, 86_400_000)
     began = clock.now()
-    found = await claims.find(key)
-    claimed = await claims.take(key) if isinstance(found, Ok) else found
+    found = await claims.find_outcome(key)
+    claimed = (
+        await claims.acquire_claim(key) if isinstance(found, Ok) else found
+    )
     if not isinstance(claimed, Ok) or claimed.ok_value is None:
         run.refused += 1
         return
@@ -132,7 +134,7 @@
     claim = claimed.ok_value
     claims.begin_send(claim, "desk")  # type: ignore[arg-type]
     outcome = make_outcome(200, "application/json", b'{"ok":true}')
-    await claims.complete(claim, outcome)  # type: ignore[arg-type]
+    await claims.record_outcome(claim, outcome)  # type: ignore[arg-type]
     run.done += 1
 
 
@@ -177,7 +179,7 @@
             calls.cancel_scope.cancel()
         run.writes = sum(page.counters.writes for page in pages)
         run.reads = sum(page.counters.reads for page in pages)
-        run.races = sum(page.counters.lost_races for page in pages)
+        run.races = sum(page.counters.conflicts for page in pages)
         tasks.cancel_scope.cancel()
 
 
--- a/lab/bench_sim.py
+++ b/lab/bench_sim.py
@@ -9,8 +9,7 @@
 
 import attrs
 
-from lab import bench_load
-from lab.bench_load import Deployment, TrafficPattern
+from lab import bench_traffic
 from lab.bench_measure import (
     GAP_TARGET_MS,
     Durations,
@@ -20,6 +19,7 @@
     summarize_class,
 )
 from lab.bench_policies import AdmissionPolicy
+from lab.bench_traffic import Deployment, TrafficPattern
 from lab.enginemodel import EngineModel, EngineParameters, Sequence, Step
 from rhubarbwinch.admission.admission import (
     Admission,
@@ -27,7 +27,7 @@
     Decision,
     LoadReport,
 )
-from rhubarbwinch.admission.limits import backoff_ms
+from rhubarbwinch.admission.limits import retry_delay_ms
 from rhubarbwinch.links.messages import (
     PermitGrant,
     PermitRelease,
@@ -121,7 +121,7 @@
         self._engines = [_Engine(f"engine-{i}") for i in range(ENGINES)]
         self._engines_by_name = {e.name: e for e in self._engines}
         self._arrivals = list(
-            bench_load.arrivals(deployment, scenario.traffic, seed, END_MS)
+            bench_traffic.arrivals(deployment, scenario.traffic, seed, END_MS)
         )
         self._admission = self._make_admission(seed)
         self._jobs: dict[str, Job] = {}
@@ -180,7 +180,7 @@
             spec,
             self._clock,
             random.Random(seed),
-            bench_load.account_specs(),
+            bench_traffic.account_specs(),
             self._policy.options,
             self._policy.length_estimator(self._arrivals),
         )
@@ -226,7 +226,7 @@
         wait_ms = 100
         if scenario.honours_retry_after:
             base_ms = retry_after_ms or 500
-            wait_ms = base_ms + backoff_ms(
+            wait_ms = base_ms + retry_delay_ms(
                 job.attempts, base_ms, 30_000, self._rng
             )
         self._schedule(self._now_ms + wait_ms, lambda: self._submit(job, []))
@@ -310,7 +310,7 @@
     def _finish(self, engine: _Engine, sequence: Sequence) -> None:
         job = engine.jobs.pop(sequence.name)
         self._leave_batch(engine, job)
-        job.tokens = sequence.done_tokens
+        job.tokens = sequence.generated_tokens
         job.is_done = True
         end = StreamEnd.FINISHED
         if job.arrival.is_cancelled:
@@ -319,12 +319,12 @@
 
     def _release(self, request_id: str, end: StreamEnd, tokens: int) -> None:
         self._engine_by_request.pop(request_id, None)
-        release = PermitRelease(request_id, bench_load.POOL, end, tokens)
+        release = PermitRelease(request_id, bench_traffic.POOL, end, tokens)
         self._apply_decisions(self._admission.release(release))
 
     def _tick(self) -> None:
         self._apply_decisions(self._admission.decide())
-        for item in self._admission.take_priority_changes():
+        for item in self._admission.pop_priority_changes():
             change = item.message
             engine = self._engines_by_name[change.endpoint]
             engine.model.set_priority(change.request_id, change.priority)
@@ -347,7 +347,7 @@
             )
             self._schedule(
                 self._now_ms + LOAD_REPORT_DELAY_MS,
-                partial(self._admission.report_load, load),
+                partial(self._admission.apply_load_report, load),
             )
             self._send_cache_events(engine)
 
@@ -364,16 +364,16 @@
         )
         self._schedule(
             self._now_ms + CACHE_REPORT_DELAY_MS,
-            lambda: self._admission.report_cache(report),
+            lambda: self._admission.apply_cache_report(report),
         )
 
     def _report_progress(self) -> None:
         """Sends the progress reports of all entries to the broker."""
         streams: dict[str, list[StreamProgress]] = {
-            f"entry-{i}": [] for i in range(bench_load.ENTRIES)
+            f"entry-{i}": [] for i in range(bench_traffic.ENTRIES)
         }
         running = {
-            s.name: s.done_tokens
+            s.name: s.generated_tokens
             for e in self._engines
             for s in e.model.sequences
         }
@@ -382,8 +382,8 @@
             progress = StreamProgress(request, name, running.get(request_id, 0))
             streams[request.entry].append(progress)
         for entry, items in streams.items():
-            self._admission.report_progress(
-                ProgressReport(entry, bench_load.POOL, items)
+            self._admission.apply_progress_report(
+                ProgressReport(entry, bench_traffic.POOL, items)
             )
 
     def _fail_engine(self) -> None:
@@ -439,7 +439,8 @@
                 [
                     j
                     for j in jobs
-                    if j.arrival.request.account != bench_load.FLOODING_ACCOUNT
+                    if j.arrival.request.account
+                    != bench_traffic.FLOODING_ACCOUNT
                 ]
             )
             / seconds,
--- a/lab/memberset.py
+++ b/lab/memberset.py
@@ -9,13 +9,13 @@
 import anyio
 import anyio.abc
 
+from rhubarbwinch.configuration.configreplica import ConfigReplica
 from rhubarbwinch.configuration.distribution import Distribution
-from rhubarbwinch.configuration.follower import Follower
 from rhubarbwinch.configuration.publisher import Publisher
-from rhubarbwinch.configuration.publishing import Publishing
+from rhubarbwinch.configuration.publisherloop import PublisherLoop
 from rhubarbwinch.links.memlinks import MemoryNetwork
 from rhubarbwinch.membership.gossip import Gossip
-from rhubarbwinch.membership.leaving import LeavingVms
+from rhubarbwinch.membership.leavingvms import LeavingVms
 from rhubarbwinch.membership.members import Member, Members, Role
 from rhubarbwinch.membership.registration import Registration
 from rhubarbwinch.shared.clock import ManualClock
@@ -34,7 +34,7 @@
         network: The network for messages between members.
         clock: The source of time.
         peers: Link addresses for a start while the store is unavailable.
-        watches: Whether the member always watches the head in the store. If
+        all_watch: Whether the member always watches the head in the store. If
             not, only seeds watch it and distribute changes to their peers.
     """
 
@@ -45,7 +45,7 @@
         network: MemoryNetwork,
         clock: ManualClock,
         peers: list[str] | None = None,
-        watches: bool = False,
+        all_watch: bool = False,
     ) -> None:
         rng = random.Random(me.incarnation)
         links = network.node(me.link)
@@ -62,21 +62,23 @@
             peers or [],
             self.registration.holds_lease,
         )
-        if watches:
-            self.follower = Follower(store, clock)
+        if all_watch:
+            self.config = ConfigReplica(store, clock)
         else:
             distribution = Distribution(links, links, self.members, rng)
-            self.follower = Follower(
+            self.config = ConfigReplica(
                 store, clock, self.members, distribution, peers
             )
-            self.gossip.on_newer(self.follower.notice)
-            self.follower.on_change(
+            self.gossip.on_newer_generation(self.config.observe_generation)
+            self.config.on_change(
                 lambda snapshot: self.gossip.set_generation(snapshot.generation)
             )
         self.leaving = LeavingVms(self.gossip, clock)
-        self.follower.on_change(self.leaving.configure)
-        self.publisher = Publisher(store, self.follower)
-        self.publishing = Publishing(self.publisher, store, self.members, clock)
+        self.config.on_change(self.leaving.configure)
+        self.publisher = Publisher(store, self.config)
+        self.publisher_loop = PublisherLoop(
+            self.publisher, store, self.members, clock
+        )
         self._scope: anyio.CancelScope | None = None
 
     async def run(self) -> None:
@@ -85,10 +87,10 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self.registration.run)
                 tasks.start_soon(self.gossip.run)
-                tasks.start_soon(self.follower.run)
+                tasks.start_soon(self.config.run)
                 tasks.start_soon(self.leaving.run)
                 if self.members.me.role is Role.CONTROL:
-                    tasks.start_soon(self.publishing.run)
+                    tasks.start_soon(self.publisher_loop.run)
 
     def stop(self) -> None:
         """Stops the components without notice to the other members."""
@@ -101,18 +103,18 @@
 
     Args:
         tasks: The task group for the members.
-        watches: Whether every member watches the store.
+        all_watch: Whether every member watches the store.
     """
 
     def __init__(
-        self, tasks: anyio.abc.TaskGroup, watches: bool = False
+        self, tasks: anyio.abc.TaskGroup, all_watch: bool = False
     ) -> None:
         self.clock = ManualClock()
         self.store = MemoryStore(self.clock)
         self.network = MemoryNetwork(self.clock)
         self.nodes: dict[str, Node] = {}
         self._tasks = tasks
-        self._watches = watches
+        self._all_watch = all_watch
 
     def add(
         self,
@@ -140,7 +142,7 @@
             self.network,
             self.clock,
             peers,
-            self._watches,
+            self._all_watch,
         )
         self.nodes[name] = node
         self._tasks.start_soon(node.run)
@@ -148,12 +150,12 @@
 
     def kill(self, name: str) -> None:
         """Stops a member without notice; calls to it time out."""
-        self.network.cut.add(name)
+        self.network.disconnected.add(name)
         self.nodes.pop(name).stop()
 
-    def generations(self) -> list[int]:
+    def active_generations(self) -> list[int]:
         """Returns the active generation of each member, sorted by name."""
         return [
-            self.nodes[name].follower.head.generation
+            self.nodes[name].config.head.generation
             for name in sorted(self.nodes)
         ]
--- a/lab/seeded/world.py
+++ b/lab/seeded/deployment.py
@@ -10,21 +10,21 @@
 
 from lab.seeded.endpoints import EndpointSet, SeededEndpoints
 from lab.seeded.links import SeededNetwork
-from lab.seeded.log import Journal
+from lab.seeded.records import RunRecords
 from rhubarbwinch.programs.broker import Broker
 from rhubarbwinch.programs.config import BrokerSettings, EntrySettings
+from rhubarbwinch.programs.dependencies import Dependencies
 from rhubarbwinch.programs.entry import Entry
-from rhubarbwinch.programs.surroundings import Surroundings
-from rhubarbwinch.records import accepted
-from rhubarbwinch.records.accepted import Head
+from rhubarbwinch.records import acceptedconfig
+from rhubarbwinch.records.acceptedconfig import Head
 from rhubarbwinch.records.apikeys import hash_key
 from rhubarbwinch.records.records import Record
 from rhubarbwinch.shared.clock import ManualClock
 from rhubarbwinch.shared.exceptions import StoreUnavailable
 from rhubarbwinch.stores import keys
 from rhubarbwinch.stores.memstore import MemoryStore
-from rhubarbwinch.stores.store import Change, Listing, Swap
-from rhubarbwinch.stores.store import Entry as StoreEntry
+from rhubarbwinch.stores.store import Change, Listing, SwapResult
+from rhubarbwinch.stores.store import KeyValue as StoreEntry
 
 API_KEY = "acme.secret"
 ENGINES = {f"10.0.1.{i}:80": f"engine-{i}" for i in range(1, 4)}
@@ -90,12 +90,12 @@
 
     async def swap(
         self, key: str, expected: int, value: bytes, lease: int = 0
-    ) -> Swap:
+    ) -> SwapResult:
         """Writes `value` if the key's revision is `expected`."""
         self._check_not_killed()
         return await self._store.swap(key, expected, value, lease)
 
-    async def delete(self, key: str, expected: int) -> Swap:
+    async def delete(self, key: str, expected: int) -> SwapResult:
         """Deletes the key if its revision is `expected`."""
         self._check_not_killed()
         return await self._store.delete(key, expected)
@@ -105,10 +105,10 @@
         self._check_not_killed()
         return await self._store.grant_lease(ttl_ms)
 
-    async def keep_lease(self, lease: int) -> int:
+    async def renew_lease(self, lease: int) -> int:
         """Renews a lease and returns the time left."""
         self._check_not_killed()
-        return await self._store.keep_lease(lease)
+        return await self._store.renew_lease(lease)
 
     async def revoke_lease(self, lease: int) -> None:
         """Revokes a lease."""
@@ -142,13 +142,13 @@
 
     def __init__(
         self,
-        build: Callable[[Surroundings, SeededEndpoints], Entry | Broker],
-        dependencies: Surroundings,
+        build: Callable[[Dependencies, SeededEndpoints], Entry | Broker],
+        dependencies: Dependencies,
         store: KillableStore,
         endpoints: SeededEndpoints,
         link: str,
     ) -> None:
-        self.daemon = build(dependencies, endpoints)
+        self.program = build(dependencies, endpoints)
         self.link = link
         self.is_killed = False
         self._store = store
@@ -157,7 +157,7 @@
 
     async def run(self) -> None:
         """Runs the program until it is killed."""
-        await self.run_until_killed(self.daemon.run)
+        await self.run_until_killed(self.program.run)
 
     async def run_until_killed(
         self, work: Callable[[], Awaitable[Any]]
@@ -179,7 +179,7 @@
             scope.cancel()
 
 
-class World:
+class SimulatedDeployment:
     """The programs, the store, the network and the endpoints of a run.
 
     Args:
@@ -192,19 +192,21 @@
         self.clock = ManualClock()
         self.store = MemoryStore(self.clock)
         self.network = SeededNetwork(self.clock, self.rng, tasks)
-        self.journal = Journal()
+        self.records = RunRecords()
         self.endpoint_set = EndpointSet(
-            self.clock, self.rng, self.journal, ENGINES | PLAIN_ENDPOINTS
+            self.clock, self.rng, self.records, ENGINES | PLAIN_ENDPOINTS
         )
         self.entries: dict[str, Program] = {}
         self.brokers: dict[str, Program] = {}
         self._tasks = tasks
         self._start_count = 0
 
-    async def publish(self) -> None:
+    async def publish_configuration(self) -> None:
         """Writes the accepted configuration to the store."""
-        chunks = accepted.pack_chunks(configuration_records())
-        names = [await accepted.write_chunk(self.store, c) for c in chunks]
+        chunks = acceptedconfig.pack_chunks(configuration_records())
+        names = [
+            await acceptedconfig.write_chunk(self.store, c) for c in chunks
+        ]
         head = Head(1, names)
         await self.store.swap(keys.ACCEPTED_HEAD, 0, head.to_bytes())
 
@@ -215,7 +217,7 @@
         )
 
         def build(
-            dependencies: Surroundings, endpoints: SeededEndpoints
+            dependencies: Dependencies, endpoints: SeededEndpoints
         ) -> Entry:
             return Entry(settings, dependencies, endpoints)
 
@@ -228,7 +230,7 @@
         )
 
         def build(
-            dependencies: Surroundings, endpoints: SeededEndpoints
+            dependencies: Dependencies, endpoints: SeededEndpoints
         ) -> Broker:
             return Broker(settings, dependencies, endpoints)
 
@@ -249,13 +251,13 @@
 
     def _start(
         self,
-        build: Callable[[Surroundings, SeededEndpoints], Entry | Broker],
+        build: Callable[[Dependencies, SeededEndpoints], Entry | Broker],
         link: str,
     ) -> Program:
         self._start_count += 1
         node = self.network.add_node(link)
         store = KillableStore(self.store)
-        dependencies = Surroundings(
+        dependencies = Dependencies(
             clock=self.clock,
             store=store,
             links=node,
--- a/lab/spread.py
+++ b/lab/spread.py
@@ -12,8 +12,8 @@
 import attrs
 
 from lab.memberset import MemberSet
-from rhubarbwinch.records import accepted
-from rhubarbwinch.records.accepted import Head
+from rhubarbwinch.records import acceptedconfig
+from rhubarbwinch.records.acceptedconfig import Head
 from rhubarbwinch.records.records import Record
 from rhubarbwinch.stores import keys
 from rhubarbwinch.stores.memstore import MemoryStore
@@ -56,24 +56,26 @@
 
 async def _publish(store: MemoryStore, generation: int) -> None:
     record = Record("account", "acme", 2, {"weight": float(generation)})
-    chunks = accepted.pack_chunks([record])
+    chunks = acceptedconfig.pack_chunks([record])
     for chunk in filter(None, chunks):
-        await accepted.write_chunk(store, chunk)
-    head = Head(generation, [accepted.digest(chunk) for chunk in chunks])
-    _, revision = await accepted.read_head(store)
+        await acceptedconfig.write_chunk(store, chunk)
+    head = Head(
+        generation, [acceptedconfig.chunk_digest(chunk) for chunk in chunks]
+    )
+    _, revision = await acceptedconfig.read_head(store)
     await store.swap(keys.ACCEPTED_HEAD, revision, head.to_bytes())
 
 
-async def measure(members: int, watches: bool) -> ChangeCost:
+async def measure(members: int, all_watch: bool) -> ChangeCost:
     """Returns the cost of one change with `members` members."""
     data_centers = DATA_CENTERS * (3 if members >= THREE_REGIONS_FROM else 1)
     async with anyio.create_task_group() as tasks:
-        fleet = MemberSet(tasks, watches)
+        fleet = MemberSet(tasks, all_watch)
         await _publish(fleet.store, 1)
         for i in range(members):
             fleet.add(f"m-{i}", data_center=f"dc-{i % data_centers}")
         await fleet.clock.advance(SETTLE_MS)
-        assert fleet.generations() == [1] * members
+        assert fleet.active_generations() == [1] * members
         before = fleet.store.calls
         bytes_before_idle = _link_bytes(fleet)
         await fleet.clock.advance(IDLE_MS)
@@ -84,16 +86,16 @@
         await _publish(fleet.store, 2)
         publisher_calls = fleet.store.calls - calls
         half_ms = elapsed_ms = 0
-        while min(fleet.generations()) < 2 and elapsed_ms < LIMIT_MS:
+        while min(fleet.active_generations()) < 2 and elapsed_ms < LIMIT_MS:
             await fleet.clock.advance(CLOCK_STEP_MS)
             elapsed_ms += CLOCK_STEP_MS
-            done = sum(g == 2 for g in fleet.generations())
+            done = sum(g == 2 for g in fleet.active_generations())
             half_ms = half_ms or (elapsed_ms if done * 2 >= members else 0)
         figures = ChangeCost(
             members,
             round(idle, 1),
             fleet.store.calls - calls - publisher_calls,
-            sum(node.follower.is_seed for node in fleet.nodes.values()),
+            sum(node.config.is_store_watcher for node in fleet.nodes.values()),
             half_ms,
             elapsed_ms,
             (_link_bytes(fleet) - octets) // members,
@@ -104,7 +106,7 @@
 
 
 def _link_bytes(fleet: MemberSet) -> int:
-    return sum(node.links.traffic.octets for node in fleet.nodes.values())
+    return sum(node.links.traffic.byte_count for node in fleet.nodes.values())
 
 
 def main() -> None:
@@ -118,9 +120,9 @@
     )
     print("|---|---|---|---|---|---|---|---|")
     for size in options.sizes:
-        for watches in (True, False):
-            figures = anyio.run(measure, size, watches)
-            way = "direct" if watches else "spread"
+        for all_watch in (True, False):
+            figures = anyio.run(measure, size, all_watch)
+            way = "direct" if all_watch else "spread"
             cells = [str(cell) for cell in attrs.astuple(figures)]
             print(f"| {way} | " + " | ".join(cells) + " |")
 
--- a/lab/standins/engine.py
+++ b/lab/standins/engine.py
@@ -17,7 +17,7 @@
 
 from lab.enginemodel import EngineModel, EngineParameters, Sequence
 from lab.standins.faults import EngineFaults
-from lab.standins.orders import OrderBoard
+from lab.standins.orders import OrderHandler
 from lab.standins.serve import MAX_BODY_BYTES, make_parser, serve
 from rhubarbwinch.http.httpapi import App, Request, Responder
 
@@ -84,7 +84,7 @@
     """
 
     def __init__(
-        self, parameters: EngineParameters, speed: float, orders: OrderBoard
+        self, parameters: EngineParameters, speed: float, orders: OrderHandler
     ) -> None:
         self._orders = orders
         self._model = EngineModel(parameters)
@@ -150,7 +150,7 @@
         name = request.path.rpartition("/")[2]
         generation = self._generations.get(name)
         if generation is None:
-            await responder.json(b"{}", 404)
+            await responder.send_json(b"{}", 404)
             return
         start = int(request.query.removeprefix("from="))
         await self._send(generation, start, responder)
@@ -159,18 +159,18 @@
         name = request.path.rpartition("/")[2]
         self._model.cancel(name)
         self._log.append({"cancelled": name})
-        await responder.json(b"{}")
+        await responder.send_json(b"{}")
 
     async def _set_priority(
         self, request: Request, responder: Responder
     ) -> None:
         priority = orjson.loads(request.body)["priority"]
         self._model.set_priority(request.path.rpartition("/")[2], priority)
-        await responder.json(b"{}")
+        await responder.send_json(b"{}")
 
     async def _set_faults(self, request: Request, responder: Responder) -> None:
         self._faults.set_faults(orjson.loads(request.body))
-        await responder.json(b"{}")
+        await responder.send_json(b"{}")
 
     async def _send(
         self, generation: Generation, index: int, responder: Responder
@@ -179,7 +179,7 @@
         sequence = generation.sequence
         while index < sequence.output_tokens:
             changed = generation.changed
-            while index < sequence.done_tokens:
+            while index < sequence.generated_tokens:
                 event = generation.event(index)
                 if not await self._faults.send(
                     index, event, generation.name, responder
@@ -201,10 +201,10 @@
             "step_ms": model.last_step_ms,
             "preemptions": model.preemptions,
         }
-        await responder.json(orjson.dumps(data))
+        await responder.send_json(orjson.dumps(data))
 
     async def _show_log(self, _: Request, responder: Responder) -> None:
-        await responder.json(orjson.dumps(self._log))
+        await responder.send_json(orjson.dumps(self._log))
 
 
 async def _run(engine: Engine, address: str) -> None:
@@ -220,7 +220,7 @@
     options_parser.add_argument("--ignore-fencing", action="store_true")
     options_parser.add_argument("--weights", default="")
     options = options_parser.parse_args()
-    orders = OrderBoard(not options.ignore_fencing, options.weights)
+    orders = OrderHandler(not options.ignore_fencing, options.weights)
     engine = Engine(EngineParameters(), options.speed, orders)
     anyio.run(_run, engine, options.listen)
 
--- a/rhubarbwinch/admission/reports.py
+++ b/rhubarbwinch/admission/reports.py
@@ -4,7 +4,7 @@
 
 from rhubarbwinch.admission.digests import StreamReportBuilder
 from rhubarbwinch.admission.permits import Permit, PermitClient, pool_owner
-from rhubarbwinch.links.linktypes import RunningCaller
+from rhubarbwinch.links.linkinterfaces import RunningPeerCaller
 from rhubarbwinch.links.messages import DigestReply, StreamProgress
 from rhubarbwinch.membership.members import Members, Role
 from rhubarbwinch.shared.clock import Clock
@@ -14,11 +14,11 @@
 # reports that an owner receives per second stays constant.
 PERIOD_MS_PER_ENTRY = 60
 MIN_PERIOD_MS = 2000
-MAX_PERIOD_MS = 20_000
+MAX_REPORT_PERIOD_MS = 20_000
 REPLY_TIMEOUT_MS = 1000
 
 
-class Reporter:
+class StreamReporter:
     """Sends periodic reports, and a full report to each new owner at once.
 
     Args:
@@ -34,7 +34,7 @@
         entry: str,
         permits: PermitClient,
         members: Members,
-        links: RunningCaller,
+        links: RunningPeerCaller,
         clock: Clock,
     ) -> None:
         self._report_builder = StreamReportBuilder(entry)
@@ -51,7 +51,7 @@
     def _period_ms(self) -> int:
         entries = len(self._members.serving(Role.ENTRY))
         period = entries * PERIOD_MS_PER_ENTRY
-        return min(max(period, MIN_PERIOD_MS), MAX_PERIOD_MS)
+        return min(max(period, MIN_PERIOD_MS), MAX_REPORT_PERIOD_MS)
 
     async def run(self) -> None:
         """Sends reports until cancelled."""
--- a/rhubarbwinch/callers/calls.py
+++ b/rhubarbwinch/callers/calls.py
@@ -8,15 +8,15 @@
 
 from rhubarbwinch.admission.prefixes import (
     BYTES_PER_TOKEN,
+    encode_prompt,
     prefix_hashes,
-    prompt_bytes,
 )
 from rhubarbwinch.callers.callparams import check_parameters
 from rhubarbwinch.claims.claimkeys import ClaimKey
-from rhubarbwinch.claims.repeatable import claim_key
+from rhubarbwinch.claims.idempotency import claim_key
 from rhubarbwinch.endpoints.relay import Relay
 from rhubarbwinch.http.httpapi import Refused, Request, Responder
-from rhubarbwinch.records.accepted import Snapshot
+from rhubarbwinch.records.acceptedconfig import ConfigSnapshot
 from rhubarbwinch.records.records import ServiceSpec
 from rhubarbwinch.shared.verdict import Reason, not_run
 
@@ -60,7 +60,7 @@
 
 
 def parse_call(
-    account: str, request: Request, snapshot: Snapshot
+    account: str, request: Request, snapshot: ConfigSnapshot
 ) -> GenerationCall:
     """Parses and validates a generation request.
 
@@ -96,7 +96,7 @@
         stream=stream,
         prompt_tokens=len(request.body) // BYTES_PER_TOKEN,
         max_tokens=max_tokens,
-        prefix=prefix_hashes(prompt_bytes(data)),
+        prefix=prefix_hashes(encode_prompt(data)),
         claim_key=claim_key(account, name, service, request, request.path),
     )
 
@@ -149,7 +149,7 @@
             "total_tokens": call.prompt_tokens + len(parts),
         },
     }
-    await responder.json(orjson.dumps(response))
+    await responder.send_json(orjson.dumps(response))
 
 
 def _text_of(choice: dict[str, Any], chat: bool) -> str:
--- a/rhubarbwinch/callers/generate.py
+++ b/rhubarbwinch/callers/generate.py
@@ -11,14 +11,14 @@
 from rhubarbwinch.callers.calls import GenerationCall, send_json_response
 from rhubarbwinch.callers.runguard import NoGuard, RunGuard
 from rhubarbwinch.callers.streams import OpenStream, OpenStreams
-from rhubarbwinch.endpoints.endpoints import EndpointClient
-from rhubarbwinch.endpoints.relay import Position, Relay
+from rhubarbwinch.endpoints.endpointclient import EndpointClient
+from rhubarbwinch.endpoints.relay import Relay, StreamPosition
 from rhubarbwinch.endpoints.retries import Backoff, RetryBudget
 from rhubarbwinch.http.httpapi import Refused, Responder
 from rhubarbwinch.http.sse import join
 from rhubarbwinch.links.messages import PermitGrant, PermitRequest, StreamEnd
-from rhubarbwinch.records.accepted import Snapshot
-from rhubarbwinch.shared import events, identity, metrics
+from rhubarbwinch.records.acceptedconfig import ConfigSnapshot
+from rhubarbwinch.shared import events, identifiers, metrics
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import EndpointError
 from rhubarbwinch.shared.verdict import Failure, Reason, Verdict, not_run
@@ -51,7 +51,7 @@
         permits: PermitClient,
         endpoints: EndpointClient,
         streams: OpenStreams,
-        ids: identity.IdMaker,
+        ids: identifiers.IdGenerator,
         clock: Clock,
         counters: metrics.Metrics,
         budget: RetryBudget,
@@ -73,7 +73,7 @@
     async def serve(
         self,
         call: GenerationCall,
-        snapshot: Snapshot,
+        snapshot: ConfigSnapshot,
         responder: Responder,
         guard: RunGuard | None = None,
     ) -> None:
@@ -91,7 +91,7 @@
         guard = guard or NoGuard()
         avoid: list[str] = []
         earlier_error: EndpointError | None = None
-        self._budget.add_request(call.account)
+        self._budget.record_request(call.account)
         while True:
             try:
                 permit = await self._acquire_permit(call, snapshot, avoid)
@@ -114,14 +114,14 @@
             events.REQUEST_RETRIED.log(
                 endpoint=avoid[-1], error=str(earlier_error)
             )
-            await self._clock.sleep(self._backoff.wait_ms(len(avoid)))
+            await self._clock.sleep(self._backoff.delay_ms(len(avoid)))
 
     def _claim_retry(
         self, call: GenerationCall, attempts: int, responder: Responder
     ) -> bool:
-        if responder.started or attempts >= MAX_ATTEMPTS:
+        if responder.has_started or attempts >= MAX_ATTEMPTS:
             return False
-        if self._budget.take_retry(call.account):
+        if self._budget.acquire_retry(call.account):
             return True
         events.RETRY_BUDGET_SPENT.log(account=call.account)
         return False
@@ -129,8 +129,8 @@
     async def resume(
         self,
         account: str,
-        after: identity.EventId,
-        snapshot: Snapshot,
+        after: identifiers.EventId,
+        snapshot: ConfigSnapshot,
         responder: Responder,
         permit: Permit | None,
     ) -> None:
@@ -148,11 +148,11 @@
         """
         generation = after.generation
         self.check_owner(account, generation)
-        position = Position(generation, after.index + 1)
+        position = StreamPosition(generation, after.index + 1)
         permit = permit or self._reconstruct_permit(
             account, generation, snapshot
         )
-        self._permits.adopt(permit)
+        self._permits.add_permit(permit)
         address = permit.grant.address
         reopen = partial(self._endpoints.resume, address, generation)
         relay = Relay(position, reopen, reopen, self._clock, self._backoff)
@@ -177,7 +177,7 @@
             raise Refused(not_run(Reason.FORBIDDEN, "not your stream"))
 
     def _reconstruct_permit(
-        self, account: str, generation: str, snapshot: Snapshot
+        self, account: str, generation: str, snapshot: ConfigSnapshot
     ) -> Permit:
         """Returns a permit for a stream whose former holder did not reply.
 
@@ -186,7 +186,7 @@
         Raises:
             Refused: The active configuration no longer has the engine.
         """
-        name = identity.endpoint_of(generation)
+        name = identifiers.endpoint_of(generation)
         request_id = generation.partition("~")[0]
         for pool, spec in snapshot.pools.items():
             for endpoint in spec.endpoints:
@@ -204,7 +204,7 @@
         )
 
     async def _acquire_permit(
-        self, call: GenerationCall, snapshot: Snapshot, avoid: list[str]
+        self, call: GenerationCall, snapshot: ConfigSnapshot, avoid: list[str]
     ) -> Permit:
         request = PermitRequest(
             request_id="",
@@ -221,9 +221,9 @@
             wait_ms=call.service.wait_ms,
             avoid=avoid,
         )
-        reply = await self._permits.ask_any(
+        reply = await self._permits.acquire_from_any(
             request,
-            snapshot.pools_near(
+            snapshot.pools_local_first(
                 call.service.target, self._data_center, call.fingerprint
             ),
             partial(self._ids.request_id, call.account),
@@ -236,8 +236,8 @@
         self, call: GenerationCall, permit: Permit, responder: Responder
     ) -> None:
         grant = permit.grant
-        generation = identity.generation_id(grant.request_id, grant.endpoint)
-        position = Position(generation)
+        generation = identifiers.generation_id(grant.request_id, grant.endpoint)
+        position = StreamPosition(generation)
         relay = Relay(
             position,
             lambda _: self._endpoints.start(
@@ -292,7 +292,7 @@
         started_ms = self._clock.now()
         position = relay.position
         async for batch in relay.events():
-            if not responder.started:
+            if not responder.has_started:
                 await responder.start(200, SSE_HEADERS)
                 elapsed = self._clock.now() - started_ms
                 self._metrics.timing(metrics.FIRST_TOKEN, elapsed)
--- a/rhubarbwinch/callers/guarded.py
+++ b/rhubarbwinch/callers/guarded.py
@@ -5,11 +5,11 @@
 from rhubarbwinch.callers.generate import GenerationRunner
 from rhubarbwinch.callers.runguard import ClaimGuard, QuarantineGuard
 from rhubarbwinch.claims.claims import Claims
+from rhubarbwinch.claims.idempotency import send_recorded_outcome
 from rhubarbwinch.claims.quarantine import Quarantine
-from rhubarbwinch.claims.repeatable import replay
-from rhubarbwinch.endpoints.endpoints import EndpointClient
+from rhubarbwinch.endpoints.endpointclient import EndpointClient
 from rhubarbwinch.http.httpapi import Responder
-from rhubarbwinch.records.accepted import Snapshot
+from rhubarbwinch.records.acceptedconfig import ConfigSnapshot
 
 
 class GuardedGenerationRunner:
@@ -38,7 +38,10 @@
         self._endpoints = endpoints
 
     async def serve(
-        self, call: GenerationCall, snapshot: Snapshot, responder: Responder
+        self,
+        call: GenerationCall,
+        snapshot: ConfigSnapshot,
+        responder: Responder,
     ) -> None:
         """Serves a call, from its recorded outcome if there is one.
 
@@ -59,9 +62,9 @@
         claim_guard = ClaimGuard(
             self._claims, self._permits, call.claim_key, guard
         )
-        outcome = await claim_guard.find()
+        outcome = await claim_guard.find_outcome()
         if outcome is not None:
-            await replay(outcome, responder)
+            await send_recorded_outcome(outcome, responder)
             return
         await guard.check()
         try:
--- a/rhubarbwinch/callers/plain.py
+++ b/rhubarbwinch/callers/plain.py
@@ -10,13 +10,13 @@
 from rhubarbwinch.admission.permits import Permit, PermitClient
 from rhubarbwinch.claims.claimkeys import ClaimKey
 from rhubarbwinch.claims.claims import Claim, Claims, make_outcome
-from rhubarbwinch.claims.repeatable import claim_key, replay
-from rhubarbwinch.endpoints.endpoints import EndpointClient
+from rhubarbwinch.claims.idempotency import claim_key, send_recorded_outcome
+from rhubarbwinch.endpoints.endpointclient import EndpointClient
 from rhubarbwinch.http.httpapi import Refused, Request, Responder
 from rhubarbwinch.links.messages import PermitRequest, StreamEnd
-from rhubarbwinch.records.accepted import Snapshot
+from rhubarbwinch.records.acceptedconfig import ConfigSnapshot
 from rhubarbwinch.records.records import ServiceSpec
-from rhubarbwinch.shared import events, identity
+from rhubarbwinch.shared import events, identifiers
 from rhubarbwinch.shared.exceptions import EndpointError
 from rhubarbwinch.shared.verdict import Failure, Reason, Verdict, not_run
 
@@ -52,7 +52,9 @@
     key: ClaimKey | None
 
 
-def parse_call(account: str, request: Request, snapshot: Snapshot) -> PlainCall:
+def parse_call(
+    account: str, request: Request, snapshot: ConfigSnapshot
+) -> PlainCall:
     """Parses and validates a request for `/services/<service>/<path>`.
 
     Raises:
@@ -69,7 +71,7 @@
     return PlainCall(account, name, service, request, path, key)
 
 
-class PlainCaller:
+class PlainServiceProxy:
     """Forwards calls of plain services to their endpoints.
 
     Args:
@@ -86,7 +88,7 @@
         permits: PermitClient,
         endpoints: EndpointClient,
         claims: Claims,
-        ids: identity.IdMaker,
+        ids: identifiers.IdGenerator,
         entry: str,
         data_center: str,
     ) -> None:
@@ -101,7 +103,7 @@
         self,
         account: str,
         request: Request,
-        snapshot: Snapshot,
+        snapshot: ConfigSnapshot,
         responder: Responder,
     ) -> None:
         """Serves a request for `/services/<service>/<path>`.
@@ -117,7 +119,7 @@
         await _send_response(response, responder)
 
     async def _run_repeatable(
-        self, call: PlainCall, snapshot: Snapshot
+        self, call: PlainCall, snapshot: ConfigSnapshot
     ) -> httpx.Response:
         """Sends a call and retries it at other endpoints.
 
@@ -147,16 +149,16 @@
         self,
         call: PlainCall,
         key: ClaimKey,
-        snapshot: Snapshot,
+        snapshot: ConfigSnapshot,
         responder: Responder,
     ) -> None:
         """Replays the recorded outcome of a call, or claims and runs it."""
         while True:
-            recorded = await self._claims.find(key)
+            recorded = await self._claims.find_outcome(key)
             if isinstance(recorded, Err):
                 raise Refused(recorded.err_value)
             if recorded.ok_value is not None:
-                await replay(recorded.ok_value, responder)
+                await send_recorded_outcome(recorded.ok_value, responder)
                 return
             # The permit is acquired before the claim: a call without a permit
             # costs the store no write, and a claimed call is sent at once.
@@ -173,7 +175,7 @@
         """Claims a key; returns None if another request holds the claim."""
         claim = None
         try:
-            claimed = await self._claims.take(key)
+            claimed = await self._claims.acquire_claim(key)
             if isinstance(claimed, Err):
                 if claimed.err_value.reason is Reason.IN_PROGRESS:
                     return None
@@ -183,10 +185,14 @@
         finally:
             if claim is None:
                 with anyio.CancelScope(shield=True):
-                    await self._permits.give_back(permit, StreamEnd.UNUSED)
+                    await self._permits.release_permit(permit, StreamEnd.UNUSED)
 
     async def _run_claimed(
-        self, claim: Claim, permit: Permit, call: PlainCall, snapshot: Snapshot
+        self,
+        claim: Claim,
+        permit: Permit,
+        call: PlainCall,
+        snapshot: ConfigSnapshot,
     ) -> httpx.Response:
         """Sends a claimed call; retries it only if no byte was sent."""
         avoid: list[str] = []
@@ -211,28 +217,28 @@
         # call's outcome is recorded and replayed if the caller retries.
         with anyio.CancelScope(shield=True):
             if not self._claims.begin_send(claim, permit.grant.endpoint):
-                await self._permits.give_back(permit, StreamEnd.UNUSED)
+                await self._permits.release_permit(permit, StreamEnd.UNUSED)
                 detail = "the claim was held for too long before the send"
                 raise Refused(not_run(Reason.DEADLINE, detail, 1000))
             try:
                 response = await self._call_endpoint(permit, call)
             except EndpointError as error:
                 if error.sent:
-                    await self._claims.lose(claim)
+                    await self._claims.record_unknown(claim)
                 else:
                     claim.mark_unsent()
                 raise
             except Exception:
-                await self._claims.lose(claim)
+                await self._claims.record_unknown(claim)
                 raise
             outcome = make_outcome(
                 response.status_code, _content_type(response), response.content
             )
-            await self._claims.complete(claim, outcome)
+            await self._claims.record_outcome(claim, outcome)
         return response
 
     async def _acquire_permit(
-        self, call: PlainCall, snapshot: Snapshot, avoid: list[str]
+        self, call: PlainCall, snapshot: ConfigSnapshot, avoid: list[str]
     ) -> Permit:
         request = PermitRequest(
             request_id="",
@@ -245,9 +251,9 @@
             wait_ms=call.service.wait_ms,
             avoid=avoid,
         )
-        reply = await self._permits.ask_any(
+        reply = await self._permits.acquire_from_any(
             request,
-            snapshot.pools_near(
+            snapshot.pools_local_first(
                 call.service.target, self._data_center, call.account
             ),
             partial(self._ids.request_id, call.account),
@@ -280,7 +286,7 @@
             raise
         finally:
             with anyio.CancelScope(shield=True):
-                await self._permits.give_back(permit, end)
+                await self._permits.release_permit(permit, end)
         return response
 
 
@@ -291,7 +297,7 @@
 async def _send_response(
     response: httpx.Response, responder: Responder
 ) -> None:
-    await responder.whole(
+    await responder.send_response(
         response.status_code,
         [(b"content-type", _content_type(response).encode())],
         response.content,
--- a/rhubarbwinch/callers/takeover.py
+++ b/rhubarbwinch/callers/takeover.py
@@ -4,11 +4,11 @@
 
 from rhubarbwinch.admission.permits import Permit
 from rhubarbwinch.callers.streams import OpenStreams
-from rhubarbwinch.links.linktypes import Caller
+from rhubarbwinch.links.linkinterfaces import PeerCaller
 from rhubarbwinch.links.messages import PermitGrant, StreamTake, StreamTaken
 from rhubarbwinch.membership.members import Member, Members, Role
-from rhubarbwinch.records.accepted import Snapshot
-from rhubarbwinch.shared import identity
+from rhubarbwinch.records.acceptedconfig import ConfigSnapshot
+from rhubarbwinch.shared import identifiers
 from rhubarbwinch.shared.exceptions import CodecError, LinkError
 
 
@@ -25,7 +25,7 @@
     def __init__(
         self,
         streams: OpenStreams,
-        links: Caller,
+        links: PeerCaller,
         members: Members,
         timeout_ms: int,
     ) -> None:
@@ -35,7 +35,7 @@
         self._timeout_ms = timeout_ms
 
     async def acquire_permit(
-        self, generation: str, snapshot: Snapshot
+        self, generation: str, snapshot: ConfigSnapshot
     ) -> Permit | None:
         """Returns a stream's permit, or None if its holder does not reply.
 
@@ -62,7 +62,7 @@
         return self._make_permit(reply, snapshot)
 
     def _find_holder(self, generation: str) -> Member | None:
-        incarnation = identity.incarnation_of(generation)
+        incarnation = identifiers.incarnation_of(generation)
         for member in self._members.all():
             is_me = member.name == self._members.me.name
             if member.incarnation == incarnation and not is_me:
@@ -70,7 +70,7 @@
         return None
 
     def _make_permit(
-        self, reply: StreamTaken, snapshot: Snapshot
+        self, reply: StreamTaken, snapshot: ConfigSnapshot
     ) -> Permit | None:
         if reply.request is None:
             return None
--- a/rhubarbwinch/claims/claimrouting.py
+++ b/rhubarbwinch/claims/claimrouting.py
@@ -14,7 +14,7 @@
 
 from rhubarbwinch.claims.claimchanges import Finish, Take
 from rhubarbwinch.claims.claimpages import ClaimRecord
-from rhubarbwinch.links.linktypes import Caller
+from rhubarbwinch.links.linkinterfaces import PeerCaller
 from rhubarbwinch.membership.members import Member, Members, Role
 from rhubarbwinch.shared import rendezvous
 from rhubarbwinch.shared.clock import Clock
@@ -83,7 +83,11 @@
     """
 
     def __init__(
-        self, pages: PageAccess, links: Caller, members: Members, clock: Clock
+        self,
+        pages: PageAccess,
+        links: PeerCaller,
+        members: Members,
+        clock: Clock,
     ) -> None:
         self._pages = pages
         self._links = links
@@ -113,7 +117,7 @@
             return Ok(reply.record)
         return await self._pages.change(page, change)
 
-    async def answer(self, call: PageCall) -> PageReply:
+    async def reply(self, call: PageCall) -> PageReply:
         """Handles another entry's call, even if this isn't the writer."""
         change = call.take or call.finish
         if change is None:
--- a/rhubarbwinch/configuration/follower.py
+++ b/rhubarbwinch/configuration/configreplica.py
@@ -10,8 +10,8 @@
     Distribution,
 )
 from rhubarbwinch.membership.members import Members
-from rhubarbwinch.records import accepted
-from rhubarbwinch.records.accepted import Head, Snapshot
+from rhubarbwinch.records import acceptedconfig
+from rhubarbwinch.records.acceptedconfig import ConfigSnapshot, Head
 from rhubarbwinch.records.records import Record
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.clock import Clock
@@ -31,7 +31,7 @@
     address: str = ""
 
 
-class Follower:
+class ConfigReplica:
     """Holds the active snapshot and replaces it with newer ones.
 
     Args:
@@ -57,10 +57,10 @@
         self._members = members
         self._peers = peers
         self._addresses = addresses or []
-        self._snapshot = Snapshot()
+        self._snapshot = ConfigSnapshot()
         self._chunks: dict[str, bytes] = {}
         self._head = Head()
-        self._listeners: list[Callable[[Snapshot], None]] = []
+        self._listeners: list[Callable[[ConfigSnapshot], None]] = []
         self._available_update = _AvailableUpdate()
         self._newer_generation_seen = anyio.Event()
         self._members_changed = anyio.Event()
@@ -70,7 +70,7 @@
             peers.set_source(lambda: self._head, self.chunk)
 
     @property
-    def snapshot(self) -> Snapshot:
+    def snapshot(self) -> ConfigSnapshot:
         """The active configuration."""
         return self._snapshot
 
@@ -80,7 +80,7 @@
         return self._head
 
     @property
-    def is_seed(self) -> bool:
+    def is_store_watcher(self) -> bool:
         """Whether this process watches the store for its data centre."""
         if self._members is None:
             return True
@@ -94,11 +94,11 @@
         """Returns a chunk of the active head; empty for any other chunk."""
         return self._chunks.get(name, b"")
 
-    def on_change(self, listener: Callable[[Snapshot], None]) -> None:
+    def on_change(self, listener: Callable[[ConfigSnapshot], None]) -> None:
         """Calls `listener` with each new snapshot."""
         self._listeners.append(listener)
 
-    def notice(self, generation: int, address: str) -> None:
+    def observe_generation(self, generation: int, address: str) -> None:
         """Records that a peer has a newer generation."""
         if generation > max(
             self._head.generation, self._available_update.generation
@@ -115,7 +115,7 @@
 
     async def read_store(self) -> int:
         """Reads the store's head and applies it; returns its revision."""
-        head, revision = await accepted.read_head(self._store)
+        head, revision = await acceptedconfig.read_head(self._store)
         await self.update(head)
         return revision
 
@@ -155,12 +155,12 @@
         while True:
             self._members_changed = anyio.Event()
             changed = self._members_changed
-            if not self.is_seed:
+            if not self.is_store_watcher:
                 await changed.wait()
                 continue
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._watch)
-                while self.is_seed:
+                while self.is_store_watcher:
                     await changed.wait()
                     self._members_changed = changed = anyio.Event()
                 tasks.cancel_scope.cancel()
@@ -188,7 +188,7 @@
                 async for change in changes:
                     if change.entry is not None:
                         await self.update(
-                            accepted.parse_head(change.entry.value)
+                            acceptedconfig.parse_head(change.entry.value)
                         )
             except (StoreError, CodecError):
                 await self._clock.sleep(RETRY_DELAY_MS)
@@ -223,7 +223,7 @@
             chunk = await self._peers.chunk(name, peer_address)
             if chunk is not None:
                 return chunk
-        return await accepted.read_chunk(self._store, name)
+        return await acceptedconfig.read_chunk(self._store, name)
 
     def _activate(self, head: Head, chunks: dict[str, bytes]) -> None:
         # Only changed chunks are parsed: parsing a whole configuration would
@@ -231,7 +231,7 @@
         # tokens.
         removed = _records_not_in(self._chunks, chunks)
         added = _records_not_in(chunks, self._chunks)
-        self._snapshot = accepted.revise(
+        self._snapshot = acceptedconfig.revise_snapshot(
             self._snapshot, head.generation, removed, added
         )
         self._head, self._chunks = head, chunks
@@ -253,5 +253,5 @@
         record
         for name, chunk in chunks.items()
         if name not in others
-        for record in accepted.unpack_chunk(chunk)
+        for record in acceptedconfig.unpack_chunk(chunk)
     ]
--- a/rhubarbwinch/gateway/context.py
+++ b/rhubarbwinch/gateway/context.py
@@ -4,26 +4,30 @@
 
 import attrs
 
-from rhubarbwinch.gateway import statistics
-from rhubarbwinch.gateway.copies import CopyManager
-from rhubarbwinch.gateway.crashes import Break, CrashLedger, fingerprint
+from rhubarbwinch.gateway import gatewaymetrics
+from rhubarbwinch.gateway.crashes import (
+    BrokenResponse,
+    CrashTracker,
+    fingerprint,
+)
 from rhubarbwinch.gateway.edge import EdgeRequest
 from rhubarbwinch.gateway.failurereports import (
     WINDOW_MS,
     FailureReports,
-    Traffic,
+    ServiceTraffic,
 )
-from rhubarbwinch.gateway.fleet import Fleet, Known
-from rhubarbwinch.gateway.hops import Tracer
-from rhubarbwinch.gateway.loads import LoadBook
+from rhubarbwinch.gateway.fleet import Fleet, KnownEndpoint
+from rhubarbwinch.gateway.loads import LoadTracker
 from rhubarbwinch.gateway.messages import FailureNotice
+from rhubarbwinch.gateway.migratedcopies import CopyManager
 from rhubarbwinch.gateway.peers import Peers
-from rhubarbwinch.gateway.placing import Candidate
+from rhubarbwinch.gateway.placement import Candidate
+from rhubarbwinch.gateway.platforminterface import CallHead, Platform
+from rhubarbwinch.gateway.requestspans import Tracer
 from rhubarbwinch.gateway.retrybudget import RetryBudget
 from rhubarbwinch.gateway.routes import EngineSpec, Route, RoutingTable
-from rhubarbwinch.gateway.suspicion import Outcome, Suspicion
+from rhubarbwinch.gateway.suspicion import AttemptOutcome, Suspicion
 from rhubarbwinch.gateway.upstream import Upstream
-from rhubarbwinch.gateway.wire import CallHead, Platform
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.clock import Clock
 
@@ -56,14 +60,14 @@
     clock: Clock
     rng: random.Random
     fleet: Fleet
-    loads: LoadBook
+    loads: LoadTracker
     suspicion: Suspicion
     reports: FailureReports
     budget: RetryBudget
     peers: Peers
     upstream: Upstream
     copies: CopyManager
-    crashes: CrashLedger
+    crashes: CrashTracker
     tracer: Tracer | None = None
     table: RoutingTable | None = None
     is_draining: bool = False
@@ -83,7 +87,7 @@
         now = self.clock.now()
         known = [
             k
-            for k in self.fleet.of_service(service)
+            for k in self.fleet.accepting_for_service(service)
             if k.endpoint.id not in excluded
         ]
         usable = set(self.suspicion.usable([k.endpoint.id for k in known], now))
@@ -91,24 +95,28 @@
             self._candidate(k, now) for k in known if k.endpoint.id in usable
         ]
 
-    def _candidate(self, known: Known, now: int) -> Candidate:
+    def _candidate(self, known: KnownEndpoint, now: int) -> Candidate:
         endpoint = known.endpoint
         engine = self.engine_spec(endpoint.service)
         return Candidate(
             endpoint,
             self.loads.total(endpoint.id),
             engine.kv_tokens if engine is not None else 0,
-            now >= known.warm_at_ms,
+            now >= known.warmed_up_at_ms,
             self.suspicion.failure_share(endpoint.id),
         )
 
-    def note(
-        self, job: "Job", service: str, endpoint_id: str, outcome: Outcome
+    def record_outcome(
+        self,
+        job: "Job",
+        service: str,
+        endpoint_id: str,
+        outcome: AttemptOutcome,
     ) -> None:
         """Records how an attempt ended."""
         now = self.clock.now()
-        statistics.SENDS.labels(outcome.name.lower()).inc()
-        if self.suspicion.note(service, endpoint_id, outcome, now):
+        gatewaymetrics.ATTEMPTS.labels(outcome.name.lower()).inc()
+        if self.suspicion.record_outcome(service, endpoint_id, outcome, now):
             events.ENDPOINT_AVOIDED.log(
                 request=job.call.request_id,
                 endpoint=endpoint_id,
@@ -120,13 +128,13 @@
         if self._is_shared(service, outcome):
             self.handle_failure(self.peers.report_failure(endpoint_id))
 
-    def _is_shared(self, service: str, outcome: Outcome) -> bool:
+    def _is_shared(self, service: str, outcome: AttemptOutcome) -> bool:
         """Returns whether an outcome is reported to the other gateways."""
-        if outcome is Outcome.ERROR:
+        if outcome is AttemptOutcome.ERROR:
             # Plain services may respond to some requests with errors of their
             # own, which are no sign of a fault.
             return self.engine_spec(service) is not None
-        return outcome in (Outcome.BROKEN, Outcome.UNREACHABLE)
+        return outcome in (AttemptOutcome.BROKEN, AttemptOutcome.UNREACHABLE)
 
     def handle_failure(self, notice: FailureNotice) -> None:
         """Handles a failure that this gateway or a peer has observed."""
@@ -135,22 +143,24 @@
             return
         now = self.clock.now()
         service = known.endpoint.service
-        traffic = Traffic(
+        traffic = ServiceTraffic(
             self.suspicion.calls_each(service, WINDOW_MS),
-            self.peers.near_count + 1,
-            self.peers.count + 1,
-            frozenset(k.endpoint.id for k in self.fleet.of_service(service)),
+            self.peers.data_center_count + 1,
+            self.peers.live_count + 1,
+            frozenset(
+                k.endpoint.id for k in self.fleet.accepting_for_service(service)
+            ),
         )
-        if not self.reports.note(notice, traffic, now):
+        if not self.reports.record_report(notice, traffic, now):
             return
         until_ms = self.suspicion.avoid(service, notice.endpoint, now)
         if until_ms is None:
             return
-        self.reports.note_pause(notice.endpoint, until_ms)
+        self.reports.record_pause(notice.endpoint, until_ms)
         events.ENDPOINT_REPORTED.log(
             endpoint=notice.endpoint,
             reporter=notice.gateway,
-            calls_each=round(traffic.calls_each, 2),
+            calls_each=round(traffic.calls_per_endpoint, 2),
             gateways=traffic.gateways,
             pause_ms=until_ms - now,
         )
@@ -160,13 +170,17 @@
         known = self.fleet.get(endpoint_id)
         if known is None or known.is_leaving:
             return
-        self.crashes.suspect(
-            Break(job.call.request_id, job.fingerprint, endpoint_id, address)
+        self.crashes.check_endpoint(
+            BrokenResponse(
+                job.call.request_id, job.fingerprint, endpoint_id, address
+            )
         )
 
     def acquire_retry(self, service: str) -> bool:
         """Takes one attempt from the retry budget; False if it is used up."""
-        return self.budget.take(service, self.peers.count + 1, self.clock.now())
+        return self.budget.try_acquire(
+            service, self.peers.live_count + 1, self.clock.now()
+        )
 
 
 @attrs.define
--- a/rhubarbwinch/gateway/relaying.py
+++ b/rhubarbwinch/gateway/eventrelay.py
@@ -6,13 +6,13 @@
 
 import anyio
 
-from rhubarbwinch.gateway import statistics
-from rhubarbwinch.gateway.carrying import Migrator
+from rhubarbwinch.gateway import gatewaymetrics
 from rhubarbwinch.gateway.context import Context
-from rhubarbwinch.gateway.rooms import RunPlacer
+from rhubarbwinch.gateway.migration import Migrator
+from rhubarbwinch.gateway.runplacement import RunPlacer
 from rhubarbwinch.gateway.runs import Run
 from rhubarbwinch.gateway.upstream import UpstreamResponse
-from rhubarbwinch.http.sse import Splitter
+from rhubarbwinch.http.sse import EventSplitter
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.exceptions import EndpointError
 
@@ -49,7 +49,7 @@
 
     async def relay(self, run: Run, response: UpstreamResponse) -> bool:
         """Relays the events of one engine; returns whether the stream ended."""
-        splitter = Splitter()
+        splitter = EventSplitter()
         try:
             async with aclosing(
                 self._chunks_or_stall(run, response)
@@ -102,7 +102,7 @@
         self,
         run: Run,
         response: UpstreamResponse,
-        splitter: Splitter,
+        splitter: EventSplitter,
         chunk: bytes,
     ) -> None:
         """Sends the complete events of a chunk to the caller, each once.
@@ -148,10 +148,10 @@
     def _record_events(self, run: Run) -> None:
         now = self._context.clock.now()
         job = run.job
-        if run.events and run.last_event_ms and job.route.gap_ms:
+        if run.events and run.last_event_ms and job.route.max_event_gap_ms:
             pause = now - run.last_event_ms
-            if pause > job.route.gap_ms:
-                statistics.GAPS.labels(job.route.name).inc()
+            if pause > job.route.max_event_gap_ms:
+                gatewaymetrics.LATE_GAPS.labels(job.route.name).inc()
                 events.LATE_GAP.log(
                     request=run.id,
                     endpoint=run.reservation.endpoint.id
@@ -161,13 +161,13 @@
                     events=run.events,
                 )
         if not run.last_event_ms:
-            statistics.LATENCY.labels(job.route.name).observe(
+            gatewaymetrics.LATENCY.labels(job.route.name).observe(
                 (now - job.received_ms) / 1000
             )
         run.last_event_ms = now
         if run.reservation is not None and run.reservation.prefill:
             run.reservation.end_prefill()
-            self._placer.note_change()
+            self._placer.handle_capacity_change()
             self._migrator.migrate_if_leaving(run)
 
     async def _send_head(self, run: Run, response: UpstreamResponse) -> None:
@@ -189,4 +189,4 @@
             sends=run.job.sends,
             events=run.events,
         )
-        statistics.REQUESTS.labels(run.job.route.name, "complete").inc()
+        gatewaymetrics.REQUESTS.labels(run.job.route.name, "complete").inc()
--- a/rhubarbwinch/gateway/continuing.py
+++ b/rhubarbwinch/gateway/failover.py
@@ -2,17 +2,17 @@
 
 import anyio
 
-from rhubarbwinch.gateway import statistics
-from rhubarbwinch.gateway.carrying import Migrator
+from rhubarbwinch.gateway import gatewaymetrics
 from rhubarbwinch.gateway.context import Context
 from rhubarbwinch.gateway.endpoints import Endpoint
-from rhubarbwinch.gateway.enginesends import GenerationSender
-from rhubarbwinch.gateway.loads import Room
-from rhubarbwinch.gateway.rooms import RunPlacer
+from rhubarbwinch.gateway.generationsender import GenerationSender
+from rhubarbwinch.gateway.loads import Reservation
+from rhubarbwinch.gateway.migration import Migrator
+from rhubarbwinch.gateway.platforminterface import KvCacheLocation
+from rhubarbwinch.gateway.runplacement import RunPlacer
 from rhubarbwinch.gateway.runs import MigrationTarget, Run
-from rhubarbwinch.gateway.suspicion import Outcome
+from rhubarbwinch.gateway.suspicion import AttemptOutcome
 from rhubarbwinch.gateway.upstream import UpstreamResponse
-from rhubarbwinch.gateway.wire import KvCacheLocation
 from rhubarbwinch.shared import events
 
 # How long a failover waits for a copy that is in flight when the stream breaks.
@@ -53,7 +53,7 @@
         Returns:
             The response of the next engine, or None if the run cannot resume.
         """
-        self._context.note(
+        self._context.record_outcome(
             run.job, run.job.service, source.id, self._outcome_for(source)
         )
         if run.migration_scope is not None:
@@ -71,24 +71,24 @@
             return await self._restart(run, source)
         return None
 
-    def _outcome_for(self, source: Endpoint) -> Outcome:
+    def _outcome_for(self, source: Endpoint) -> AttemptOutcome:
         """Returns the outcome to record for the engine of a broken stream."""
         known = self._context.fleet.get(source.id)
         if known is None or known.is_leaving:
-            return Outcome.GOOD
-        return Outcome.BROKEN
+            return AttemptOutcome.GOOD
+        return AttemptOutcome.BROKEN
 
     def _standby_target(self, run: Run) -> MigrationTarget:
         """Returns the standby of a run as the target to resume at."""
         assert run.standby is not None
         assert run.reservation is not None
         standby = run.standby
-        reservation = Room(
+        reservation = Reservation(
             standby.endpoint, standby.tokens, 0, 1, self._context.loads
         )
         location = KvCacheLocation(standby.endpoint.address, run.id)
         return MigrationTarget(
-            reservation.hold(), location, run.reservation.endpoint
+            reservation.reserve(), location, run.reservation.endpoint
         )
 
     async def _resume_at_target(
@@ -129,7 +129,7 @@
         result = await self._sender.open(run, run.reservation.endpoint, None)
         return result if isinstance(result, UpstreamResponse) else None
 
-    def _replace_reservation(self, run: Run, reservation: Room) -> None:
+    def _replace_reservation(self, run: Run, reservation: Reservation) -> None:
         """Replaces the reservation of a run and reserves a new standby."""
         run.release()
         run.reservation = reservation
@@ -137,7 +137,7 @@
             run.migration_scope.cancel()
             run.migration_scope = None
         self._placer.reserve_standby(run)
-        self._placer.note_change()
+        self._placer.handle_capacity_change()
 
     async def _send_to_target(
         self, run: Run, endpoint: Endpoint, location: KvCacheLocation, how: str
@@ -147,7 +147,9 @@
             return None
         result = await self._sender.open(run, endpoint, location)
         is_resumed = isinstance(result, UpstreamResponse)
-        statistics.MOVES.labels(how, "good" if is_resumed else "failed").inc()
+        gatewaymetrics.CONTINUATIONS.labels(
+            how, "good" if is_resumed else "failed"
+        ).inc()
         events.CARRIED_ON.log(
             request=run.id,
             endpoint=endpoint.id,
--- a/rhubarbwinch/gateway/failurereports.py
+++ b/rhubarbwinch/gateway/failurereports.py
@@ -29,18 +29,18 @@
 
 
 @attrs.frozen
-class Traffic:
+class ServiceTraffic:
     """The usual traffic to the endpoints of a service.
 
     Attributes:
-        calls_each: Calls from one gateway to one endpoint in the window.
+        calls_per_endpoint: Calls from one gateway to one endpoint in the window.
         local_gateways: Number of gateways in this data centre, this one
             included.
         gateways: Number of all gateways, this one included.
         endpoints: The ids of the service's endpoints.
     """
 
-    calls_each: float
+    calls_per_endpoint: float
     local_gateways: int
     gateways: int
     endpoints: frozenset[str] = frozenset()
@@ -78,8 +78,8 @@
         self._data_center = data_center
         self._by_endpoint: dict[str, _EndpointReports] = {}
 
-    def note(
-        self, report: FailureNotice, traffic: Traffic, now_ms: int
+    def record_report(
+        self, report: FailureNotice, traffic: ServiceTraffic, now_ms: int
     ) -> bool:
         """Records a report; returns whether its endpoint is to be avoided.
 
@@ -99,12 +99,12 @@
         local_gateways = [
             r for r in recent_reports if r.data_center == self._data_center
         ]
-        calls = traffic.calls_each * traffic.local_gateways
+        calls = traffic.calls_per_endpoint * traffic.local_gateways
         if _is_bad(local_gateways, calls, mean_others, is_on_trial):
             return True
         # A failure seen by two data centres is no fault of the network path
         # from one of them.
-        calls = traffic.calls_each * traffic.gateways
+        calls = traffic.calls_per_endpoint * traffic.gateways
         return len({r.data_center for r in recent_reports}) > 1 and _is_bad(
             recent_reports, calls, mean_others, is_on_trial
         )
@@ -120,7 +120,7 @@
         )
         return report_count / len(endpoints)
 
-    def note_pause(self, endpoint: str, until_ms: int) -> None:
+    def record_pause(self, endpoint: str, until_ms: int) -> None:
         """Records that an endpoint is avoided until a time.
 
         Its trial follows the pause.
--- a/rhubarbwinch/gateway/copies.py
+++ b/rhubarbwinch/gateway/migratedcopies.py
@@ -11,10 +11,10 @@
 import anyio.abc
 import attrs
 
-from rhubarbwinch.gateway import statistics
+from rhubarbwinch.gateway import gatewaymetrics
 from rhubarbwinch.gateway.endpoints import Endpoint
-from rhubarbwinch.gateway.loads import Room
-from rhubarbwinch.gateway.wire import (
+from rhubarbwinch.gateway.loads import Reservation
+from rhubarbwinch.gateway.platforminterface import (
     CopyResult,
     EngineCalls,
     FreeState,
@@ -46,7 +46,7 @@
     request_id: str
     source: Endpoint
     target: Endpoint
-    reservation: Room | None
+    reservation: Reservation | None
     expiry_ms: int
     handle: str = ""
     may_exist: bool = False
@@ -137,7 +137,7 @@
             results.append(result)
         finally:
             copy.end_call()
-        statistics.MOVES.labels(
+        gatewaymetrics.CONTINUATIONS.labels(
             "stop" if stop_first else "copy", result.state
         ).inc()
         events.MOVED.log(
--- a/rhubarbwinch/gateway/carrying.py
+++ b/rhubarbwinch/gateway/migration.py
@@ -2,13 +2,13 @@
 
 import anyio
 
-from rhubarbwinch.gateway import moving
+from rhubarbwinch.gateway import migrationtargets
 from rhubarbwinch.gateway.context import Context
-from rhubarbwinch.gateway.copies import MigratedCopy
 from rhubarbwinch.gateway.endpoints import Endpoint
-from rhubarbwinch.gateway.loads import Room
+from rhubarbwinch.gateway.loads import Reservation
+from rhubarbwinch.gateway.migratedcopies import MigratedCopy
+from rhubarbwinch.gateway.platforminterface import KvCacheLocation, MoveState
 from rhubarbwinch.gateway.runs import MigrationTarget, Run
-from rhubarbwinch.gateway.wire import KvCacheLocation, MoveState
 
 # Retry interval: a run that is queued or in its prefill can't be copied yet.
 RETRY_INTERVAL_MS = 40
@@ -29,7 +29,7 @@
     def __init__(self, context: Context) -> None:
         self._context = context
 
-    def note_leaving(self, run: Run, endpoint: Endpoint) -> None:
+    def handle_leaving_engine(self, run: Run, endpoint: Endpoint) -> None:
         """Releases a leaving standby; migrates a run whose engine leaves."""
         if run.reservation is None:
             return
@@ -49,7 +49,7 @@
         ):
             return
         spec = self._context.engine_spec(run.job.service)
-        if spec is None or not spec.can_move:
+        if spec is None or not spec.supports_migration:
             return
         if run.job.route.is_resumable or self.has_standby(run):
             # The run can be restarted elsewhere, or a standby has its KV cache.
@@ -63,7 +63,7 @@
         if run.standby is None:
             return False
         known = self._context.fleet.get(run.standby.endpoint.id)
-        return known is not None and known.takes_work
+        return known is not None and known.accepts_requests
 
     async def _maintain_copy(self, run: Run, scope: anyio.CancelScope) -> None:
         """Maintains a copy of a run at another engine until cancelled.
@@ -97,11 +97,11 @@
 
     def _reserve(
         self, run: Run, source: Endpoint, refused_ids: set[str]
-    ) -> Room | None:
+    ) -> Reservation | None:
         """Reserves capacity at a migration target; None without a target."""
         context = self._context
         tokens = run.expected_tokens
-        chosen = moving.choose_home(
+        chosen = migrationtargets.choose_target(
             context.candidates(run.job.service, refused_ids),
             source,
             tokens,
@@ -109,12 +109,14 @@
         )
         if chosen is None:
             return None
-        reservation = Room(chosen.endpoint, tokens, 0, 1, context.loads).hold()
-        context.peers.tell_loads()
+        reservation = Reservation(
+            chosen.endpoint, tokens, 0, 1, context.loads
+        ).reserve()
+        context.peers.announce_loads()
         return reservation
 
     def _new_copy(
-        self, run: Run, source: Endpoint, reservation: Room
+        self, run: Run, source: Endpoint, reservation: Reservation
     ) -> MigratedCopy:
         spec = self._context.engine_spec(run.job.service)
         expiry_ms = spec.copy_expiry_ms if spec is not None else 0
@@ -123,7 +125,7 @@
         )
 
     async def _copy_to(
-        self, run: Run, source: Endpoint, reservation: Room
+        self, run: Run, source: Endpoint, reservation: Reservation
     ) -> MoveState:
         """Maintains a copy at one engine until that engine leaves.
 
@@ -134,14 +136,14 @@
         migrated_copy = self._new_copy(run, source, reservation)
         try:
             while True:
-                wait_ms = moving.REFRESH_MS
+                wait_ms = migrationtargets.COPY_REFRESH_MS
                 result = await copies.refresh(migrated_copy, False, run.events)
                 if result.state is MoveState.COPIED:
                     location = KvCacheLocation(source.address, result.handle)
                     run.target = MigrationTarget(reservation, location, source)
                     run.first_copy_settled.set()
                     behind = run.events - result.events
-                    wait_ms = moving.refresh_after_ms(behind)
+                    wait_ms = migrationtargets.refresh_after_ms(behind)
                 elif run.target is None:
                     return result.state
                 # After a failed refresh the previous copy is still usable: the
--- a/rhubarbwinch/gateway/moving.py
+++ b/rhubarbwinch/gateway/migrationtargets.py
@@ -11,7 +11,7 @@
 import random
 
 from rhubarbwinch.gateway.endpoints import Endpoint
-from rhubarbwinch.gateway.placing import FAILING_RUNS, Candidate
+from rhubarbwinch.gateway.placement import FAILING_RUNS, Candidate
 
 # Migrations may fill an engine further than new generations, since the work
 # done for a run would be lost.
@@ -30,7 +30,7 @@
 # Tokens generated after the copy need prefill before the run resumes. Frequent
 # refreshes keep the pause of the stream short and take only some milliseconds
 # of the network link.
-REFRESH_MS = 400
+COPY_REFRESH_MS = 400
 # A copy that took long lacks the events that its run has made meanwhile. With
 # more missing events than this, the pause could exceed the bound of a route, so
 # the copy is refreshed early.
@@ -38,25 +38,26 @@
 EARLY_REFRESH_MS = 40
 
 
-def choose_home(
+def choose_target(
     candidates: list[Candidate],
     source: Endpoint,
     tokens: int,
     rng: random.Random,
-    memory_share: float = TARGET_KV_CACHE_SHARE,
+    kv_cache_share: float = TARGET_KV_CACHE_SHARE,
 ) -> Candidate | None:
     """Returns the migration target of a run, or None without capacity."""
     fitting = [
         c
         for c in candidates
-        if c.fits(tokens, memory_share) and c.failure_share < MAX_FAILURE_SHARE
+        if c.fits(tokens, kv_cache_share)
+        and c.failure_share < MAX_FAILURE_SHARE
     ]
     if not fitting:
         return None
     return min(fitting, key=lambda c: (_cost(c, source), rng.random()))
 
 
-def choose_backup(
+def choose_standby(
     candidates: list[Candidate],
     source: Endpoint,
     tokens: int,
@@ -74,7 +75,9 @@
     capacity = sum(c.capacity_tokens for c in candidates)
     if reserved > capacity * STANDBY_TOTAL_SHARE:
         return None
-    return choose_home(candidates, source, tokens, rng, STANDBY_KV_CACHE_SHARE)
+    return choose_target(
+        candidates, source, tokens, rng, STANDBY_KV_CACHE_SHARE
+    )
 
 
 def refresh_after_ms(events_behind: int) -> int:
@@ -83,7 +86,11 @@
     Args:
         events_behind: Events that the run has made since the copy was taken.
     """
-    return EARLY_REFRESH_MS if events_behind > MAX_EVENTS_BEHIND else REFRESH_MS
+    return (
+        EARLY_REFRESH_MS
+        if events_behind > MAX_EVENTS_BEHIND
+        else COPY_REFRESH_MS
+    )
 
 
 def _cost(candidate: Candidate, source: Endpoint) -> float:
--- a/rhubarbwinch/gateway/outage.py
+++ b/rhubarbwinch/gateway/outage.py
@@ -11,7 +11,7 @@
 import anyio
 
 from rhubarbwinch.gateway.endpoints import Endpoint
-from rhubarbwinch.gateway.wire import EngineCalls
+from rhubarbwinch.gateway.platforminterface import EngineCalls
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import EndpointError
@@ -27,7 +27,7 @@
 CHECK_INTERVAL_MS = 200
 
 
-class OutageWatch:
+class OutageMonitor:
     """Detects store outages and polls engines for shutdown notices.
 
     Args:
--- a/rhubarbwinch/gateway/peers.py
+++ b/rhubarbwinch/gateway/peers.py
@@ -5,8 +5,7 @@
 import anyio
 import attrs
 
-from rhubarbwinch.gateway.feed import MAX_FRESH_AGE_MS
-from rhubarbwinch.gateway.loads import LoadBook
+from rhubarbwinch.gateway.loads import LoadTracker
 from rhubarbwinch.gateway.messages import (
     FailureNotice,
     Heartbeat,
@@ -15,8 +14,9 @@
     Snapshot,
     SnapshotCall,
 )
+from rhubarbwinch.gateway.storefeed import MAX_FRESH_AGE_MS
 from rhubarbwinch.links.broadcast import Broadcast
-from rhubarbwinch.links.linktypes import Caller
+from rhubarbwinch.links.linkinterfaces import PeerCaller
 from rhubarbwinch.shared import events, rendezvous
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import CodecError, LinkError
@@ -75,9 +75,9 @@
         self,
         own: Heartbeat,
         broadcast: Broadcast,
-        links: Caller,
+        links: PeerCaller,
         clock: Clock,
-        loads: LoadBook,
+        loads: LoadTracker,
         add_state: Callable[[Heartbeat], Heartbeat],
     ) -> None:
         self._own = own
@@ -106,7 +106,7 @@
                     attrs.evolve(
                         self._own,
                         sequence=self._sequence,
-                        loads=self._loads.own(),
+                        loads=self._loads.own_loads(),
                     )
                 )
             )
@@ -119,16 +119,16 @@
         self._peers[address.link] = Peer(address, self._clock.now())
         self._broadcast.add(address.broadcast)
 
-    def tell_loads(self) -> None:
+    def announce_loads(self) -> None:
         """Schedules a heartbeat if the loads have changed since the last."""
         if self._loads.version != self._announced_version:
-            self.tell()
+            self.announce()
 
-    def tell(self) -> None:
+    def announce(self) -> None:
         """Schedules a heartbeat within a few milliseconds."""
         self._wakeup.set()
 
-    def share(self, batch: SharedBatch) -> None:
+    def broadcast_changes(self, batch: SharedBatch) -> None:
         """Broadcasts changes of the store to all peers."""
         self._broadcast.send(batch)
 
@@ -174,12 +174,12 @@
         )
 
     @property
-    def count(self) -> int:
+    def live_count(self) -> int:
         """The number of live peers, leaving ones included."""
         return len(self._live_heartbeats())
 
     @property
-    def near_count(self) -> int:
+    def data_center_count(self) -> int:
         """The number of live peers in this data centre."""
         own_data_center = self._own.data_center
         return sum(
@@ -206,10 +206,10 @@
         Watchers do, and so does a gateway none of whose peers has a fresh
         response from the store.
         """
-        return self.is_watcher() or self.confirmed_ms > MAX_FRESH_AGE_MS
+        return self.is_watcher() or self.confirmed_age_ms > MAX_FRESH_AGE_MS
 
     @property
-    def confirmed_ms(self) -> int:
+    def confirmed_age_ms(self) -> int:
         """Milliseconds since the store last confirmed any peer's replica."""
         now = self._clock.now()
         return min(
--- a/rhubarbwinch/gateway/plaincalls.py
+++ b/rhubarbwinch/gateway/plaincalls.py
@@ -3,12 +3,12 @@
 import anyio
 import attrs
 
-from rhubarbwinch.gateway import answers, placing, statistics
+from rhubarbwinch.gateway import failureresponses, gatewaymetrics, placement
 from rhubarbwinch.gateway.context import Context, Job
 from rhubarbwinch.gateway.edge import EdgeResponder
 from rhubarbwinch.gateway.endpoints import Endpoint
-from rhubarbwinch.gateway.suspicion import Outcome
-from rhubarbwinch.gateway.wire import AttemptOptions, ResponseHead
+from rhubarbwinch.gateway.platforminterface import AttemptOptions, ResponseHead
+from rhubarbwinch.gateway.suspicion import AttemptOutcome
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.exceptions import EndpointError
 from rhubarbwinch.shared.verdict import Failure, Reason, Verdict, not_run
@@ -71,7 +71,7 @@
             left_ms = job.deadline_ms - context.clock.now()
             if left_ms < MIN_ATTEMPT_MS:
                 break
-            chosen = placing.choose_endpoint(
+            chosen = placement.choose_plain_endpoint(
                 context.candidates(job.service, job.tried),
                 context.data_center,
                 context.rng,
@@ -107,7 +107,9 @@
 
     def _may_repeat(self, job: Job, runs_before: int) -> bool:
         """Returns whether a call may be executed once more."""
-        return job.route.may_repeat and runs_before + 1 < job.route.max_attempts
+        return (
+            job.route.is_repeatable and runs_before + 1 < job.route.max_attempts
+        )
 
     async def _send(
         self, job: Job, endpoint: Endpoint, left_ms: int, runs_before: int
@@ -118,7 +120,7 @@
         if self._may_repeat(job, runs_before) and not job.tried - {endpoint.id}:
             limit_ms = int(left_ms * FIRST_ATTEMPT_SHARE)
         started_ms = context.clock.now()
-        context.loads.add_local(endpoint.id, 1)
+        context.loads.add_unannounced(endpoint.id, 1)
         try:
             with anyio.move_on_after(limit_ms / 1000):
                 return await self._exchange(job, endpoint, left_ms)
@@ -128,8 +130,10 @@
                 context.check_crash(job, endpoint.id, endpoint.address)
             return failure
         finally:
-            context.loads.add_local(endpoint.id, -1)
-        context.note(job, job.service, endpoint.id, Outcome.BROKEN)
+            context.loads.add_unannounced(endpoint.id, -1)
+        context.record_outcome(
+            job, job.service, endpoint.id, AttemptOutcome.BROKEN
+        )
         self._log_attempt(
             job, endpoint, started_ms, f"no answer in {limit_ms} ms"
         )
@@ -151,7 +155,7 @@
         started_ms = context.clock.now()
         options = AttemptOptions(endpoint.id, job.account, left_ms)
         response = await context.upstream.send(
-            endpoint, job.call, job.body, options, job.route.may_repeat
+            endpoint, job.call, job.body, options, job.route.is_repeatable
         )
         try:
             body = await response.read()
@@ -159,7 +163,9 @@
             await response.close()
         head = response.head
         if head.is_refusal:
-            context.note(job, job.service, endpoint.id, Outcome.REFUSED)
+            context.record_outcome(
+                job, job.service, endpoint.id, AttemptOutcome.REFUSED
+            )
             self._log_attempt(
                 job, endpoint, started_ms, f"refused by {head.status}"
             )
@@ -173,9 +179,11 @@
             # would take the status to mean so.
             raise EndpointError(f"status {head.status}", sent=True)
         whole = WholeResponse(head, body)
-        outcome = Outcome.GOOD if whole.is_success else Outcome.ERROR
+        outcome = (
+            AttemptOutcome.GOOD if whole.is_success else AttemptOutcome.ERROR
+        )
         context.crashes.clear(job.fingerprint)
-        context.note(job, job.service, endpoint.id, outcome)
+        context.record_outcome(job, job.service, endpoint.id, outcome)
         self._log_attempt(job, endpoint, started_ms, str(head.status))
         return whole
 
@@ -186,8 +194,10 @@
         started_ms: int,
         error: EndpointError,
     ) -> Failure:
-        outcome = Outcome.BROKEN if error.sent else Outcome.UNREACHABLE
-        self._context.note(job, job.service, endpoint.id, outcome)
+        outcome = (
+            AttemptOutcome.BROKEN if error.sent else AttemptOutcome.UNREACHABLE
+        )
+        self._context.record_outcome(job, job.service, endpoint.id, outcome)
         self._log_attempt(job, endpoint, started_ms, str(error))
         if error.sent:
             return Failure(
@@ -224,8 +234,10 @@
         took_ms=now - job.received_ms,
         sends=job.sends,
     )
-    statistics.REQUESTS.labels(job.route.name, str(response.head.status)).inc()
-    statistics.LATENCY.labels(job.route.name).observe(
+    gatewaymetrics.REQUESTS.labels(
+        job.route.name, str(response.head.status)
+    ).inc()
+    gatewaymetrics.LATENCY.labels(job.route.name).observe(
         (now - job.received_ms) / 1000
     )
     await responder.send(
@@ -247,6 +259,6 @@
         tried=sorted(job.tried),
         revision=context.table.version if context.table else 0,
     )
-    await answers.send_failure(
+    await failureresponses.send_failure(
         context.platform, responder, job.call.request_id, failure
     )
--- a/rhubarbwinch/gateway/router.py
+++ b/rhubarbwinch/gateway/router.py
@@ -2,14 +2,14 @@
 
 import anyio
 
-from rhubarbwinch.gateway import hops
-from rhubarbwinch.gateway.answers import send_failure
+from rhubarbwinch.gateway import requestspans
 from rhubarbwinch.gateway.context import Context, make_job
 from rhubarbwinch.gateway.edge import EdgeRequest, EdgeResponder
+from rhubarbwinch.gateway.failureresponses import send_failure
 from rhubarbwinch.gateway.plaincalls import PlainCalls, send_job_failure
+from rhubarbwinch.gateway.platforminterface import CallHead
 from rhubarbwinch.gateway.routes import CallKind, Route, RoutingTable
 from rhubarbwinch.gateway.streams import StreamCalls
-from rhubarbwinch.gateway.wire import CallHead
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.exceptions import BadCallError
 from rhubarbwinch.shared.verdict import Failure, Reason, not_run
@@ -49,7 +49,9 @@
             failure = not_run(Reason.BAD_REQUEST, str(error))
             await send_failure(context.platform, responder, "", failure)
             return
-        with hops.request_span(context.tracer, call.headers, call.request_id):
+        with requestspans.request_span(
+            context.tracer, call.headers, call.request_id
+        ):
             await self._handle_call(request, call, responder)
 
     async def _handle_call(
@@ -91,11 +93,11 @@
             return not_run(
                 Reason.STORE_UNAVAILABLE, "no configuration yet", RETRY_AFTER_MS
             )
-        route = table.find(call.host, call.path)
+        route = table.find_route(call.host, call.path)
         if route is None:
             self._log_unknown(call, table, "route")
             return not_run(Reason.NOT_FOUND, "no such route")
-        if not table.needs_key or route.is_public:
+        if not table.requires_key or route.is_public:
             return self._check_drain(route, None, route.priority)
         account = table.accounts.get(call.api_key or "")
         if account is None:
--- a/rhubarbwinch/gateway/selfservice.py
+++ b/rhubarbwinch/gateway/statusapi.py
@@ -2,18 +2,18 @@
 
 from collections.abc import Callable
 
-from rhubarbwinch.gateway import statistics
+from rhubarbwinch.gateway import gatewaymetrics
 from rhubarbwinch.gateway.edge import EdgeRequest, EdgeResponder
 from rhubarbwinch.gateway.peers import Peers
+from rhubarbwinch.gateway.platforminterface import Platform
 from rhubarbwinch.gateway.settings import GatewaySettings
-from rhubarbwinch.gateway.wire import Platform
 
 # How long callers cache a directory response. A shorter time costs lookups, a
 # longer one leaves callers at VMs that are gone.
 DIRECTORY_TTL_MS = 2_000
 
 
-class SelfService:
+class StatusApi:
     """Handles requests to the gateway itself.
 
     Args:
@@ -35,20 +35,20 @@
         self._settings = settings
         self._is_ready = is_ready
 
-    async def answer(
+    async def handle(
         self, request: EdgeRequest, responder: EdgeResponder
     ) -> None:
         """Handles a directory, readiness or metrics request."""
         platform = self._platform
-        if platform.is_readiness(request.target):
+        if platform.is_readiness_probe(request.target):
             await responder.send(200 if self._is_ready() else 503, [], b"")
             return
-        if platform.directory_name(request.target) is not None:
+        if platform.directory_lookup_host(request.target) is not None:
             await self._send_directory(responder)
             return
         if request.target.startswith(b"/metrics"):
             content_type = (b"Content-Type", b"text/plain; version=0.0.4")
-            await responder.send(200, [content_type], statistics.render())
+            await responder.send(200, [content_type], gatewaymetrics.render())
             return
         await responder.send(404, [], b"")
 
@@ -60,6 +60,6 @@
             await responder.send(503, [], b"no gateway serves")
             return
         ttl = min(DIRECTORY_TTL_MS, self._settings.directory_ttl_max_ms)
-        body = self._platform.directory_answer(addresses, ttl)
+        body = self._platform.encode_directory_response(addresses, ttl)
         content_type = (b"Content-Type", b"application/json")
         await responder.send(200, [content_type], body)
--- a/rhubarbwinch/gateway/feed.py
+++ b/rhubarbwinch/gateway/storefeed.py
@@ -18,7 +18,7 @@
     ValueCall,
 )
 from rhubarbwinch.gateway.replica import Replica
-from rhubarbwinch.links.linktypes import Caller
+from rhubarbwinch.links.linkinterfaces import PeerCaller
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import (
@@ -27,7 +27,12 @@
     StoreCompacted,
     StoreError,
 )
-from rhubarbwinch.stores.store import Change, ChangeBatch, Entry, PollingStore
+from rhubarbwinch.stores.store import (
+    Change,
+    ChangeBatch,
+    KeyValue,
+    PollingStore,
+)
 
 # The store ends a watch call without events after this time. Its response
 # confirms that nothing was missed, so this bounds how late a lost connection is
@@ -68,7 +73,7 @@
 ChangeHandler = Callable[[list[Change], bool], None]
 
 
-class Feed:
+class StoreFeed:
     """Keeps the replica of the store up to date and reports its changes.
 
     Args:
@@ -96,7 +101,7 @@
         peer_revision: Callable[[], int],
         broadcast_batch: Callable[[SharedBatch], None],
         on_change: ChangeHandler,
-        links: Caller,
+        links: PeerCaller,
         link: str,
     ) -> None:
         self._store = store
@@ -118,7 +123,7 @@
         self._is_synced = False
 
     @property
-    def confirmed_ms(self) -> int:
+    def confirmed_age_ms(self) -> int:
         """Milliseconds since the store last confirmed the replica."""
         if self._confirmed_at_ms is None:
             return 1 << 40
@@ -225,7 +230,7 @@
                 )
             )
 
-    def take_batch(self, batch: SharedBatch) -> None:
+    def receive_batch(self, batch: SharedBatch) -> None:
         """Handles a batch that a peer has broadcast."""
         omitted = [c for c in batch.changes if c.bytes_left_out]
         if omitted:
@@ -297,14 +302,14 @@
             return None
         return fetched if fetched.revision >= shared.revision else None
 
-    async def answer_value(self, call: ValueCall) -> SharedChange:
+    async def handle_value_call(self, call: ValueCall) -> SharedChange:
         """Returns the newest value of a key to a peer."""
         entry = self._replica.get(call.key)
         if entry is None:
             return SharedChange(call.key, 0)
         return SharedChange(entry.key, entry.revision, entry.value)
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
+    def apply_snapshot(self, snapshot: Snapshot) -> None:
         """Merges a peer's snapshot, for a start without the store."""
         changes = [_from_shared(shared) for shared in snapshot.changes]
         applied = self._replica.merge_batch(
@@ -313,7 +318,7 @@
         if applied:
             self._on_change(applied, False)
 
-    async def answer_snapshot(self, call: SnapshotCall) -> Snapshot:
+    async def handle_snapshot_call(self, call: SnapshotCall) -> Snapshot:
         """Returns all known entries to a peer."""
         entries = self._replica.entries()
         return Snapshot(
@@ -393,5 +398,5 @@
 def _from_shared(shared: SharedChange) -> Change:
     if shared.value is None:
         return Change(shared.key, shared.revision, None)
-    entry = Entry(shared.key, shared.value, shared.revision)
+    entry = KeyValue(shared.key, shared.value, shared.revision)
     return Change(shared.key, shared.revision, entry)
--- a/rhubarbwinch/gateway/streams.py
+++ b/rhubarbwinch/gateway/streams.py
@@ -2,18 +2,18 @@
 
 import anyio
 
-from rhubarbwinch.gateway import statistics
-from rhubarbwinch.gateway.carrying import Migrator
+from rhubarbwinch.gateway import gatewaymetrics
 from rhubarbwinch.gateway.context import Context, Job
-from rhubarbwinch.gateway.continuing import Failover
 from rhubarbwinch.gateway.edge import EdgeResponder
 from rhubarbwinch.gateway.endpoints import Endpoint
-from rhubarbwinch.gateway.enginesends import GenerationSender
+from rhubarbwinch.gateway.eventrelay import EventRelay
+from rhubarbwinch.gateway.failover import Failover
+from rhubarbwinch.gateway.generationsender import GenerationSender
+from rhubarbwinch.gateway.migration import Migrator
 from rhubarbwinch.gateway.plaincalls import send_job_failure
-from rhubarbwinch.gateway.relaying import EventRelay
-from rhubarbwinch.gateway.rooms import RunPlacer
+from rhubarbwinch.gateway.runplacement import RunPlacer
 from rhubarbwinch.gateway.runs import Run
-from rhubarbwinch.gateway.suspicion import Outcome
+from rhubarbwinch.gateway.suspicion import AttemptOutcome
 from rhubarbwinch.gateway.upstream import UpstreamResponse
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.verdict import Failure, Reason, Verdict
@@ -54,19 +54,19 @@
             finally:
                 self._runs.discard(run)
                 run.release()
-                self._placer.note_change()
+                self._placer.handle_capacity_change()
                 tasks.cancel_scope.cancel()
         if failed:
             raise failed[0]
 
-    def note_change(self) -> None:
+    def handle_capacity_change(self) -> None:
         """Wakes the queued requests and publishes the loads to the peers."""
-        self._placer.note_change()
+        self._placer.handle_capacity_change()
 
-    def note_leaving(self, endpoint: Endpoint) -> None:
+    def handle_leaving_engine(self, endpoint: Endpoint) -> None:
         """Migrates the runs of an engine that leaves."""
         for run in list(self._runs):
-            self._migrator.note_leaving(run, endpoint)
+            self._migrator.handle_leaving_engine(run, endpoint)
 
     async def _serve(self, run: Run) -> None:
         failure = await self._start(run)
@@ -80,7 +80,7 @@
                 detail=failure.detail,
                 took_ms=self._context.clock.now() - run.job.received_ms,
             )
-            statistics.REQUESTS.labels(run.job.route.name, "broken").inc()
+            gatewaymetrics.REQUESTS.labels(run.job.route.name, "broken").inc()
             return
         await send_job_failure(self._context, run.job, run.responder, failure)
 
@@ -110,7 +110,7 @@
             failure = result
             job.tried.add(run.reservation.endpoint.id)
             if failure.verdict is not Verdict.NOT_RUN and not (
-                job.route.may_repeat and job.sends < job.route.max_attempts
+                job.route.is_repeatable and job.sends < job.route.max_attempts
             ):
                 return failure
         return failure
@@ -124,8 +124,8 @@
             source = run.reservation.endpoint
             with anyio.move_on_after(self._left_ms(run) / 1000):
                 if await self._relay.relay(run, response):
-                    self._context.note(
-                        run.job, run.job.service, source.id, Outcome.GOOD
+                    self._context.record_outcome(
+                        run.job, run.job.service, source.id, AttemptOutcome.GOOD
                     )
                     self._context.crashes.clear(run.job.fingerprint)
                     return None
--- a/rhubarbwinch/membership/gossip.py
+++ b/rhubarbwinch/membership/gossip.py
@@ -11,13 +11,13 @@
 import anyio
 import anyio.abc
 
-from rhubarbwinch.links.linktypes import Caller, Listener
+from rhubarbwinch.links.linkinterfaces import Listener, PeerCaller
 from rhubarbwinch.membership import overlay
 from rhubarbwinch.membership.heartbeat import Heartbeat, ViewReply, ViewRequest
 from rhubarbwinch.membership.members import Health, Member, MemberNews, Members
-from rhubarbwinch.membership.rumours import Rumour, UpdateBuffer
+from rhubarbwinch.membership.updatebuffer import Rumour, UpdateBuffer
 from rhubarbwinch.shared import codec, events
-from rhubarbwinch.shared.bytebudget import ByteBudget
+from rhubarbwinch.shared.bytebucket import ByteTokenBucket
 from rhubarbwinch.shared.clock import Clock
 from rhubarbwinch.shared.exceptions import CodecError, LinkError
 
@@ -66,7 +66,7 @@
 
     def __init__(
         self,
-        links: Caller,
+        links: PeerCaller,
         server: Listener,
         members: Members,
         clock: Clock,
@@ -82,7 +82,9 @@
         self._holds_lease = holds_lease
         self._handlers: dict[str, UpdateHandler] = {}
         self._updates = UpdateBuffer()
-        self._budget = ByteBudget(clock, UPDATE_BYTES_PER_S, UPDATE_BURST_BYTES)
+        self._budget = ByteTokenBucket(
+            clock, UPDATE_BYTES_PER_S, UPDATE_BURST_BYTES
+        )
         self._generation = 0
         self._is_shutting_down = False
         self._on_newer_generation: NewerGenerationHandler = (
@@ -108,7 +110,7 @@
         found = [self._members.get(name) for name in self._neighbours]
         return [member for member in found if member is not None]
 
-    def on(self, kind: str, handler: UpdateHandler) -> None:
+    def on_update(self, kind: str, handler: UpdateHandler) -> None:
         """Sets the function that handles updates of one kind.
 
         The handler is called once for each update from another member, in any
@@ -118,7 +120,7 @@
         """
         self._handlers[kind] = handler
 
-    def share(self, kind: str, key: str, data: bytes) -> None:
+    def broadcast(self, kind: str, key: str, data: bytes) -> None:
         """Broadcasts an update; it reaches most members within tens of ms.
 
         An update is kept for about a minute. Members that start later or are
@@ -138,7 +140,7 @@
         """Broadcasts this process's current member data."""
         self._queue_member_update(self._members.own_update)
 
-    def on_newer(self, handler: NewerGenerationHandler) -> None:
+    def on_newer_generation(self, handler: NewerGenerationHandler) -> None:
         """Sets the function called when a peer has a newer configuration."""
         self._on_newer_generation = handler
 
@@ -156,7 +158,7 @@
                 self._start_round(tasks)
                 await self._clock.sleep(ROUND_INTERVAL_MS)
 
-    async def announce_end(self) -> None:
+    async def announce_shutdown(self) -> None:
         """Announces to the neighbours that this process shuts down now."""
         self._is_shutting_down = True
         self._queue_member_update(MemberNews(self._members.me, Health.DEAD))
@@ -290,7 +292,7 @@
 
     def _update_bytes_left(self) -> int:
         """Returns how many bytes of updates the next message may hold."""
-        return min(MAX_MESSAGE_UPDATE_BYTES, self._budget.left)
+        return min(MAX_MESSAGE_UPDATE_BYTES, self._budget.available)
 
     def _make_heartbeat(self, peer: str, updates: list[Rumour]) -> Heartbeat:
         member_update = self._members.update_of(peer)
@@ -301,7 +303,7 @@
             # The peer is reachable, so it is sent the update that says it is
             # suspected or dead, which it then refutes.
             updates = [*updates, _make_member_update(member_update)]
-        self._budget.spend(sum(update.size for update in updates))
+        self._budget.consume(sum(update.size for update in updates))
         return Heartbeat(
             self._members.me.name,
             self._generation,
--- a/rhubarbwinch/membership/leaving.py
+++ b/rhubarbwinch/membership/leavingvms.py
@@ -4,9 +4,9 @@
 from collections.abc import Callable
 
 from rhubarbwinch.membership.gossip import Gossip
-from rhubarbwinch.records.accepted import Snapshot
+from rhubarbwinch.records.acceptedconfig import ConfigSnapshot
 from rhubarbwinch.records.records import PoolSpec
-from rhubarbwinch.shared import events, misc
+from rhubarbwinch.shared import events, netaddress
 from rhubarbwinch.shared.clock import Clock
 
 UPDATE_KIND = "vm"
@@ -39,7 +39,7 @@
         self._notice_expires_at: dict[str, int] = {}
         self._last_hosts: set[str] = set()
         self._listeners: list[Callable[[], None]] = []
-        gossip.on(UPDATE_KIND, self._handle_update)
+        gossip.on_update(UPDATE_KIND, self._handle_update)
 
     @property
     def hosts(self) -> set[str]:
@@ -50,25 +50,25 @@
         """Calls `listener` after each change."""
         self._listeners.append(listener)
 
-    def endpoints_of(self, spec: PoolSpec) -> set[str]:
+    def leaving_endpoints(self, spec: PoolSpec) -> set[str]:
         """Returns the names of a pool's endpoints that run on leaving VMs."""
         hosts = self.hosts
         return {
             endpoint.name
             for endpoint in spec.endpoints
-            if misc.split_address(endpoint.address)[0] in hosts
+            if netaddress.parse_address(endpoint.address)[0] in hosts
         }
 
-    def configure(self, snapshot: Snapshot) -> None:
+    def configure(self, snapshot: ConfigSnapshot) -> None:
         """Applies the VM records of a new snapshot."""
         self._hosts_from_records = {
             h for h, vm in snapshot.vms.items() if vm.leaving
         }
         self._notify_if_changed()
 
-    def share(self, host: str, notice: Notice) -> None:
+    def broadcast(self, host: str, notice: Notice) -> None:
         """Broadcasts the state of a VM on the platform's list."""
-        self._gossip.share(UPDATE_KIND, host, notice.encode())
+        self._gossip.broadcast(UPDATE_KIND, host, notice.encode())
         self._apply_notice(host, notice)
 
     def expire(self) -> None:
--- a/rhubarbwinch/orders/placementplan.py
+++ b/rhubarbwinch/orders/desiredstate.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from rhubarbwinch.records.accepted import Snapshot
+from rhubarbwinch.records.acceptedconfig import ConfigSnapshot
 
 
 class OrderKind(enum.StrEnum):
@@ -29,7 +29,7 @@
 
 
 @attrs.frozen
-class EndpointState:
+class LoadedState:
     """The models and adapters that an endpoint has loaded, and its role.
 
     Attributes:
@@ -41,7 +41,7 @@
     role: str = "mixed"
 
 
-def desired_loads(snapshot: Snapshot, target: str) -> frozenset[str]:
+def desired_loads(snapshot: ConfigSnapshot, target: str) -> frozenset[str]:
     """Returns what a model's endpoints must have loaded for its services."""
     subjects = set()
     for service in snapshot.services.values():
@@ -54,9 +54,7 @@
     return frozenset(subjects)
 
 
-def orders_to_reach(
-    desired: EndpointState, actual: EndpointState
-) -> list[Order]:
+def orders_to_reach(desired: LoadedState, actual: LoadedState) -> list[Order]:
     """Returns the orders that lead from the actual to the desired state.
 
     Loads come before unloads, so that an endpoint always has something loaded
--- a/rhubarbwinch/programs/broker.py
+++ b/rhubarbwinch/programs/broker.py
@@ -8,13 +8,13 @@
 
 from rhubarbwinch.admission.admission import (
     Admission,
+    AdmissionOptions,
     Decision,
-    EntryChange,
+    EntryMessage,
     LoadReport,
-    Options,
 )
 from rhubarbwinch.admission.permits import pool_owner
-from rhubarbwinch.endpoints.endpoints import EndpointClient
+from rhubarbwinch.endpoints.endpointclient import EndpointClient
 from rhubarbwinch.http.httpapi import App
 from rhubarbwinch.links.messages import (
     DigestReply,
@@ -25,11 +25,11 @@
     ProgressReport,
 )
 from rhubarbwinch.membership.members import Role
-from rhubarbwinch.membership.ownership import Ownership
+from rhubarbwinch.membership.poolownership import PoolOwnership
 from rhubarbwinch.programs.config import BrokerSettings
 from rhubarbwinch.programs.daemon import Daemon
-from rhubarbwinch.programs.surroundings import Surroundings
-from rhubarbwinch.records.accepted import Snapshot
+from rhubarbwinch.programs.dependencies import Dependencies
+from rhubarbwinch.records.acceptedconfig import ConfigSnapshot
 from rhubarbwinch.records.records import PoolSpec
 from rhubarbwinch.shared import metrics, tracing
 from rhubarbwinch.shared.clock import Clock
@@ -54,7 +54,7 @@
     reply: PermitReply | None = None
 
 
-class PoolKeeper:
+class BrokerPools:
     """The pools of a broker and the permit requests that wait for them.
 
     Args:
@@ -71,13 +71,13 @@
         clock: Clock,
         rng: random.Random,
         counters: metrics.Metrics,
-        ownership: Ownership | None = None,
-        options: Options | None = None,
+        ownership: PoolOwnership | None = None,
+        options: AdmissionOptions | None = None,
     ) -> None:
         self._clock = clock
         self._rng = rng
         self._metrics = counters
-        self._options = options or Options()
+        self._options = options or AdmissionOptions()
         self._ownership = ownership
         self._pools: dict[str, Admission] = {}
         self._specs: dict[str, PoolSpec] = {}
@@ -89,13 +89,13 @@
         """The number of requests that wait for a decision."""
         return len(self._waiters)
 
-    def mark_leaving(self, find: LeavingFinder) -> None:
+    def set_leaving_finder(self, find: LeavingFinder) -> None:
         """Sets the function that finds a pool's leaving endpoints."""
         self._find_leaving = find
         for name, pool in self._pools.items():
             pool.set_leaving(find(self._specs[name]))
 
-    def configure(self, snapshot: Snapshot) -> None:
+    def configure(self, snapshot: ConfigSnapshot) -> None:
         """Applies the pools of a new configuration.
 
         Requests that wait for a removed pool are refused.
@@ -117,9 +117,9 @@
         for name in self._pools.keys() - snapshot.pools.keys():
             del self._pools[name]
             self._refuse_waiting(name)
-        self.mark_leaving(self._find_leaving)
+        self.set_leaving_finder(self._find_leaving)
 
-    async def answer(self, request: PermitRequest) -> PermitReply:
+    async def decide(self, request: PermitRequest) -> PermitReply:
         """Decides a request, after its wait in the pool's queue."""
         pool = self._pools.get(request.pool)
         if pool is None:
@@ -128,8 +128,8 @@
         self._waiters[request.request_id] = waiter
         try:
             if self._ownership is not None:
-                wait_ms = self._ownership.wait_ms(request.pool)
-                await self._clock.sleep(wait_ms)
+                ms_until_ready = self._ownership.ms_until_ready(request.pool)
+                await self._clock.sleep(ms_until_ready)
             if waiter.reply is None:
                 self._deliver(pool.submit(request))
             await waiter.done.wait()
@@ -154,35 +154,35 @@
         for pool in filter(None, pools):
             self._deliver(pool.release(release))
 
-    async def report_progress(self, report: ProgressReport) -> None:
+    async def apply_progress_report(self, report: ProgressReport) -> None:
         """Applies an entry's report of its open streams."""
         if report.pool in self._pools:
-            self._pools[report.pool].report_progress(report)
+            self._pools[report.pool].apply_progress_report(report)
 
     async def check_digest(self, report: DigestReport) -> DigestReply:
         """Compares the digest of an entry's open streams with the pool's."""
         pool = self._pools.get(report.pool)
         return DigestReply(pool is not None and pool.check_digest(report))
 
-    def report_load(self, pool: str, report: LoadReport) -> None:
+    def apply_load_report(self, pool: str, report: LoadReport) -> None:
         """Applies an engine's load report."""
         if pool in self._pools:
-            self._pools[pool].report_load(report)
+            self._pools[pool].apply_load_report(report)
 
-    def tick(self) -> list[EntryChange]:
+    def tick(self) -> list[EntryMessage]:
         """Makes the decisions that depend on time.
 
         Returns:
             The priority changes to send to entries.
         """
-        changes = []
+        entry_messages = []
         for pool in self._pools.values():
             self._deliver(pool.decide())
-            changes += pool.take_priority_changes()
-        queued = sum(pool.queued for pool in self._pools.values())
-        self._metrics.gauge(metrics.QUEUED, queued)
-        self._metrics.count(metrics.YIELDS, len(changes))
-        return changes
+            entry_messages += pool.pop_priority_changes()
+        queue_length = sum(pool.queue_length for pool in self._pools.values())
+        self._metrics.gauge(metrics.QUEUED, queue_length)
+        self._metrics.count(metrics.YIELDS, len(entry_messages))
+        return entry_messages
 
     def _deliver(self, decisions: list[Decision]) -> None:
         for decision in decisions:
@@ -213,30 +213,32 @@
     def __init__(
         self,
         settings: BrokerSettings,
-        dependencies: Surroundings | None = None,
+        dependencies: Dependencies | None = None,
         endpoints: EndpointClient | None = None,
     ) -> None:
         self._daemon = Daemon(Role.BROKER, settings, dependencies)
         self._settings = settings
         self._endpoints = endpoints or EndpointClient(LOAD_TIMEOUT_MS)
-        self._broker_pools = PoolKeeper(
+        self._broker_pools = BrokerPools(
             self._daemon.clock,
             random.Random(self._daemon.incarnation),
             self._daemon.metrics,
-            Ownership(self._daemon.members, self._daemon.clock),
-            Options(placement=settings.placement),
+            PoolOwnership(self._daemon.members, self._daemon.clock),
+            AdmissionOptions(placement=settings.placement),
         )
 
     async def run(self) -> None:
         """Runs until the program is stopped."""
         daemon = self._daemon
-        daemon.follower.on_change(self._broker_pools.configure)
+        daemon.config.on_change(self._broker_pools.configure)
         daemon.leaving.on_change(self._mark_leaving)
         self._mark_leaving()
         daemon.drain.open_count = lambda: self._broker_pools.waiting
         daemon.server.on(PermitRequest, self._handle_request)
         daemon.server.on(PermitRelease, self._broker_pools.release)
-        daemon.server.on(ProgressReport, self._broker_pools.report_progress)
+        daemon.server.on(
+            ProgressReport, self._broker_pools.apply_progress_report
+        )
         daemon.server.on(DigestReport, self._broker_pools.check_digest)
         daemon.serve_http(App(MAX_BODY_BYTES))
         daemon.add("tick", self._tick)
@@ -246,23 +248,25 @@
 
     async def _handle_request(self, request: PermitRequest) -> PermitReply:
         with tracing.span("queue", request.traceparent, pool=request.pool):
-            return await self._broker_pools.answer(request)
+            return await self._broker_pools.decide(request)
 
     def _mark_leaving(self) -> None:
-        self._broker_pools.mark_leaving(self._daemon.leaving.endpoints_of)
+        self._broker_pools.set_leaving_finder(
+            self._daemon.leaving.leaving_endpoints
+        )
 
     async def _tick(self) -> None:
         while True:
             await self._daemon.clock.sleep(TICK_MS)
-            for change in self._broker_pools.tick():
-                await self._send_change(change)
+            for entry_message in self._broker_pools.tick():
+                await self._send_entry_message(entry_message)
 
-    async def _send_change(self, change: EntryChange) -> None:
+    async def _send_entry_message(self, entry_message: EntryMessage) -> None:
         for entry in self._daemon.members.serving(Role.ENTRY):
-            if entry.name != change.entry:
+            if entry.name != entry_message.entry:
                 continue
             try:
-                await self._daemon.links.send(entry.link, change.message)
+                await self._daemon.links.send(entry.link, entry_message.message)
             except LinkError:
                 # Without the change the engine itself selects the run that it
                 # preempts.
@@ -271,7 +275,7 @@
     async def _poll_loads(self) -> None:
         while True:
             await self._daemon.clock.sleep(self._settings.load_poll_ms)
-            snapshot = self._daemon.follower.snapshot
+            snapshot = self._daemon.config.snapshot
             members = self._daemon.members
             async with anyio.create_task_group() as tasks:
                 for name, spec in snapshot.pools.items():
@@ -304,4 +308,4 @@
             step_ms=float(data["step_ms"]),
             preemptions=int(data["preemptions"]),
         )
-        self._broker_pools.report_load(pool, report)
+        self._broker_pools.apply_load_report(pool, report)
--- a/rhubarbwinch/programs/control.py
+++ b/rhubarbwinch/programs/control.py
@@ -3,13 +3,17 @@
 import anyio
 
 from rhubarbwinch.configuration.publisher import Publisher
-from rhubarbwinch.configuration.publishing import Publishing
+from rhubarbwinch.configuration.publisherloop import PublisherLoop
 from rhubarbwinch.http.httpapi import App
 from rhubarbwinch.membership.members import Role
 from rhubarbwinch.membership.vmlist import VM_LISTS, VmListReader
 from rhubarbwinch.orders.fencing import Fencing
-from rhubarbwinch.orders.orders import ENGINE_ADAPTERS, LoadPacer, Orderer
 from rhubarbwinch.orders.pauseguard import end_if_paused
+from rhubarbwinch.orders.reconciler import (
+    ENGINE_ADAPTERS,
+    LoadRateLimiter,
+    Reconciler,
+)
 from rhubarbwinch.programs.config import ControlSettings
 from rhubarbwinch.programs.daemon import Daemon
 
@@ -28,8 +32,8 @@
     def __init__(self, settings: ControlSettings) -> None:
         self._settings = settings
         self._daemon = daemon = Daemon(Role.CONTROL, settings)
-        publisher = Publisher(daemon.store, daemon.follower)
-        self._publishing = Publishing(
+        publisher = Publisher(daemon.store, daemon.config)
+        self._publisher_loop = PublisherLoop(
             publisher, daemon.store, daemon.members, daemon.clock
         )
         self._vm_list_reader = None
@@ -51,18 +55,18 @@
             settings.order_lease_ms,
             settings.order_flight_ms,
         )
-        self._orderer = Orderer(
+        self._reconciler = Reconciler(
             settings.name,
             self._fencing,
             self._engine_client,
-            LoadPacer(self._daemon.clock, settings.loads_per_minute),
+            LoadRateLimiter(self._daemon.clock, settings.loads_per_minute),
             end_if_paused,
         )
 
     async def run(self) -> None:
         """Runs until the program is stopped."""
         self._daemon.serve_http(App(MAX_BODY_BYTES))
-        self._daemon.add("publisher", self._publishing.run)
+        self._daemon.add("publisher", self._publisher_loop.run)
         if self._vm_list_reader is not None:
             self._daemon.add("vm-list", self._vm_list_reader.run)
         self._daemon.add("order-lease", self._renew_lease)
@@ -82,8 +86,10 @@
         period_ms = self._settings.order_lease_ms // RENEWALS_PER_LEASE
         try:
             while True:
-                snapshot = self._daemon.follower.snapshot
-                await self._orderer.keep(snapshot, self._control_names)
+                snapshot = self._daemon.config.snapshot
+                await self._reconciler.renew_and_acquire(
+                    snapshot, self._control_names
+                )
                 await self._daemon.clock.sleep(period_ms)
         finally:
             with anyio.CancelScope(shield=True), anyio.move_on_after(1):
@@ -91,6 +97,6 @@
 
     async def _send_orders(self) -> None:
         while True:
-            snapshot = self._daemon.follower.snapshot
-            await self._orderer.converge(snapshot, len(self._control_names))
+            snapshot = self._daemon.config.snapshot
+            await self._reconciler.reconcile(snapshot, len(self._control_names))
             await self._daemon.clock.sleep(ORDER_PERIOD_MS)
--- a/rhubarbwinch/programs/entry.py
+++ b/rhubarbwinch/programs/entry.py
@@ -6,26 +6,32 @@
 import orjson
 
 from rhubarbwinch.admission.permits import PermitClient
-from rhubarbwinch.admission.reports import Reporter
+from rhubarbwinch.admission.reports import StreamReporter
 from rhubarbwinch.callers import models
 from rhubarbwinch.callers.calls import parse_call
 from rhubarbwinch.callers.drainlimit import run_until_limit
 from rhubarbwinch.callers.generate import GenerationRunner
 from rhubarbwinch.callers.guarded import GuardedGenerationRunner
-from rhubarbwinch.callers.plain import PREFIX, PlainCaller
+from rhubarbwinch.callers.plain import PREFIX, PlainServiceProxy
 from rhubarbwinch.callers.streams import OpenStreams
 from rhubarbwinch.callers.takeover import Takeover
-from rhubarbwinch.endpoints.endpoints import EndpointClient
-from rhubarbwinch.endpoints.retries import RatioBudget
+from rhubarbwinch.endpoints.endpointclient import EndpointClient
+from rhubarbwinch.endpoints.retries import RatioRetryBudget
 from rhubarbwinch.http.httpapi import App, Handler, Refused, Request, Responder
 from rhubarbwinch.links.messages import PriorityChange, StreamTake
 from rhubarbwinch.membership.members import Role
 from rhubarbwinch.programs.claimcomponents import ClaimComponents
 from rhubarbwinch.programs.config import EntrySettings
 from rhubarbwinch.programs.daemon import Daemon
-from rhubarbwinch.programs.surroundings import Surroundings
-from rhubarbwinch.records.apikeys import KeyChecker
-from rhubarbwinch.shared import events, identity, metrics, rendezvous, tracing
+from rhubarbwinch.programs.dependencies import Dependencies
+from rhubarbwinch.records.apikeys import ApiKeyChecker
+from rhubarbwinch.shared import (
+    events,
+    identifiers,
+    metrics,
+    rendezvous,
+    tracing,
+)
 from rhubarbwinch.shared.verdict import Reason, not_run
 
 ENTRIES_TTL_MS = 5000
@@ -44,12 +50,12 @@
     def __init__(
         self,
         settings: EntrySettings,
-        dependencies: Surroundings | None = None,
+        dependencies: Dependencies | None = None,
         endpoints: EndpointClient | None = None,
     ) -> None:
         daemon = Daemon(Role.ENTRY, settings, dependencies)
         self._daemon = daemon
-        self._keys = KeyChecker()
+        self._api_keys = ApiKeyChecker()
         self._endpoints = endpoints or EndpointClient(
             settings.endpoint_silence_ms
         )
@@ -59,7 +65,9 @@
             settings.permit_timeout_ms,
             daemon.metrics,
         )
-        ids = identity.IdMaker(daemon.incarnation, settings.stream_secret)
+        ids = identifiers.IdGenerator(
+            daemon.incarnation, settings.stream_secret
+        )
         self._claims = ClaimComponents(daemon, settings)
         self._streams = OpenStreams(
             self._permits,
@@ -81,7 +89,7 @@
             ids,
             daemon.clock,
             daemon.metrics,
-            RatioBudget(),
+            RatioRetryBudget(),
             random.Random(daemon.incarnation),
             settings.name,
             settings.data_center,
@@ -93,7 +101,7 @@
             self._permits,
             self._endpoints,
         )
-        self._plain_services = PlainCaller(
+        self._plain_services = PlainServiceProxy(
             self._permits,
             self._endpoints,
             self._claims.claims,
@@ -101,7 +109,7 @@
             settings.name,
             settings.data_center,
         )
-        self._reporter = Reporter(
+        self._reporter = StreamReporter(
             settings.name,
             self._permits,
             daemon.members,
@@ -173,8 +181,8 @@
                 self._other_entries()
             )
             raise Refused(not_run(Reason.DRAINING, detail, RETRY_AFTER_MS))
-        snapshot = self._daemon.follower.snapshot
-        account = self._keys.account_of(request.api_key, snapshot)
+        snapshot = self._daemon.config.snapshot
+        account = self._api_keys.find_account(request.api_key, snapshot)
         if account is None:
             raise Refused(not_run(Reason.UNAUTHENTICATED, "unknown API key"))
         self._daemon.metrics.count(metrics.REQUESTS)
@@ -201,7 +209,7 @@
         self, request: Request, responder: Responder
     ) -> None:
         account = self._authenticate(request)
-        snapshot = self._daemon.follower.snapshot
+        snapshot = self._daemon.config.snapshot
         self._open_count += 1
         try:
             last_event_id = request.headers.get("last-event-id")
@@ -209,7 +217,7 @@
                 call = parse_call(account, request, snapshot)
                 await self._guarded_runner.serve(call, snapshot, responder)
                 return
-            after = identity.parse_event_id(last_event_id)
+            after = identifiers.parse_event_id(last_event_id)
             if after is None:
                 raise Refused(not_run(Reason.BAD_REQUEST, "Last-Event-ID"))
             self._runner.check_owner(account, after.generation)
@@ -232,7 +240,7 @@
 
     async def _forward(self, request: Request, responder: Responder) -> None:
         account = self._authenticate(request)
-        snapshot = self._daemon.follower.snapshot
+        snapshot = self._daemon.config.snapshot
         self._open_count += 1
         try:
             await self._plain_services.serve(
@@ -245,8 +253,8 @@
         self, request: Request, responder: Responder
     ) -> None:
         """Lists the entries, in an order that depends on the account."""
-        snapshot = self._daemon.follower.snapshot
-        account = self._keys.account_of(request.api_key, snapshot) or ""
+        snapshot = self._daemon.config.snapshot
+        account = self._api_keys.find_account(request.api_key, snapshot) or ""
         entries = {m.name: m for m in self._daemon.members.serving(Role.ENTRY)}
         order = rendezvous.ranking(account, entries)
         listed = [
@@ -258,12 +266,12 @@
             for name in order
         ]
         data = {"entries": listed, "ttl_ms": ENTRIES_TTL_MS}
-        await responder.json(orjson.dumps(data))
+        await responder.send_json(orjson.dumps(data))
 
     async def _list_models(
         self, request: Request, responder: Responder
     ) -> None:
         """Lists the account's generation services in OpenAI's format."""
         account = self._authenticate(request)
-        snapshot = self._daemon.follower.snapshot
-        await responder.json(models.model_list(account, snapshot))
+        snapshot = self._daemon.config.snapshot
+        await responder.send_json(models.model_list(account, snapshot))
--- a/rhubarbwinch/programs/gatewaymain.py
+++ b/rhubarbwinch/programs/gatewaymain.py
@@ -8,12 +8,16 @@
 import anyio
 import attrs
 
-from rhubarbwinch.gateway import statistics
-from rhubarbwinch.gateway.hops import Tracer
-from rhubarbwinch.gateway.program import Gateway, Outside, make_transport
+from rhubarbwinch.gateway import gatewaymetrics
+from rhubarbwinch.gateway.platforminterface import PLATFORMS
+from rhubarbwinch.gateway.program import (
+    Gateway,
+    GatewayDependencies,
+    make_transport,
+)
+from rhubarbwinch.gateway.requestspans import Tracer
 from rhubarbwinch.gateway.settings import GatewaySettings
-from rhubarbwinch.gateway.wire import PLATFORMS
-from rhubarbwinch.platform import bootfile
+from rhubarbwinch.platform import settingsfile
 from rhubarbwinch.platform.enginecalls import PlatformEngineCalls
 from rhubarbwinch.platform.kvstore import PlatformStore
 from rhubarbwinch.shared import events
@@ -59,7 +63,7 @@
             SettingError: The file can't be read, or a field is missing or not
                 valid.
         """
-        return bootfile.load(self.settings, self.metrics_port)
+        return settingsfile.load(self.settings, self.metrics_port)
 
 
 def make_parser() -> argparse.ArgumentParser:
@@ -157,7 +161,7 @@
         sys.stderr.write(f"{error}\n")
         sys.exit(ExitStatus.USAGE)
     lines = LineOutput(
-        _STDOUT_DESCRIPTOR, SystemClock(), statistics.LOG_LINES_DROPPED.inc
+        _STDOUT_DESCRIPTOR, SystemClock(), gatewaymetrics.LOG_LINES_DROPPED.inc
     )
     events.configure(LogFormat.JSON, options.log_level, settings.name, lines)
 
@@ -166,7 +170,7 @@
     async def run() -> None:
         check_no_io_uring()
         transport = make_transport()
-        dependencies = Outside(
+        dependencies = GatewayDependencies(
             platform=PLATFORMS.get(options.platform)(),
             store=PlatformStore(settings.store, STORE_TIMEOUT_MS),
             transport=transport,
--- a/rhubarbwinch/shared/settingtypes.py
+++ b/rhubarbwinch/shared/settingtypes.py
@@ -8,7 +8,7 @@
 import attrs
 import cappa
 
-from rhubarbwinch.shared import misc
+from rhubarbwinch.shared import netaddress
 from rhubarbwinch.shared.registry import Registry
 
 ENV_PREFIX = "RHUBARBWINCH_"
@@ -75,7 +75,7 @@
 _settings: dict[str, SettingInfo] = {}
 
 
-def info(name: str) -> SettingInfo | None:
+def find_setting(name: str) -> SettingInfo | None:
     """Returns the setting called `name`, or None if there is none."""
     return _settings.get(name)
 
@@ -113,7 +113,7 @@
 
 
 def _to_address(value: str) -> str:
-    misc.split_address(value)
+    netaddress.parse_address(value)
     return value
 
 
--- a/tests/admission/test_prefixes.py
+++ b/tests/admission/test_prefixes.py
@@ -5,8 +5,8 @@
 from rhubarbwinch.admission.prefixes import (
     BLOCK_BYTES,
     MAX_BLOCKS,
+    encode_prompt,
     prefix_hashes,
-    prompt_bytes,
 )
 
 
@@ -33,6 +33,6 @@
 
     def test_only_prompts_and_messages_are_hashed(self):
         asked = {"prompt": "x", "max_tokens": 5}
-        self.assertEqual(prompt_bytes(asked), prompt_bytes({"prompt": "x"}))
+        self.assertEqual(encode_prompt(asked), encode_prompt({"prompt": "x"}))
         chat = {"messages": [{"role": "user", "content": "x"}]}
-        self.assertIn(b"content", prompt_bytes(chat))
+        self.assertIn(b"content", encode_prompt(chat))
--- a/tests/endpoints/test_relay.py
+++ b/tests/endpoints/test_relay.py
@@ -5,9 +5,9 @@
 
 import anyio
 
-from rhubarbwinch.endpoints.relay import Position, Relay
+from rhubarbwinch.endpoints.relay import Relay, StreamPosition
 from rhubarbwinch.endpoints.retries import Backoff
-from rhubarbwinch.http.sse import Splitter, join
+from rhubarbwinch.http.sse import EventSplitter, join
 from rhubarbwinch.shared.clock import ManualClock
 from rhubarbwinch.shared.exceptions import EndpointError, GenerationLostError
 from tests import builders
@@ -48,13 +48,15 @@
         yield self._stream(steps)
 
     async def _stream(self, steps):
-        splitter = Splitter()
+        splitter = EventSplitter()
         for step in steps:
             if isinstance(step, EndpointError):
                 raise step
             parts = step if isinstance(step, list) else [step]
             data = b"".join(
-                p if isinstance(p, bytes) else builders.token(GENERATION, p)
+                p
+                if isinstance(p, bytes)
+                else builders.token_event(GENERATION, p)
                 for p in parts
             )
             events = splitter.feed(data)
@@ -62,10 +64,10 @@
                 yield events
 
 
-LAST = builders.token(GENERATION, 3, last=True)
+LAST = builders.token_event(GENERATION, 3, last=True)
 DONE = b"data: [DONE]\n\n"
 TAIL = [3, LAST, DONE]
-FOREIGN = builders.token("2-1-tag~engine-0", 2)
+FOREIGN = builders.token_event("2-1-tag~engine-0", 2)
 
 SCENARIOS = [
     ("no fault", 0, [[0, 1, 2, LAST, DONE]]),
@@ -90,7 +92,7 @@
         [
             [
                 b": ping\r\n\r\n",
-                builders.token(GENERATION, 0).replace(b"\n", b"\r\n"),
+                builders.token_event(GENERATION, 0).replace(b"\n", b"\r\n"),
                 1,
                 2,
                 LAST,
@@ -159,14 +161,14 @@
     @asynchronous
     async def test_progress_resets_the_limit_of_resumes(self):
         openings = [[i, CUT] for i in range(40)]
-        openings += [[builders.token(GENERATION, 40, last=True), DONE]]
+        openings += [[builders.token_event(GENERATION, 40, last=True), DONE]]
         self.assertIn("resumes 40\nend whole", await _play(0, openings))
 
 
 async def _play(first, openings):
     """Runs a relay and returns a text record of its events."""
     engine = ScriptedEngine(*openings)
-    position = Position(GENERATION, first)
+    position = StreamPosition(GENERATION, first)
     clock = ManualClock()
     start = engine.resume if first else engine.start
     backoff = Backoff(random.Random(1))
@@ -192,5 +194,5 @@
 
 def _indexes(data):
     """Returns the indexes of the events in some bytes."""
-    batch = Splitter().feed(data)
+    batch = EventSplitter().feed(data)
     return " ".join("done" if e.is_done else str(e.id.index) for e in batch)
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from rhubarbwinch.gateway.loads import LoadBook
+from rhubarbwinch.gateway.loads import LoadTracker
 from rhubarbwinch.gateway.messages import Heartbeat
 from rhubarbwinch.gateway.peers import ALIVE_TIMEOUT_MS, Peers
 from rhubarbwinch.shared.clock import ManualClock
@@ -44,7 +44,7 @@
             self.broadcast,
             None,
             self.clock,
-            LoadBook(),
+            LoadTracker(),
             lambda heartbeat: heartbeat,
         )
 
@@ -83,4 +83,6 @@
 
     def test_gateways_of_the_own_data_center_are_counted(self):
         self._receive(g2={"data_center": "dc-b"}, g3={"data_center": "dc-b"})
-        self.assertEqual((self.peers.count, self.peers.near_count), (5, 3))
+        self.assertEqual(
+            (self.peers.live_count, self.peers.data_center_count), (5, 3)
+        )
--- a/tests/gateway/test_feed.py
+++ b/tests/gateway/test_storefeed.py
@@ -5,19 +5,19 @@
 
 import anyio
 
-from rhubarbwinch.gateway.feed import (
+from rhubarbwinch.gateway.messages import SharedBatch, SharedChange
+from rhubarbwinch.gateway.replica import Replica
+from rhubarbwinch.gateway.storefeed import (
     FOLLOWER_POLL_MS,
     LEASE_RENEWAL_GRACE_MS,
     LOST_DATAGRAM_MS,
     MAX_RETRY_MS,
     MIN_OUTAGE_MS,
     RETRY_MS,
-    Feed,
+    StoreFeed,
     _to_shared,
     split_batch,
 )
-from rhubarbwinch.gateway.messages import SharedBatch, SharedChange
-from rhubarbwinch.gateway.replica import Replica
 from rhubarbwinch.links.broadcast import MAX_MESSAGE_BYTES
 from rhubarbwinch.shared import codec
 from rhubarbwinch.shared.clock import ManualClock
@@ -27,7 +27,7 @@
     StoreUnavailable,
 )
 from rhubarbwinch.stores.store import ChangeBatch, Listing
-from tests.gatewaybuilders import gone, put
+from tests.gatewaybuilders import deletion, write
 from tests.helpers import asynchronous
 
 
@@ -70,7 +70,7 @@
         return self.values[message.key]
 
 
-class FeedTest(unittest.TestCase):
+class StoreFeedTest(unittest.TestCase):
     """A feed with a scripted store and a manual clock."""
 
     def _make(self, scans, polls, is_watcher=True):
@@ -81,7 +81,7 @@
         self.is_watcher = is_watcher
         self.is_cut_off = False
         self.peer_revision = 0
-        self.feed = Feed(
+        self.store_feed = StoreFeed(
             self.store,
             Replica(),
             self.clock,
@@ -98,15 +98,15 @@
 
     async def _run(self, ms):
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self.feed.run)
+            tasks.start_soon(self.store_feed.run)
             await self.clock.advance(ms)
             tasks.cancel_scope.cancel()
 
     @asynchronous
     async def test_changes_are_reported_and_broadcast_once(self):
         self._make(
-            [Listing([put("a", 2).entry], 3)],
-            [ChangeBatch(3, 5, [put("a", 5)]), ChangeBatch(5, 6, [])],
+            [Listing([write("a", 2).entry], 3)],
+            [ChangeBatch(3, 5, [write("a", 5)]), ChangeBatch(5, 6, [])],
         )
         await self._run(500)
         self.assertEqual(
@@ -121,8 +121,8 @@
     async def test_compacted_history_leads_to_a_full_scan(self):
         self._make(
             [
-                Listing([put("a", 2).entry, put("b", 2).entry], 3),
-                Listing([put("b", 2).entry], 9),
+                Listing([write("a", 2).entry, write("b", 2).entry], 3),
+                Listing([write("b", 2).entry], 9),
             ],
             [StoreCompacted("410")],
         )
@@ -132,25 +132,25 @@
     @asynchronous
     async def test_deletions_after_an_outage_are_marked(self):
         self._make(
-            [Listing([put("a", 2).entry], 3)],
+            [Listing([write("a", 2).entry], 3)],
             [
                 *[StoreUnavailable("down")] * (MIN_OUTAGE_MS // RETRY_MS + 1),
-                ChangeBatch(3, 4, [gone("a", 4)]),
+                ChangeBatch(3, 4, [deletion("a", 4)]),
             ],
         )
         await self._run(2 * MIN_OUTAGE_MS)
         self.assertEqual(self.reported[-1], ([("a", 4)], True))
         self.assertTrue(self.broadcast_batches[-1].after_outage)
         await self._run(LEASE_RENEWAL_GRACE_MS)
-        self.assertFalse(self.feed.is_after_outage)
+        self.assertFalse(self.store_feed.is_after_outage)
 
     @asynchronous
     async def test_a_short_failure_does_not_mark_deletions(self):
         self._make(
-            [Listing([put("a", 2).entry], 3)],
+            [Listing([write("a", 2).entry], 3)],
             [StoreUnavailable("cut"), ChangeBatch(3, 3, [])],
         )
-        self.store.polls.append(ChangeBatch(3, 4, [gone("a", 4)]))
+        self.store.polls.append(ChangeBatch(3, 4, [deletion("a", 4)]))
         await self._run(MIN_OUTAGE_MS)
         self.assertEqual(self.reported[-1], ([("a", 4)], False))
 
@@ -180,18 +180,18 @@
         self._make([Listing([], 3)], down, is_watcher=False)
         self.is_cut_off = True
         await self._run(2_000)
-        self.assertTrue(self.feed.is_failing)
+        self.assertTrue(self.store_feed.is_failing)
         self.is_cut_off = False
         await self._run(MAX_RETRY_MS)
-        self.assertFalse(self.feed.is_failing)
-        self.assertTrue(self.feed.is_after_outage)
+        self.assertFalse(self.store_feed.is_failing)
+        self.assertTrue(self.store_feed.is_after_outage)
 
     @asynchronous
     async def test_a_follower_that_is_behind_its_peers_polls_the_store(self):
         # The datagram with the last change was lost, so no gap shows its loss.
         self._make(
             [Listing([], 3)],
-            [ChangeBatch(3, 5, [put("a", 5)])],
+            [ChangeBatch(3, 5, [write("a", 5)])],
             is_watcher=False,
         )
         await self._run(300)
@@ -206,13 +206,13 @@
     @asynchronous
     async def test_a_batch_after_a_gap_is_applied_and_followed_by_a_scan(self):
         self._make(
-            [Listing([], 3), Listing([put("b", 5).entry], 9)],
+            [Listing([], 3), Listing([write("b", 5).entry], 9)],
             [],
             is_watcher=False,
         )
         await self._run(300)
         batch = SharedBatch("p", 7, 9, [SharedChange("a", 8, b"v")])
-        self.feed.take_batch(batch)
+        self.store_feed.receive_batch(batch)
         self.assertEqual(self.reported[-1], ([("a", 8)], False))
         await self._run(300)
         self.assertEqual(self.store.calls, ["scan", "scan"])
@@ -222,8 +222,8 @@
         self._make([Listing([], 3)], [], is_watcher=False)
         await self._run(300)
         batch = SharedBatch("p", 3, 8, [SharedChange("a", 8, b"v")])
-        self.feed.take_batch(batch)
-        self.feed.take_batch(batch)
+        self.store_feed.receive_batch(batch)
+        self.store_feed.receive_batch(batch)
         self.assertEqual(self.reported, [([("a", 8)], False)])
 
     @asynchronous
@@ -235,8 +235,8 @@
         self.links.values["big"] = SharedChange("big", 5, b"x" * 5_000)
         left_out = SharedChange("big", 5, bytes_left_out=5_000)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self.feed.run_fetches)
-            self.feed.take_batch(SharedBatch("p", 3, 5, [left_out]))
+            tasks.start_soon(self.store_feed.run_fetches)
+            self.store_feed.receive_batch(SharedBatch("p", 3, 5, [left_out]))
             await self.clock.advance(10)
             tasks.cancel_scope.cancel()
         self.assertEqual(self.reported, [([("big", 5)], False)])
@@ -252,9 +252,9 @@
             for revision in (5, 6)
         ]
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self.feed.run_fetches)
-            self.feed.take_batch(SharedBatch("p", 3, 6, twice))
-            self.feed.take_batch(SharedBatch("p", 3, 6, twice))
+            tasks.start_soon(self.store_feed.run_fetches)
+            self.store_feed.receive_batch(SharedBatch("p", 3, 6, twice))
+            self.store_feed.receive_batch(SharedBatch("p", 3, 6, twice))
             await self.clock.advance(10)
             tasks.cancel_scope.cancel()
         self.assertEqual(self.reported, [([("big", 6)], False)])
@@ -262,13 +262,13 @@
 
     @asynchronous
     async def test_a_failed_fetch_of_a_value_leads_to_a_scan(self):
-        listing = Listing([put("big", 5).entry], 6)
+        listing = Listing([write("big", 5).entry], 6)
         self._make([Listing([], 3), listing], [], is_watcher=False)
         await self._run(300)
         left_out = SharedChange("big", 5, bytes_left_out=5_000)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self.feed.run_fetches)
-            self.feed.take_batch(SharedBatch("p", 3, 5, [left_out]))
+            tasks.start_soon(self.store_feed.run_fetches)
+            self.store_feed.receive_batch(SharedBatch("p", 3, 5, [left_out]))
             await self.clock.advance(10)
             tasks.cancel_scope.cancel()
         await self._run(300)
@@ -279,8 +279,8 @@
     """Splitting batches into parts that fit into a datagram."""
 
     def test_parts_fit_a_datagram_and_are_consecutive(self):
-        changes = [put(f"key-{i}", i, b"v" * 300) for i in range(5, 25)]
-        changes.append(put("big", 30, b"v" * 50_000))
+        changes = [write(f"key-{i}", i, b"v" * 300) for i in range(5, 25)]
+        changes.append(write("big", 30, b"v" * 50_000))
         parts = split_batch(ChangeBatch(4, 40, changes), changes)
         self.assertEqual(parts[0].after, 4)
         self.assertEqual(parts[-1].revision, 40)
@@ -293,6 +293,6 @@
         self.assertEqual(sum(len(p.changes) for p in parts), 21)
 
     def test_changes_of_one_transaction_stay_together(self):
-        changes = [put(f"key-{i}", 7, b"v" * 600) for i in range(4)]
+        changes = [write(f"key-{i}", 7, b"v" * 600) for i in range(4)]
         parts = split_batch(ChangeBatch(4, 8, changes), changes)
         self.assertEqual(len(parts), 1)
--- a/tests/gatewaybuilders.py
+++ b/tests/gatewaybuilders.py
@@ -4,7 +4,8 @@
 
 from rhubarbwinch.gateway.endpoints import Endpoint, EndpointState
 from rhubarbwinch.gateway.loads import Load
-from rhubarbwinch.gateway.placing import Candidate
+from rhubarbwinch.gateway.placement import Candidate
+from rhubarbwinch.gateway.platforminterface import CallHead
 from rhubarbwinch.gateway.routes import (
     Account,
     CallKind,
@@ -13,16 +14,15 @@
     Route,
     RoutingTable,
     ServiceSpec,
-    Target,
+    WeightedService,
 )
-from rhubarbwinch.gateway.wire import CallHead
-from rhubarbwinch.stores.store import Change, Entry
+from rhubarbwinch.stores.store import Change, KeyValue
 
 ENGINE = EngineSpec(
     slots=24,
     kv_tokens=34_000,
-    can_move=True,
-    can_back_up=True,
+    supports_migration=True,
+    supports_standby=True,
 )
 
 
@@ -35,13 +35,13 @@
         "kind": kind,
         "timeout_ms": 5_000,
         "objective_ms": 500,
-        "gap_ms": 180 if kind is CallKind.STREAM else 0,
+        "max_event_gap_ms": 180 if kind is CallKind.STREAM else 0,
         "max_attempts": 2 if kind is CallKind.IDEMPOTENT else 1,
         "priority": 1,
         "is_public": False,
         "is_generation": kind is CallKind.STREAM,
         "is_resumable": False,
-        "targets": (Target("svc", 1.0),),
+        "targets": (WeightedService("svc", 1.0),),
     }
     return Route(**(base | fields))
 
@@ -56,7 +56,7 @@
         "routes": by_host,
         "services": {"svc": ServiceSpec("svc", 100, engine)},
         "accounts": {key: Account("acme", None) for key in keys},
-        "needs_key": True,
+        "requires_key": True,
         "limits": HttpLimits(),
     }
     return RoutingTable(**(base | fields))
@@ -105,12 +105,12 @@
     return CallHead(**(base | fields))
 
 
-def put(key, revision, value=b"v"):
+def write(key, revision, value=b"v"):
     """Returns the change that writes a key."""
-    return Change(key, revision, Entry(key, value, revision))
+    return Change(key, revision, KeyValue(key, value, revision))
 
 
-def gone(key, revision):
+def deletion(key, revision):
     """Returns the change that deletes a key."""
     return Change(key, revision, None)
 
--- a/tests/gatewayworld.py
+++ b/tests/gatewayharness.py
@@ -8,13 +8,13 @@
 
 from lab.standins.platformengine import ScriptedEngine
 from rhubarbwinch.gateway.context import Context
-from rhubarbwinch.gateway.copies import CopyManager
-from rhubarbwinch.gateway.crashes import CrashLedger
+from rhubarbwinch.gateway.crashes import CrashTracker
 from rhubarbwinch.gateway.edge import EdgeServer
 from rhubarbwinch.gateway.failurereports import FailureReports
 from rhubarbwinch.gateway.fleet import Fleet
-from rhubarbwinch.gateway.loads import LoadBook
+from rhubarbwinch.gateway.loads import LoadTracker
 from rhubarbwinch.gateway.messages import FailureNotice
+from rhubarbwinch.gateway.migratedcopies import CopyManager
 from rhubarbwinch.gateway.plaincalls import PlainCalls
 from rhubarbwinch.gateway.retrybudget import RetryBudget
 from rhubarbwinch.gateway.router import Router
@@ -32,10 +32,10 @@
 class NoPeers:
     """A `Peers` for a gateway without other gateways."""
 
-    count = 0
-    near_count = 0
+    live_count = 0
+    data_center_count = 0
 
-    def tell_loads(self):
+    def announce_loads(self):
         """Does nothing."""
 
     def report_failure(self, endpoint):
@@ -53,7 +53,7 @@
     is_complete: bool
 
 
-class World:
+class GatewayHarness:
     """A gateway's router with scripted engines behind it."""
 
     def __init__(self, engines, table, tracer=None):
@@ -61,7 +61,7 @@
             ScriptedEngine(f"e{i}", free_address(), "svc")
             for i in range(1, engines + 1)
         ]
-        self.told = []
+        self.broadcasts = []
         self.platform = KielichowaPlatform()
         self.transport = Transport()
         self.context = Context(
@@ -70,7 +70,7 @@
             clock=SystemClock(),
             rng=build.rng(),
             fleet=Fleet(),
-            loads=LoadBook(),
+            loads=LoadTracker(),
             suspicion=Suspicion(),
             reports=FailureReports("dc-a"),
             budget=RetryBudget(0.2, 10_000, 100),
@@ -80,35 +80,39 @@
             copies=CopyManager(
                 PlatformEngineCalls(self.transport), SystemClock()
             ),
-            crashes=CrashLedger(
-                self.transport.is_unreachable, SystemClock(), self.told.append
+            crashes=CrashTracker(
+                self.transport.is_unreachable,
+                SystemClock(),
+                self.broadcasts.append,
             ),
             table=table,
         )
         for engine in self.engines:
-            self.put(engine)
+            self.apply_registration(engine)
         self.streams = StreamCalls(self.context)
         router = Router(self.context, PlainCalls(self.context), self.streams)
         self.address = free_address()
         self.edge = EdgeServer(self.address, router.handle, SystemClock())
 
-    def put(self, engine, state="ready"):
+    def apply_registration(self, engine, state="ready"):
         """Registers an engine."""
         endpoint = self.platform.decode_endpoint(
             engine.name, engine.registration(state)
         )
-        return self.context.fleet.put(endpoint, self.context.clock.now())
+        return self.context.fleet.apply_registration(
+            endpoint, self.context.clock.now()
+        )
 
     def announce_leaving(self, engine):
         """Delivers the notice that an engine is leaving."""
-        assert self.put(engine, "draining")
+        assert self.apply_registration(engine, "draining")
         known = self.context.fleet.get(engine.name)
-        self.streams.note_leaving(known.endpoint)
+        self.streams.handle_leaving_engine(known.endpoint)
 
     @property
-    def arrivals(self):
+    def received(self):
         """The name of the engine of each received request, by engine."""
-        return [e.name for e in self.engines for _ in e.arrivals]
+        return [e.name for e in self.engines for _ in e.received]
 
     async def open(self, request_id="q1", method="POST", path="/r/x", **more):
         """Sends a request; returns the connection's reader and writer."""
@@ -173,9 +177,9 @@
 
 
 @asynccontextmanager
-async def world(engines=2, table=None, tracer=None):
+async def running_gateway(engines=2, table=None, tracer=None):
     """Runs a gateway's request path and its engines."""
-    found = World(engines, table or build.table(build.route()), tracer)
+    found = GatewayHarness(engines, table or build.table(build.route()), tracer)
     async with anyio.create_task_group() as tasks:
         for engine in found.engines:
             tasks.start_soon(engine.run)
--- a/tests/membership/test_ownership.py
+++ b/tests/membership/test_poolownership.py
@@ -6,7 +6,7 @@
 
 from lab.memberset import MemberSet
 from rhubarbwinch.admission.permits import PermitClient, pool_owner
-from rhubarbwinch.admission.reports import Reporter
+from rhubarbwinch.admission.reports import StreamReporter
 from rhubarbwinch.links.messages import (
     DigestReport,
     PermitRelease,
@@ -15,9 +15,9 @@
     StreamEnd,
 )
 from rhubarbwinch.membership.members import Role
-from rhubarbwinch.membership.ownership import Ownership
+from rhubarbwinch.membership.poolownership import PoolOwnership
 from rhubarbwinch.programs import ctl
-from rhubarbwinch.programs.broker import PoolKeeper
+from rhubarbwinch.programs.broker import BrokerPools
 from rhubarbwinch.shared.metrics import Metrics
 from tests import builders
 from tests.helpers import GoldTestCase, asynchronous
@@ -29,22 +29,22 @@
 
 def _add_broker(fleet, tasks, name):
     node = fleet.add(name, Role.BROKER)
-    keeper = PoolKeeper(
+    pools = BrokerPools(
         fleet.clock,
         random.Random(1),
         Metrics("", Role.BROKER),
-        Ownership(node.members, fleet.clock),
+        PoolOwnership(node.members, fleet.clock),
     )
-    node.follower.on_change(keeper.configure)
-    node.links.on(PermitRequest, keeper.answer)
-    node.links.on(PermitRelease, keeper.release)
-    node.links.on(ProgressReport, keeper.report_progress)
-    node.links.on(DigestReport, keeper.check_digest)
+    node.config.on_change(pools.configure)
+    node.links.on(PermitRequest, pools.decide)
+    node.links.on(PermitRelease, pools.release)
+    node.links.on(ProgressReport, pools.apply_progress_report)
+    node.links.on(DigestReport, pools.check_digest)
 
     async def tick():
         while True:
             await fleet.clock.sleep(TICK_MS)
-            keeper.tick()
+            pools.tick()
 
     tasks.start_soon(tick)
 
@@ -60,9 +60,9 @@
         await self._clock.sleep(REPORT_DELAY_MS)
         await self._links.send(address, message)
 
-    async def call(self, address, message, answer, timeout_ms):
+    async def call(self, address, message, reply_type, timeout_ms):
         await self._clock.sleep(REPORT_DELAY_MS)
-        return await self._links.call(address, message, answer, timeout_ms)
+        return await self._links.call(address, message, reply_type, timeout_ms)
 
 
 class PermitRequester:
@@ -80,18 +80,18 @@
         self.lines = []
         self._number = 0
         slow = SlowSender(node.links, fleet.clock)
-        reporter = Reporter(
+        reporter = StreamReporter(
             "entry-0", self.permits, node.members, slow, fleet.clock
         )
         tasks.start_soon(reporter.run)
 
-    async def ask(self, label, avoid=""):
+    async def acquire_permit(self, label, avoid=""):
         """Requests a permit and records the result."""
         self._number += 1
         request = builders.permit_request(
             f"r{self._number}", pool=POOL, entry="entry-0", wait_ms=5000
         )
-        reply = await self.permits.ask(request, avoid)
+        reply = await self.permits.acquire_permit(request, avoid)
         result = "granted" if reply.is_ok() else reply.err_value.reason
         self.lines.append(f"{label}: {result}")
 
@@ -119,7 +119,7 @@
             await ctl.apply(fleet.store, [builders.model(), pool])
             await fleet.clock.advance(1000)
             for label in ("first", "second"):
-                tasks.start_soon(requester.ask, label)
+                tasks.start_soon(requester.acquire_permit, label)
                 await fleet.clock.advance(1000)
             requester.record_endpoints()
             owner = pool_owner(POOL, requester.members).name
@@ -138,13 +138,13 @@
                 pool_owner(POOL, fleet.nodes[successor].members).name == owner
             ):
                 await fleet.clock.advance(1)
-            tasks.start_soon(requester.ask, "third", owner)
+            tasks.start_soon(requester.acquire_permit, "third", owner)
             await fleet.clock.advance(2000)
             requester.record_endpoints()
             requester.lines.append("# the first ends")
             permit = requester.permits.open_permits[0]
             tasks.start_soon(
-                requester.permits.give_back, permit, StreamEnd.FINISHED
+                requester.permits.release_permit, permit, StreamEnd.FINISHED
             )
             await fleet.clock.advance(500)
             requester.record_endpoints()
