--- a/lab/processes.py
+++ b/lab/processes.py
@@ -126,7 +126,7 @@
         """Returns the exit status of a process, or None while it runs."""
         return self._running[name].poll()
 
-    def peak_rss_mib(self, name: str) -> float:
+    def peak_mb(self, name: str) -> float:
         """Returns the peak resident memory in MiB, or 0 after the exit."""
         path = pathlib.Path(f"/proc/{self.pid(name)}/status")
         try:
--- a/lab/seeded/callers.py
+++ b/lab/seeded/callers.py
@@ -60,12 +60,12 @@
 
     async def run(self, program: Program) -> None:
         """Makes the attempt; a kill of the entry cuts it off."""
-        entry = program.program
-        if not isinstance(entry, Entry):
+        daemon = program.daemon
+        if not isinstance(daemon, Entry):
             raise TypeError("callers can only call entries, not brokers")
         if not program.is_killed:
             await program.run_until_killed(
-                lambda: entry.app(self._scope, self._receive, self._send)
+                lambda: daemon.app(self._scope, self._receive, self._send)
             )
         if self._attempt.end is None:
             self._attempt.end = End.CUT
--- a/lab/seeded/deployment.py
+++ b/lab/seeded/deployment.py
@@ -23,8 +23,7 @@
 from rhubarbwinch.shared.exceptions import StoreUnavailable
 from rhubarbwinch.stores import keys
 from rhubarbwinch.stores.memstore import MemoryStore
-from rhubarbwinch.stores.store import Change, Listing, SwapResult
-from rhubarbwinch.stores.store import KeyValue as StoreEntry
+from rhubarbwinch.stores.store import Change, KeyValue, Listing, SwapResult
 
 API_KEY = "acme.secret"
 ENGINES = {f"10.0.1.{i}:80": f"engine-{i}" for i in range(1, 4)}
@@ -78,7 +77,7 @@
         self.is_killed = False
         self._store = store
 
-    async def get(self, key: str) -> StoreEntry | None:
+    async def get(self, key: str) -> KeyValue | None:
         """Returns the entry of `key`, or None."""
         self._check_not_killed()
         return await self._store.get(key)
@@ -148,7 +147,7 @@
         endpoints: SeededEndpoints,
         link: str,
     ) -> None:
-        self.program = build(dependencies, endpoints)
+        self.daemon = build(dependencies, endpoints)
         self.link = link
         self.is_killed = False
         self._store = store
@@ -157,7 +156,7 @@
 
     async def run(self) -> None:
         """Runs the program until it is killed."""
-        await self.run_until_killed(self.program.run)
+        await self.run_until_killed(self.daemon.run)
 
     async def run_until_killed(
         self, work: Callable[[], Awaitable[Any]]
--- a/lab/soak/callers.py
+++ b/lab/soak/callers.py
@@ -180,7 +180,7 @@
             "Host": HOST,
             "Authorization": f"Bearer {key or INVALID_KEY}",
             headers.REQUEST_ID.decode(): attempt.id,
-            headers.DEADLINE_MS.decode(): str(DEADLINE_MS),
+            headers.DEADLINE.decode(): str(DEADLINE_MS),
             headers.TOKEN_COUNTS.decode(): f"100,{MAX_EVENTS}",
         }
         url = f"http://{proxy_address}/{attempt.kind.value}/work"
--- a/lab/soak/deployment.py
+++ b/lab/soak/deployment.py
@@ -188,7 +188,7 @@
 
     async def deregister_engine(self, engine: SoakEngine) -> None:
         """Removes an engine's entry from the store."""
-        await self.store.delete(platformfiles.ENDPOINT_PREFIX + engine.name)
+        await self.store.remove(platformfiles.ENDPOINT_PREFIX + engine.name)
 
     async def replace_engine(self, engine: SoakEngine) -> None:
         """Starts a new incarnation of an engine at the same address."""
@@ -309,7 +309,7 @@
                 self.start_gateway(gateway)
 
     def _record_memory(self, gateway: Gateway) -> None:
-        peak = self._processes.peak_rss_mib(gateway.name)
+        peak = self._processes.peak_mb(gateway.name)
         self.records.peak_mb = max(self.records.peak_mb, peak)
 
     def cpu_s(self, gateway: Gateway) -> float:
--- a/lab/standins/platformstore.py
+++ b/lab/standins/platformstore.py
@@ -30,14 +30,14 @@
         lost_responses: The number of next writes that are applied but get no
             response.
         compacted_revision: Changes up to this revision are compacted.
-        page_size: The maximum number of items on a page.
+        page: The maximum number of items on a page.
     """
 
     status: int = 0
     is_hanging: bool = False
     lost_responses: int = 0
     compacted_revision: int = 0
-    page_size: int = 500
+    page: int = 500
 
 
 def _format_entry(entry: KeyValue) -> JSON:
@@ -82,7 +82,7 @@
         expected = current.revision if current else 0
         await self.memory.swap(key, expected, value)
 
-    async def delete(self, key: str) -> None:
+    async def remove(self, key: str) -> None:
         """Deletes a key, as an expired lease does."""
         current = await self.memory.get(key)
         if current is not None:
@@ -138,7 +138,7 @@
         listing = await self.memory.scan(params.get("prefix", ""))
         after = params.get("after", "")
         entries = [e for e in listing.entries if e.key > after]
-        page = entries[: self.faults.page_size]
+        page = entries[: self.faults.page]
         return 200, {
             "items": [_format_entry(entry) for entry in page],
             "has_more": len(entries) > len(page),
--- a/rhubarbwinch/claims/claimowners.py
+++ b/rhubarbwinch/claims/claimowners.py
@@ -9,7 +9,7 @@
 from rhubarbwinch.membership.members import Members
 from rhubarbwinch.shared.exceptions import CodecError, LinkError
 
-ASK_TIMEOUT_MS = 500
+STATUS_TIMEOUT_MS = 500
 
 
 class OwnerStatus(enum.Enum):
@@ -48,7 +48,7 @@
         question = ClaimQuestion(record.token, record.incarnation)
         try:
             answer = await self._links.call(
-                owner.link, question, ClaimAnswer, ASK_TIMEOUT_MS
+                owner.link, question, ClaimAnswer, STATUS_TIMEOUT_MS
             )
         except (LinkError, CodecError):
             # A missing reply proves nothing: a paused owner may still send.
--- a/rhubarbwinch/gateway/context.py
+++ b/rhubarbwinch/gateway/context.py
@@ -160,7 +160,7 @@
         events.ENDPOINT_REPORTED.log(
             endpoint=notice.endpoint,
             reporter=notice.gateway,
-            calls_each=round(traffic.calls_per_endpoint, 2),
+            calls_each=round(traffic.calls_each, 2),
             gateways=traffic.gateways,
             pause_ms=until_ms - now,
         )
--- a/rhubarbwinch/gateway/failurereports.py
+++ b/rhubarbwinch/gateway/failurereports.py
@@ -33,14 +33,14 @@
     """The usual traffic to the endpoints of a service.
 
     Attributes:
-        calls_per_endpoint: Calls from one gateway to one endpoint in the window.
+        calls_each: Calls from one gateway to one endpoint in the window.
         local_gateways: Number of gateways in this data centre, this one
             included.
         gateways: Number of all gateways, this one included.
         endpoints: The ids of the service's endpoints.
     """
 
-    calls_per_endpoint: float
+    calls_each: float
     local_gateways: int
     gateways: int
     endpoints: frozenset[str] = frozenset()
@@ -99,12 +99,12 @@
         local_gateways = [
             r for r in recent_reports if r.data_center == self._data_center
         ]
-        calls = traffic.calls_per_endpoint * traffic.local_gateways
+        calls = traffic.calls_each * traffic.local_gateways
         if _is_bad(local_gateways, calls, mean_others, is_on_trial):
             return True
         # A failure seen by two data centres is no fault of the network path
         # from one of them.
-        calls = traffic.calls_per_endpoint * traffic.gateways
+        calls = traffic.calls_each * traffic.gateways
         return len({r.data_center for r in recent_reports}) > 1 and _is_bad(
             recent_reports, calls, mean_others, is_on_trial
         )
--- a/rhubarbwinch/gateway/peers.py
+++ b/rhubarbwinch/gateway/peers.py
@@ -206,10 +206,10 @@
         Watchers do, and so does a gateway none of whose peers has a fresh
         response from the store.
         """
-        return self.is_watcher() or self.confirmed_age_ms > MAX_FRESH_AGE_MS
+        return self.is_watcher() or self.confirmed_ms > MAX_FRESH_AGE_MS
 
     @property
-    def confirmed_age_ms(self) -> int:
+    def confirmed_ms(self) -> int:
         """Milliseconds since the store last confirmed any peer's replica."""
         now = self._clock.now()
         return min(
--- a/rhubarbwinch/gateway/program.py
+++ b/rhubarbwinch/gateway/program.py
@@ -196,7 +196,7 @@
             clock,
             dependencies.engine_calls,
             lambda: min(
-                self._store_feed.confirmed_age_ms, self._peers.confirmed_age_ms
+                self._store_feed.confirmed_ms, self._peers.confirmed_ms
             ),
             lambda: self._peers.is_store_failing(self._store_feed.is_failing),
             lambda: [known.endpoint for known in self._own_engines()],
@@ -281,7 +281,7 @@
             is_serving=self.is_ready,
             is_leaving=self._context.is_draining,
             revision=self._replica.revision,
-            confirmed_ms=self._store_feed.confirmed_age_ms,
+            confirmed_ms=self._store_feed.confirmed_ms,
             is_store_failing=self._store_feed.is_failing,
         )
 
--- a/rhubarbwinch/gateway/runplacement.py
+++ b/rhubarbwinch/gateway/runplacement.py
@@ -15,7 +15,7 @@
 # When the wait limit is reached, a KV cache may be overcommitted up to this
 # share while slots are free: engines have a queue of their own, and a refusal
 # would help no other request.
-OVERCOMMIT_MEMORY_SHARE = 1.25
+OVERCOMMIT_KV_CACHE_SHARE = 1.25
 
 
 class RunPlacer:
@@ -59,16 +59,16 @@
         waiter = queue.enqueue(job.priority, job.objective_ms)
         try:
             with anyio.move_on_after(limit_ms / 1000):
-                await self._wait_turn(run, waiter)
+                await self._wait_until_reserved(run, waiter)
                 queue.record_admission()
                 return None
         finally:
             queue.remove_waiter(waiter)
-        if self._try_reserve(run, OVERCOMMIT_MEMORY_SHARE):
+        if self._try_reserve(run, OVERCOMMIT_KV_CACHE_SHARE):
             return None
         return self._refuse(run, queue, f"no room in {limit_ms} ms")
 
-    async def _wait_turn(self, run: Run, waiter: Waiter) -> None:
+    async def _wait_until_reserved(self, run: Run, waiter: Waiter) -> None:
         while True:
             await waiter.may_try.wait()
             waiter.may_try = anyio.Event()
--- a/rhubarbwinch/gateway/storefeed.py
+++ b/rhubarbwinch/gateway/storefeed.py
@@ -123,7 +123,7 @@
         self._is_synced = False
 
     @property
-    def confirmed_age_ms(self) -> int:
+    def confirmed_ms(self) -> int:
         """Milliseconds since the store last confirmed the replica."""
         if self._confirmed_at_ms is None:
             return 1 << 40
--- a/rhubarbwinch/platform/headers.py
+++ b/rhubarbwinch/platform/headers.py
@@ -13,7 +13,7 @@
 # Identifies one attempt of a caller; each retry has an id of its own.
 REQUEST_ID = b"attempt-id"
 # A duration in milliseconds from the time of sending, not a point in time.
-DEADLINE_MS = b"deadline-ms"
+DEADLINE = b"deadline-ms"
 ACCOUNT = b"tenant"
 EXPECTED_ENDPOINT = b"expect-instance"
 # The sizes announced by the caller: prompt tokens, maximum output tokens.
@@ -48,7 +48,7 @@
 # endpoints must not receive them.
 RESERVED_HEADERS = frozenset(
     {
-        DEADLINE_MS,
+        DEADLINE,
         ACCOUNT,
         EXPECTED_ENDPOINT,
         STANDBY,
@@ -108,7 +108,7 @@
     hosts = _values(headers, b"host")
     if len(hosts) != 1:
         raise BadCallError("a request needs one host")
-    deadline = _first_value(headers, DEADLINE_MS)
+    deadline = _first_value(headers, DEADLINE)
     if deadline is not None and _parse_number(deadline) is None:
         raise BadCallError("the deadline is not a whole number")
     token_counts = (_first_value(headers, TOKEN_COUNTS) or "0,0").split(",")
--- a/tests/gateway/test_failurereports.py
+++ b/tests/gateway/test_failurereports.py
@@ -13,12 +13,8 @@
 from rhubarbwinch.gateway.messages import FailureNotice
 
 # 33 gateways with 30 engines, and with four busy plain endpoints.
-GENERATIONS = ServiceTraffic(
-    calls_per_endpoint=0.04, local_gateways=11, gateways=33
-)
-PLAIN_CALLS = ServiceTraffic(
-    calls_per_endpoint=0.6, local_gateways=11, gateways=33
-)
+GENERATIONS = ServiceTraffic(calls_each=0.04, local_gateways=11, gateways=33)
+PLAIN_CALLS = ServiceTraffic(calls_each=0.6, local_gateways=11, gateways=33)
 
 
 def _notice(number, data_center="dc-a", endpoint="e1"):
--- a/tests/lab/test_seeded.py
+++ b/tests/lab/test_seeded.py
@@ -39,9 +39,9 @@
 
 
 class CheckTest(unittest.TestCase):
-    """The violations that are found in journals of one or two attempts."""
+    """The violations that are found in records of one or two attempts."""
 
-    def test_a_good_journal_passes(self):
+    def test_good_records_pass(self):
         run = Run("e", "m1", "", 3, "g")
         cut, rest = _stream(0, 1), _stream(2)
         rest.events.append(DONE_EVENT)
--- a/tests/platform/test_kvstore.py
+++ b/tests/platform/test_kvstore.py
@@ -51,7 +51,7 @@
     @asynchronous
     async def test_a_listing_of_many_pages_is_complete(self):
         async with platform() as (server, store):
-            server.faults.page_size = 3
+            server.faults.page = 3
             for i in range(8):
                 await server.put(f"k{i}", b"v")
             listing = await store.scan("k")
@@ -63,7 +63,7 @@
     async def test_a_poll_returns_changes_and_their_revision(self):
         async with platform() as (server, store):
             await server.put("a", b"1")
-            await server.delete("a")
+            await server.remove("a")
             batch = await store.poll("", 0, 1_000)
             self.assertEqual(
                 [(c.key, c.entry is None) for c in batch.changes],
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -30,7 +30,7 @@
         "query_string": b"",
         "headers": [(b"authorization", b"Bearer " + API_KEY.encode())],
     }
-    await program.program.app(scope, receive, send)
+    await program.daemon.app(scope, receive, send)
     body = b"".join(m.get("body", b"") for m in sent)
     data = json.loads(body)
     return [entry["name"] for entry in data["entries"]], data["ttl_ms"]
@@ -54,7 +54,7 @@
             self.assertEqual(len(lists[0][0]), 4)
             self.assertTrue(all(found == lists[0] for found in lists))
             self.assertGreater(lists[0][1], 0)
-            leaving_entry = deployment.entries[lists[0][0][0]].program
+            leaving_entry = deployment.entries[lists[0][0][0]].daemon
             tasks.start_soon(leaving_entry.daemon.shut_down)
             await deployment.clock.advance(3000)
             for program in deployment.entries.values():
