--- a/lab/bench_broker.py
+++ b/lab/bench_broker.py
@@ -136,7 +136,8 @@
     p50, p99 = (histogram.get_value_at_percentile(p) for p in (50, 99))
     sys.stdout.write(
         f"{ENGINES} engines, {bench.running} streams, "
-        f"{bench.admission.queue_length} waiting: {permits / cpu_s:.0f} permits/s, "
+        f"{bench.admission.queue_length} waiting: "
+        f"{permits / cpu_s:.0f} permits/s, "
         f"{cpu_s / permits * 1e6:.0f} us each, p50 {p50} us, p99 {p99} us\n"
     )
 
--- a/lab/bench_claims.py
+++ b/lab/bench_claims.py
@@ -82,10 +82,10 @@
 
 
 class OwnerQueryStub:
-    """A stub of the query for the standing of a claim's owner."""
+    """A stub of the query for the status of a claim's owner."""
 
     async def get_status(self, _: ClaimRecord) -> OwnerStatus:
-        """Returns that the owner still holds the claim."""
+        """Returns that the owner may still send."""
         return OwnerStatus.MAY_SEND
 
 
--- a/lab/memberset.py
+++ b/lab/memberset.py
@@ -35,7 +35,8 @@
         clock: The source of time.
         peers: Link addresses for a start while the store is unavailable.
         all_watch: Whether the member always watches the head in the store. If
-            not, only seeds watch it and distribute changes to their peers.
+            not, only elected watchers watch it and distribute changes to their
+            peers.
     """
 
     def __init__(
--- a/lab/seeded/check.py
+++ b/lab/seeded/check.py
@@ -1,4 +1,4 @@
-"""Checks the journal of a seeded run against the guarantees to callers."""
+"""Checks the records of a seeded run against the guarantees to callers."""
 
 from collections import Counter, defaultdict
 
--- a/lab/spread.py
+++ b/lab/spread.py
@@ -1,9 +1,9 @@
 """Measures store calls and time until all members have applied a change.
 
-Compares two ways: every member watches the store, or only a few seeds watch it
-and their peers distribute the change. The clock is manual, so the figures are
-exact and the same on every run. The distribution is based on EdgeDis, sections
-3.1 to 3.3.
+Compares two ways: every member watches the store, or only a few members watch
+it and their peers distribute the change. The clock is manual, so the figures
+are exact and the same on every run. The distribution is based on EdgeDis,
+sections 3.1 to 3.3.
 """
 
 import argparse
--- a/lab/standins/platformengine.py
+++ b/lab/standins/platformengine.py
@@ -70,7 +70,7 @@
 
 
 class ScriptedEngine:
-    """An engine or plain service whose behaviour a test sets.
+    """An engine or plain service whose request handler a test sets.
 
     Args:
         name: The engine's id in the store.
--- a/rhubarbwinch/admission/decisions.py
+++ b/rhubarbwinch/admission/decisions.py
@@ -31,8 +31,8 @@
 
     Attributes:
         placement: The placement policy's name.
-        shares_by_weight: Whether accounts share the pool by weight; otherwise requests
-            are served first in, first out.
+        shares_by_weight: Whether accounts share the pool by weight; otherwise
+            requests are served first in, first out.
         rejects_early: Whether requests that can't start in time are refused
             immediately; otherwise they are queued until their deadline.
         has_retry_budget: Whether each account has a retry budget.
--- a/rhubarbwinch/gateway/fleet.py
+++ b/rhubarbwinch/gateway/fleet.py
@@ -27,8 +27,9 @@
         is_leaving: Whether it is shutting down and accepts no new requests.
         leaving_since_ms: When it became known that it leaves; 0 while it stays.
         warmed_up_at_ms: When its warm-up ends.
-        expiry_deadline_ms: When the endpoint counts as gone because its entry expired
-            in a store outage and was not renewed; 0 if the entry is there.
+        expiry_deadline_ms: When the endpoint counts as gone because its entry
+            expired in a store outage and was not renewed; 0 if the entry is
+            there.
         is_readable: Whether its newest entry could be decoded.
     """
 
--- a/rhubarbwinch/gateway/routes.py
+++ b/rhubarbwinch/gateway/routes.py
@@ -20,9 +20,10 @@
     Attributes:
         slots: The number of requests that an engine runs at once.
         kv_tokens: The KV cache of an engine in tokens.
-        supports_migration: Whether a run's KV cache can be copied to another engine.
-        supports_standby: Whether a run's KV cache can be replicated to a standby
-            engine while the run goes on.
+        supports_migration: Whether a run's KV cache can be copied to another
+            engine.
+        supports_standby: Whether a run's KV cache can be replicated to a
+            standby engine while the run goes on.
         copy_expiry_ms: How long an engine keeps an unused copy.
     """
 
@@ -74,8 +75,8 @@
         timeout_ms: The time limit of a request.
         objective_ms: The latency objective of a response; of a stream, for its
             first event.
-        max_event_gap_ms: The longest pause between events that meets the objective; 0 for
-            no such bound.
+        max_event_gap_ms: The longest pause between events that meets the
+            objective; 0 for no such bound.
         max_attempts: The number of endpoints to which a request may be sent.
         priority: The priority of its requests, 0 first.
         is_public: Whether requests need no API key.
--- a/rhubarbwinch/programs/broker.py
+++ b/rhubarbwinch/programs/broker.py
@@ -268,7 +268,7 @@
             try:
                 await self._daemon.links.send(entry.link, entry_message.message)
             except LinkError:
-                # Without the change the engine itself selects the run that it
+                # Without the message the engine itself selects the run that it
                 # preempts.
                 return
 
--- a/rhubarbwinch/shared/tracing.py
+++ b/rhubarbwinch/shared/tracing.py
@@ -6,8 +6,8 @@
 context is propagated as W3C `traceparent`: in HTTP headers of callers and
 endpoints, and in a field of the messages between the programs.
 
-Until `configure` or `configure_processor` is called, every span is one shared object that
-records nothing.
+Until `configure` or `configure_processor` is called, every span is one shared
+object that records nothing.
 """
 
 import re
--- a/rhubarbwinch/stores/memstore.py
+++ b/rhubarbwinch/stores/memstore.py
@@ -17,8 +17,8 @@
 
     Attributes:
         down: Whether every call fails without effect.
-        lost_responses: The number of following writes that take effect but raise
-            an error, as if the response had been lost.
+        lost_responses: The number of following writes that take effect but
+            raise an error, as if the response had been lost.
     """
 
     down: bool = False
@@ -161,7 +161,7 @@
             self._end_lease(lease)
 
     def notify_watches(self) -> None:
-        """Wakes the watches, so that they check for faults."""
+        """Wakes the watches, so that they check for faults and changes."""
         self._changed.set()
         self._changed = anyio.Event()
 
--- a/tests/callers/test_streams.py
+++ b/tests/callers/test_streams.py
@@ -70,7 +70,7 @@
         )
 
     def open(self, relayed=5):
-        """Opens a stream that has relayed `relayed` tokens to its caller."""
+        """Opens a stream of which the caller has received `relayed` tokens."""
         grant = PermitGrant("1-1-tag", "engine-0", "127.0.0.1:2")
         permit = Permit(builders.permit_request("1-1-tag"), grant)
         position = StreamPosition(
--- a/tests/claims/test_claims.py
+++ b/tests/claims/test_claims.py
@@ -205,7 +205,8 @@
                     path = "/services/booking/" + ("book" if key else "slots")
                     response = await world.call(0, key, path=path)
                     world.note(
-                        f"{path[18:]} {response}; ran {len(world.counting_endpoint.ran)}"
+                        f"{path[18:]} {response}; "
+                        f"ran {len(world.counting_endpoint.ran)}"
                     )
                 entry.permits.failure = None
             others = {
@@ -217,17 +218,20 @@
             for name, (path, key) in others.items():
                 response = await world.call(0, key, path=path)
                 world.note(
-                    f"{name}: {response}; ran {len(world.counting_endpoint.ran)}"
+                    f"{name}: {response}; "
+                    f"ran {len(world.counting_endpoint.ran)}"
                 )
             world.counting_endpoint.refuses = 3
             response = await world.call(0, None, path="/services/booking/slots")
             world.note(
-                f"no connection: {response}; ran {len(world.counting_endpoint.ran)}"
+                f"no connection: {response}; "
+                f"ran {len(world.counting_endpoint.ran)}"
             )
             world.store.faults.down = True
             response = await world.call(0, world.key(50))
             world.note(
-                f"store down: {response}; ran {len(world.counting_endpoint.ran)}"
+                f"store down: {response}; "
+                f"ran {len(world.counting_endpoint.ran)}"
             )
             world.store.faults.down = False
             world.counting_endpoint.dies = True
--- a/tests/configuration/test_distribution.py
+++ b/tests/configuration/test_distribution.py
@@ -111,7 +111,7 @@
 
 
 class DistributionTest(GoldTestCase):
-    """Operators, publishers and followers, compared with gold files."""
+    """Operators, publishers and replicas, compared with gold files."""
 
     async def _run(self, name, title, play_scenario):
         async with anyio.create_task_group() as tasks:
--- a/tests/gateway/test_outage.py
+++ b/tests/gateway/test_outage.py
@@ -37,7 +37,7 @@
 
 
 class OutageMonitorTest(unittest.TestCase):
-    """An outage watch on a manual clock."""
+    """An outage monitor on a manual clock."""
 
     async def _run(self, stale_ms, ms, is_failing=False, expired=0):
         self.leaving = []
--- a/tests/gateway/test_plaincalls.py
+++ b/tests/gateway/test_plaincalls.py
@@ -64,7 +64,7 @@
 
 
 def _once(handler):
-    """Returns a behaviour that fails the first request only."""
+    """Returns a handler that fails the first request only."""
     seen = []
 
     async def run(received_request, responder):
--- a/tests/orders/test_reconciler.py
+++ b/tests/orders/test_reconciler.py
@@ -21,10 +21,10 @@
 
 @attrs.define
 class FakeOrderClient:
-    """An order client whose engines are in-memory order boards.
+    """An order client whose engines are in-memory order handlers.
 
     Attributes:
-        handlers: The engines' order boards by address.
+        handlers: The engines' order handlers by address.
         lines: The text record of the test.
         before_arrival: Functions by address; each runs once, after the lease
             check and before the arrival of the next order at that address.
