--- a/lab/soak/check.py
+++ b/lab/soak/check.py
@@ -239,7 +239,7 @@
 
 @CHECKS.register("grace")
 def check_grace_period(records: RunRecords) -> list[str]:
-    """A gateway that is told to stop exits within its grace period."""
+    """A gateway exits within its grace period after a stop signal."""
     return [
         f"{name} still ran after its grace period"
         for name in records.overdue_gateways
--- a/lab/soak/deployment.py
+++ b/lab/soak/deployment.py
@@ -262,7 +262,7 @@
     async def restart_after_exit(
         self, gateway: Gateway, pause_s: float
     ) -> None:
-        """Restarts a gateway that was told to stop, after its exit."""
+        """Restarts a gateway that was sent a stop signal, after its exit."""
         if gateway.is_restarting or not gateway.is_told_to_stop:
             # Another fault has restarted this gateway or is about to.
             return
--- a/lab/soak/faults.py
+++ b/lab/soak/faults.py
@@ -23,7 +23,7 @@
 LEAVING_NOTICE_S = 2.0
 ENTRY_EXPIRY_S = 1.5
 REPEAT_COUNT = 4
-# Further signals for a gateway that was told to stop.
+# Further signals for a gateway that was sent SIGTERM.
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGTERM, signal.SIGHUP, signal.SIGKILL)
 
 
--- a/rhubarbwinch/admission/limits.py
+++ b/rhubarbwinch/admission/limits.py
@@ -14,7 +14,7 @@
 
 
 class TokenBucket:
-    """Limits a rate; the burst is one second's worth but at least one.
+    """Limits a rate; the burst is `per_second` requests but at least one.
 
     Args:
         clock: The source of time.
--- a/rhubarbwinch/admission/permits.py
+++ b/rhubarbwinch/admission/permits.py
@@ -174,7 +174,7 @@
     async def _release_late(self, reply: PermitReply) -> None:
         """Releases a permit that was granted after its request timed out.
 
-        The reply doesn't name the pool, so all brokers are told.
+        The reply doesn't name the pool, so all brokers receive the release.
         """
         if self._metrics is not None:
             self._metrics.count(metrics.LATE_ANSWERS)
--- a/rhubarbwinch/claims/claimretention.py
+++ b/rhubarbwinch/claims/claimretention.py
@@ -3,7 +3,7 @@
 The floor in the store only rises. A cleanup pass raises the floor, and the
 next pass deletes the pages below it, when no member can still accept a key in
 them. So a key that has run is never looked up in a page that was deleted and
-created anew.
+created again.
 """
 
 import attrs
--- a/rhubarbwinch/claims/claims.py
+++ b/rhubarbwinch/claims/claims.py
@@ -196,7 +196,7 @@
             failure = await self._claim(claim)
             if failure is None:
                 # If the process was paused for very long before the write,
-                # the page may have been deleted and created anew by this
+                # the page may have been deleted and created again by this
                 # claim, so the key's age is checked again.
                 failure = await self._check_key_age(key)
         finally:
--- a/rhubarbwinch/gateway/clusterview.py
+++ b/rhubarbwinch/gateway/clusterview.py
@@ -65,7 +65,7 @@
         ]
 
     def expire_endpoints(self) -> None:
-        """Gives up endpoints whose expired entries were not renewed."""
+        """Treats endpoints whose expired entries weren't renewed as leaving."""
         for known in self._context.fleet.expire_endpoints(
             self._context.clock.now()
         ):
--- a/rhubarbwinch/gateway/eventrelay.py
+++ b/rhubarbwinch/gateway/eventrelay.py
@@ -16,9 +16,9 @@
 from rhubarbwinch.shared import events
 from rhubarbwinch.shared.exceptions import EndpointError
 
-# If a run can resume at another engine, its current engine is given up after
-# this time without data. Events come every 30 ms, and by then the pause exceeds
-# the route's limit in any case.
+# If a run can resume at another engine, its stream is abandoned after this time
+# without data. Events come every 30 ms, and by then the pause exceeds the
+# route's limit in any case.
 STALL_TIMEOUT_MS = 1_000
 _OK = 200
 
--- a/rhubarbwinch/gateway/failover.py
+++ b/rhubarbwinch/gateway/failover.py
@@ -16,7 +16,7 @@
 from rhubarbwinch.shared import events
 
 # How long a failover waits for a copy that is in flight when the stream breaks.
-# Resuming from the copy is worth this pause.
+# Without the copy, a run that has no standby must restart or fail.
 COPY_WAIT_MS = 600
 # What a run resumes from: a migrated copy, or the KV cache of a hot standby.
 FROM_MIGRATED_COPY = "move"
--- a/rhubarbwinch/gateway/fleet.py
+++ b/rhubarbwinch/gateway/fleet.py
@@ -81,7 +81,7 @@
         if endpoint.state is EndpointState.DRAINING:
             return self._start_leaving(known, now_ms)
         if known.is_leaving:
-            # The endpoint was given up, but its entry has been renewed.
+            # The endpoint was marked as leaving, but its entry was renewed.
             known.is_leaving = False
             known.leaving_since_ms = 0
         return False
@@ -124,12 +124,12 @@
         ]
 
     def expire_endpoints(self, now_ms: int) -> list[KnownEndpoint]:
-        """Gives up endpoints whose expired entries were not renewed.
+        """Marks endpoints as leaving if their expired entries weren't renewed.
 
         Endpoints that left longer ago than `LEFT_RETENTION_MS` are dropped.
 
         Returns:
-            The endpoints given up by this call.
+            The endpoints whose renewal deadline has passed.
         """
         due = [
             known
--- a/rhubarbwinch/gateway/messages.py
+++ b/rhubarbwinch/gateway/messages.py
@@ -161,8 +161,8 @@
 
     Attributes:
         endpoint: The engine's id.
-        started_ms: Unix time of the engine's start; tells this start from
-            others under the same id.
+        started_ms: Unix time of the engine's start; distinguishes this
+            start from others under the same id.
     """
 
     endpoint: str
--- a/rhubarbwinch/gateway/migrationtargets.py
+++ b/rhubarbwinch/gateway/migrationtargets.py
@@ -31,7 +31,7 @@
 # refreshes keep the pause of the stream short and take only some milliseconds
 # of the network link.
 COPY_REFRESH_MS = 400
-# A copy that took long lacks the events that its run has made meanwhile. With
+# A slow copy lacks the events that its run generated during the transfer. With
 # more missing events than this, the pause could exceed the bound of a route, so
 # the copy is refreshed early.
 MAX_EVENTS_BEHIND = 10
--- a/rhubarbwinch/gateway/routes.py
+++ b/rhubarbwinch/gateway/routes.py
@@ -23,7 +23,7 @@
         supports_migration: Whether a run's KV cache can be copied to another
             engine.
         supports_standby: Whether a run's KV cache can be replicated to a
-            standby engine while the run goes on.
+            standby engine while the run continues.
         copy_expiry_ms: How long an engine keeps an unused copy.
     """
 
--- a/rhubarbwinch/gateway/upstream.py
+++ b/rhubarbwinch/gateway/upstream.py
@@ -105,7 +105,7 @@
         """Sends a request; returns the response when its head is received.
 
         Raises:
-            EndpointError: No head was received. Its attribute `sent` tells
+            EndpointError: No head was received. Its attribute `sent` says
                 whether a byte was sent.
         """
         with requestspans.attempt_span(self._tracer, endpoint.id):
--- a/rhubarbwinch/platform/kvstore.py
+++ b/rhubarbwinch/platform/kvstore.py
@@ -262,7 +262,7 @@
     """Decodes an event; None if it has no valid key and revision.
 
     Other writers may store malformed values. Such an event is returned with an
-    empty value, because its key still tells which entry has changed.
+    empty value, because its key still shows which entry has changed.
     """
     try:
         return _decode_change(event)
--- a/rhubarbwinch/programs/ctlcommands.py
+++ b/rhubarbwinch/programs/ctlcommands.py
@@ -82,7 +82,7 @@
 @cappa.command(name="get", help="Show a record and whether it is in force.")
 @attrs.define
 class GetRecord:
-    """Shows a record and whether it is in force."""
+    """Shows a record and whether it is active."""
 
     record: Annotated[str, cappa.Arg(help="kind/name")]
 
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -192,7 +192,7 @@
         resumed = other.received[0].headers
         self.assertEqual(resumed["kv-from"], f"{other.address}/q1")
         self.assertEqual(resumed["last-event-id"], "3")
-        # The first engine may be alive, so it was told to stop the run.
+        # The first engine may be alive, so the migration request stops its run.
         self.assertTrue(first.migration_requests[0]["last"])
 
     @asynchronous
