--- a/tests/claims/test_claims.py
+++ b/tests/claims/test_claims.py
@@ -13,10 +13,10 @@
         async with World() as world:
             key = world.key()
             world.counting_endpoint.delay_ms = 1_000
-            answers = [world.start(i, key) for i in (0, 1, 0, 1)]
-            await world.settle(*answers)
-            for answer in answers:
-                world.note(answer.text)
+            responses = [world.start(i, key) for i in (0, 1, 0, 1)]
+            await world.settle(*responses)
+            for response in responses:
+                world.note(response.text)
             other = await world.call(1, key, body=b"[]")
             world.note(f"other content: {other}")
             await world.judge()
--- a/tests/claims/test_quarantine.py
+++ b/tests/claims/test_quarantine.py
@@ -292,23 +292,23 @@
             alive = _count(fleet)
             for number in range(6):
                 url = f"http://{fleet.entries[number % 3]}/v1/completions"
-                answer = httpx.post(
+                response = httpx.post(
                     url, json=body, headers=AUTHORIZATION, timeout=20
                 )
-                verdicts.append(answer.headers["x-verdict"])
+                verdicts.append(response.headers["x-verdict"])
             lines = [
                 f"told {verdicts}",
                 f"engines lost {alive - _count(fleet)}",
             ]
             address = fleet.add_entry("entry-late")
-            answer = httpx.post(
+            response = httpx.post(
                 f"http://{address}/v1/completions",
                 json=body,
                 headers=AUTHORIZATION,
             )
             lines.append(
-                f"a later entry: {answer.status_code} "
-                f"{answer.headers['x-verdict']}"
+                f"a later entry: {response.status_code} "
+                f"{response.headers['x-verdict']}"
             )
             good = httpx.post(
                 f"http://{address}/v1/completions",
